--- a/src/api.rs
+++ b/src/api.rs
@@ -15,7 +15,7 @@
 use warp::http::{HeaderValue, StatusCode};
 use warp::{Filter, Rejection, Reply as _};
 
-use crate::node::Node;
+use crate::controller::Node;
 use crate::peer::Reply;
 use crate::wire::{JobId, BODY_LIMIT};
 
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -5,7 +5,7 @@
 use hyper::Method;
 
 use crate::http::{Http, HttpError};
-use crate::store::pace::Pace;
+use crate::store::rate_limiter::Pace;
 use crate::wire::{ListedMachine, MachineId, MachineList, MachineType, MachineTypes, Machines, Rental};
 
 /// Why the cloud did not do it.
--- a/src/job_lookup.rs
+++ b/src/controller/job_lookup.rs
@@ -6,9 +6,9 @@
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
-use crate::core::admission::Unfit;
-use crate::core::record::{self, FinalRecord, JobRecord};
-use crate::node::Node;
+use crate::controller::Node;
+use crate::core::scheduling::admission::Unfit;
+use crate::core::storage::record::{self, FinalRecord, JobRecord};
 use crate::peer::Reply;
 use crate::store::StoreError;
 use crate::wire::{JobId, JobSpec, JobView, Kind, Standing};
--- a/src/node.rs
+++ b/src/controller/mod.rs
@@ -1,6 +1,7 @@
 //! One controller: what it knows of the others, and how a request of a user
 //! or a worker finds the one who may answer it.
 
+pub mod job_lookup;
 mod users;
 
 use std::collections::HashMap;
@@ -11,10 +12,10 @@
 use tracing::info;
 
 use crate::cloud::Cloud;
-use crate::core::authority::ClockReading;
+use crate::controller::job_lookup::Finals;
+use crate::core::evidence::authority::ClockReading;
 use crate::core::Config;
 use crate::http::Http;
-use crate::job_lookup::Finals;
 use crate::leader::active_leader::ActiveLeader;
 use crate::peer::{Ask, Link, Reply};
 use crate::settings::{Platform, Tuning};
--- a/src/node/users.rs
+++ b/src/controller/users.rs
@@ -7,9 +7,9 @@
 use tracing::debug;
 
 use super::{wall_ms, Node};
-use crate::core::admission::{admissible, Unfit};
-use crate::core::record::{self, FinalRecord, JobRecord};
-use crate::job_lookup::Lookup;
+use crate::controller::job_lookup::Lookup;
+use crate::core::scheduling::admission::{admissible, Unfit};
+use crate::core::storage::record::{self, FinalRecord, JobRecord};
 use crate::peer::{Ask, Reply};
 use crate::wire::{Change, Guard, JobId, JobSpec, JobView, MachineType, Standing, Transaction};
 
--- a/src/core/worker_commands.rs
+++ b/src/core/evidence/commands.rs
@@ -2,10 +2,10 @@
 
 use std::time::{Duration, Instant};
 
-use super::machine::{Machine, Phase, TOKEN_BITS};
-use super::model::{Model, EPS};
-use super::permission::check_job;
-use super::slot::SlotState;
+use crate::core::evidence::permission::check_job;
+use crate::core::state::machine::{Machine, Phase, TOKEN_BITS};
+use crate::core::state::model::{Model, EPS};
+use crate::core::state::slot::SlotState;
 use crate::wire::{Command, Commands, MachineId, Report, TaskState};
 
 impl Model {
@@ -64,7 +64,7 @@
     }
 
     /// Notes that a command may be due for a machine that none is on its way to.
-    pub(super) fn note_due(&mut self, id: &MachineId) {
+    pub(in crate::core) fn note_due(&mut self, id: &MachineId) {
         let due = |m: &Machine| !m.commanding && m.wants_command();
         if self.machines.get(id).is_some_and(due) {
             self.due.insert(id.clone());
--- a/src/core/worker_reports.rs
+++ b/src/core/evidence/heartbeats.rs
@@ -5,11 +5,11 @@
 
 use tracing::{debug, info};
 
-use super::job::Job;
-use super::machine::{Machine, Phase, TOKEN_BITS};
-use super::model::Model;
-use super::slot::{Slot, SlotState};
-use super::wal::Entry as Logged;
+use crate::core::state::job::Job;
+use crate::core::state::machine::{Machine, Phase, TOKEN_BITS};
+use crate::core::state::model::Model;
+use crate::core::state::slot::{Slot, SlotState};
+use crate::core::storage::wal::Entry as Logged;
 use crate::wire::{JobId, Kind, MachineId, Report, ReportedTask, TaskId, TaskState, Why};
 
 /// A cordoned machine that is still there is tried again after so long.
@@ -112,7 +112,7 @@
         ReportOutcome::Applied
     }
 
-    pub(super) fn apply_task_report(
+    pub(in crate::core) fn apply_task_report(
         &mut self,
         r: &Report,
         t: &ReportedTask,
@@ -220,7 +220,7 @@
     /// Cordons a machine that fails its tasks, not one on which bad jobs fail:
     /// it takes failures of a job that is fine elsewhere, or of more jobs than
     /// are likely to be bad at once.
-    pub(super) fn judge_machine(&mut self, id: &MachineId, now: Instant) {
+    pub(in crate::core) fn judge_machine(&mut self, id: &MachineId, now: Instant) {
         let Some(m) = self.machines.get_mut(id).filter(|m| m.cordoned.is_none()) else {
             return;
         };
@@ -250,7 +250,7 @@
         }
     }
 
-    /// How many tasks of a job may be placed at once, see [`super::probation`].
+    /// How many tasks of a job may be placed at once, see [`crate::core::scheduling::probation`].
     pub fn admitted(&self, job: &Job, now: Instant) -> u32 {
         if !job.on_probation(now) {
             return u32::MAX;
@@ -272,7 +272,7 @@
         job.failures.admitted(slots.filter(survives).count() as u32)
     }
 
-    pub(super) fn hold_unexpected_attempt(&mut self, r: &Report, t: &ReportedTask) {
+    pub(in crate::core) fn hold_unexpected_attempt(&mut self, r: &Report, t: &ReportedTask) {
         let Some(slot) = self
             .machines
             .get_mut(&r.machine)
--- a/src/core/invariants.rs
+++ b/src/core/evidence/invariants.rs
@@ -2,7 +2,7 @@
 //! an error in the log with the evidence; it never ends the process, which has
 //! workers to serve.
 
-use super::model::Model;
+use crate::core::state::model::Model;
 use crate::wire::{Report, ReportedTask, TaskState};
 
 impl Model {
--- a/src/core/liveness.rs
+++ b/src/core/evidence/liveness.rs
@@ -5,8 +5,8 @@
 
 use tracing::info;
 
-use super::machine::{Machine, Phase};
-use super::model::Model;
+use crate::core::state::machine::{Machine, Phase};
+use crate::core::state::model::Model;
 use crate::wire::MachineId;
 
 impl Model {
@@ -30,7 +30,7 @@
     /// Whether a machine's lease has run out for certain: it obeys this term,
     /// so that no other's answers renew its lease, and the last answer of this
     /// one was sent longer ago than the lease lasts by the slowest clock.
-    pub(super) fn lapsed(&self, m: &Machine, now: Instant) -> bool {
+    pub(in crate::core) fn lapsed(&self, m: &Machine, now: Instant) -> bool {
         let lease = self.config.lease + self.config.lease / 500 + Duration::from_secs(1);
         let last = m.replied.max(m.heard);
         m.phase == Phase::Up
--- a/src/core/permission.rs
+++ b/src/core/evidence/permission.rs
@@ -7,10 +7,10 @@
 
 use std::collections::BTreeMap;
 
-use super::dependencies::Dependencies;
-use super::job::Job;
-use super::machine::Phase;
-use super::model::Model;
+use crate::core::state::dependencies::Dependencies;
+use crate::core::state::job::Job;
+use crate::core::state::machine::Phase;
+use crate::core::state::model::Model;
 use crate::wire::{Command, Commands, JobId, MachineId, TaskId};
 
 /// The right to send one command now. It is made here alone.
@@ -54,7 +54,7 @@
 }
 
 /// Whether a job's tasks may be started as far as the job goes.
-pub(super) fn check_job(
+pub(in crate::core) fn check_job(
     jobs: &BTreeMap<JobId, Job>,
     dependencies: &Dependencies,
     id: JobId,
--- a/src/core/fleet.rs
+++ b/src/core/fleet/mod.rs
@@ -9,11 +9,11 @@
 
 use tracing::info;
 
-use super::job::Job;
-use super::machine::{Machine, Phase};
-use super::model::{Model, EPS};
-use super::plan::Usage;
-use super::slot::SlotState;
+use crate::core::scheduling::plan::Usage;
+use crate::core::state::job::Job;
+use crate::core::state::machine::{Machine, Phase};
+use crate::core::state::model::{Model, EPS};
+use crate::core::state::slot::SlotState;
 use crate::wire::{Kind, MachineId, Rental};
 
 /// A kind of machine at a place, as the cloud offers it.
--- a/src/core/fleet/releases.rs
+++ b/src/core/fleet/releases.rs
@@ -6,8 +6,8 @@
 
 use tracing::debug;
 
-use crate::core::machine::{Machine, Phase};
-use crate::core::model::Model;
+use crate::core::state::machine::{Machine, Phase};
+use crate::core::state::model::Model;
 use crate::wire::MachineId;
 
 impl Model {
--- a/src/core/fleet/rentals.rs
+++ b/src/core/fleet/rentals.rs
@@ -5,10 +5,10 @@
 use std::time::{Duration, Instant};
 
 use super::Offer;
-use crate::core::admission::type_allowed;
-use crate::core::machine::Phase;
-use crate::core::model::{Model, EPS};
-use crate::core::slot::{Slot, SlotState};
+use crate::core::scheduling::admission::type_allowed;
+use crate::core::state::machine::Phase;
+use crate::core::state::model::{Model, EPS};
+use crate::core::state::slot::{Slot, SlotState};
 use crate::wire::{JobSpec, MachineType};
 
 /// A machine that exists, boots or is to be rented, with the room left on it.
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,38 +1,19 @@
-//! The cluster model as a pure state machine: events and `now` go in,
-//! decisions come out. No I/O, no clock, no randomness of its own.
+//! The cluster model as a pure state machine: events and the time go in,
+//! decisions come out. There is no I/O, no clock and no randomness in here.
 //!
-//! [`model`] keeps the jobs ([`job`]) and machines ([`machine`]) of one term, and
-//! what may be where ([`slot`]). [`worker_reports`], [`worker_commands`] and
-//! [`liveness`] hold the rules of evidence, [`plan`] is PV-EASY by the order of [`ranking`], [`probation`]
-//! holds back jobs that fail everywhere, [`dependencies`] those that wait for other jobs,
-//! [`fleet`] decides rentals and returns,
-//! [`wal`] and [`record`] are what survives a leader.
+//! - [`state`] holds what the leader of one term knows: jobs, machines, places of
+//!   tasks, and dependencies between jobs.
+//! - [`evidence`] holds the rules by which messages, silence and leases change that
+//!   state, and what a leader may still do.
+//! - [`scheduling`] is PV-EASY: the order of the queue, placement and preemption.
+//! - [`fleet`] decides which machines to rent and which to release.
+//! - [`storage`] defines what survives a leader: records and the write-ahead log.
 
-pub mod admission;
-pub mod authority;
-pub mod bits;
-mod borrowed;
-pub mod config;
-pub mod dependencies;
+pub mod evidence;
 pub mod fleet;
-pub mod invariants;
-pub mod job;
-pub mod liveness;
-pub mod machine;
-pub mod model;
-pub mod permission;
-mod placement;
-pub mod plan;
-pub mod probation;
-pub mod ranking;
-pub mod record;
-mod room;
-pub mod slot;
-pub mod store_plan;
-pub mod tombstones;
-pub mod wal;
-pub mod worker_commands;
-pub mod worker_reports;
+pub mod scheduling;
+pub mod state;
+pub mod storage;
 
-pub use config::Config;
-pub use model::Model;
+pub use state::config::Config;
+pub use state::model::Model;
--- a/src/core/admission.rs
+++ b/src/core/scheduling/admission.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use super::model::EPS;
+use crate::core::state::model::EPS;
 use crate::settings::Team;
 use crate::wire::{JobId, JobSpec, Kind, MachineType};
 
--- a/src/core/borrowed.rs
+++ b/src/core/scheduling/borrowed.rs
@@ -9,9 +9,9 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use super::model::Model;
-use super::ranking::{Rank, Tier, BEGIN_TASKS};
-use super::slot::Slot;
+use crate::core::scheduling::ranking::{Rank, Tier, BEGIN_TASKS};
+use crate::core::state::model::Model;
+use crate::core::state::slot::Slot;
 use crate::wire::{JobId, Kind};
 
 /// A task is young until it has run for this share of its predicted run time.
@@ -26,7 +26,7 @@
     /// Pauses a job whose borrowed tasks were stopped for others. Further stops
     /// don't prolong the pause: its other tasks may have room where the head
     /// has none, and would wait beside it for as long as the stops go on.
-    pub(super) fn pause_borrower(&mut self, id: JobId, now: Instant) {
+    pub(in crate::core) fn pause_borrower(&mut self, id: JobId, now: Instant) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -38,7 +38,7 @@
 
 /// The jobs whose tasks are borrowed load to a blocked head.
 #[derive(Debug, Default)]
-pub(super) struct BorrowedLoad {
+pub(in crate::core) struct BorrowedLoad {
     jobs: HashSet<JobId>,
     /// Tasks of each job that were passed over so that the job stays begun.
     spared: HashMap<JobId, u32>,
@@ -48,7 +48,7 @@
     /// What is borrowed from the head's point of view: running work of lower
     /// priority beyond its team's guarantee, for which no time was promised, if
     /// the head can still be served as its user was told.
-    pub(super) fn for_head(model: &Model, head: JobId, ranks: &BTreeMap<JobId, Rank>) -> Self {
+    pub(in crate::core) fn for_head(model: &Model, head: JobId, ranks: &BTreeMap<JobId, Rank>) -> Self {
         let served_in_time = ranks
             .get(&head)
             .is_some_and(|rank| matches!(rank.1, Tier::Guaranteed | Tier::InTime));
@@ -74,13 +74,19 @@
     }
 
     /// Whether nothing is borrowed.
-    pub(super) fn is_empty(&self) -> bool {
+    pub(in crate::core) fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
     /// Whether a task may be stopped for the head. Asked once for each task: the
     /// first few of a job are spared, so that a job once begun stays so.
-    pub(super) fn admits_stop(&mut self, model: &Model, job: JobId, slot: &Slot, now: Instant) -> bool {
+    pub(in crate::core) fn admits_stop(
+        &mut self,
+        model: &Model,
+        job: JobId,
+        slot: &Slot,
+        now: Instant,
+    ) -> bool {
         if !self.jobs.contains(&job) {
             return false;
         }
--- a/src/core/placement.rs
+++ b/src/core/scheduling/placement/mod.rs
@@ -8,17 +8,17 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use super::model::{Model, EPS};
-use super::plan::Usage;
-use super::ranking::{Rank, Tier, BEGIN_TASKS};
-use super::room::{Load, Room};
+use crate::core::scheduling::capacity::{Load, Room};
+use crate::core::scheduling::plan::Usage;
+use crate::core::scheduling::ranking::{Rank, Tier, BEGIN_TASKS};
+use crate::core::state::model::{Model, EPS};
 use crate::wire::{JobId, JobSpec, Kind, MachineType, TaskId};
 
 use search::{Place, Score};
 
 /// How a placement attempt went.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Tried {
+pub(in crate::core) enum Tried {
     Placed,
     /// No machine has room for it.
     NoRoom,
@@ -28,18 +28,18 @@
 
 /// How tasks of a job are to be placed.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Mode {
+pub(in crate::core) struct Mode {
     /// They are backfilled.
-    pub(super) backfill: bool,
+    pub(in crate::core) backfill: bool,
     /// They are predicted to end by then.
-    pub(super) ends_by: Option<Instant>,
+    pub(in crate::core) ends_by: Option<Instant>,
     /// So many at the most.
-    pub(super) most: u32,
+    pub(in crate::core) most: u32,
 }
 
 impl Mode {
     /// In order, so many at the most.
-    pub(super) fn in_order(most: u32) -> Self {
+    pub(in crate::core) fn in_order(most: u32) -> Self {
         Self {
             backfill: false,
             ends_by: None,
@@ -48,7 +48,7 @@
     }
 
     /// Backfilled, where they are predicted to end by then.
-    pub(super) fn backfill(ends_by: Option<Instant>) -> Self {
+    pub(in crate::core) fn backfill(ends_by: Option<Instant>) -> Self {
         Self {
             backfill: true,
             ends_by,
@@ -57,10 +57,10 @@
     }
 }
 
-pub(super) struct Planner<'m> {
-    pub(super) model: &'m mut Model,
+pub(in crate::core) struct Planner<'m> {
+    pub(in crate::core) model: &'m mut Model,
     now: Instant,
-    pub(super) ranks: BTreeMap<JobId, Rank>,
+    pub(in crate::core) ranks: BTreeMap<JobId, Rank>,
     rooms: Vec<Room>,
     /// Rooms that may still fit something that waits.
     open: Vec<usize>,
@@ -77,7 +77,7 @@
 }
 
 impl<'m> Planner<'m> {
-    pub(super) fn new(
+    pub(in crate::core) fn new(
         model: &'m mut Model,
         ranks: BTreeMap<JobId, Rank>,
         now: Instant,
@@ -136,7 +136,7 @@
     }
 
     /// How many tasks of a job go in its present place in the queue.
-    pub(super) fn first_tasks(&self, id: JobId, tier: Tier) -> u32 {
+    pub(in crate::core) fn first_tasks(&self, id: JobId, tier: Tier) -> u32 {
         match self.model.jobs.get(&id) {
             Some(j) if tier == Tier::Starved && j.spec.kind != Kind::Gang => BEGIN_TASKS,
             _ => u32::MAX,
@@ -144,7 +144,7 @@
     }
 
     /// Whether some machine has free room for a task of a job.
-    pub(super) fn fits_somewhere(&self, id: JobId) -> bool {
+    pub(in crate::core) fn fits_somewhere(&self, id: JobId) -> bool {
         self.model
             .jobs
             .get(&id)
@@ -159,7 +159,7 @@
 
     /// Places as many of a job's waiting tasks as fit and the mode allows, a
     /// gang's all or none.
-    pub(super) fn place_all(&mut self, id: JobId, mode: Mode, count: &mut u32) -> Tried {
+    pub(in crate::core) fn place_all(&mut self, id: JobId, mode: Mode, count: &mut u32) -> Tried {
         if !self.plainly && self.alike(id) {
             return self.place_alike(id, mode, count);
         }
--- a/src/core/placement/preemption.rs
+++ b/src/core/scheduling/placement/preemption.rs
@@ -4,11 +4,11 @@
 use std::time::Instant;
 
 use super::Planner;
-use crate::core::borrowed::BorrowedLoad;
-use crate::core::plan::Round;
-use crate::core::ranking::Rank;
-use crate::core::room::Load;
-use crate::core::slot::SlotState;
+use crate::core::scheduling::borrowed::BorrowedLoad;
+use crate::core::scheduling::capacity::Load;
+use crate::core::scheduling::plan::Round;
+use crate::core::scheduling::ranking::Rank;
+use crate::core::state::slot::SlotState;
 use crate::wire::JobId;
 
 impl Planner<'_> {
--- a/src/core/placement/rules.rs
+++ b/src/core/scheduling/placement/rules.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use super::Planner;
-use crate::core::admission::type_allowed;
-use crate::core::model::EPS;
-use crate::core::room::Room;
+use crate::core::scheduling::admission::type_allowed;
+use crate::core::scheduling::capacity::Room;
+use crate::core::state::model::EPS;
 use crate::wire::{JobId, JobSpec};
 
 impl Planner<'_> {
--- a/src/core/placement/search.rs
+++ b/src/core/scheduling/placement/search.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::Planner;
-use crate::core::room::Room;
+use crate::core::scheduling::capacity::Room;
 use crate::wire::{JobId, JobSpec, TaskId};
 
 /// How good a machine is for a task, the smaller the better; the first difference
--- a/src/core/plan.rs
+++ b/src/core/scheduling/plan.rs
@@ -5,10 +5,10 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-use super::machine::{Machine, Phase};
-use super::model::Model;
-use super::placement::{Mode, Planner, Tried};
-use super::ranking::Rank;
+use crate::core::scheduling::placement::{Mode, Planner, Tried};
+use crate::core::scheduling::ranking::Rank;
+use crate::core::state::machine::{Machine, Phase};
+use crate::core::state::model::Model;
 use crate::wire::{JobId, MachineId, TaskId};
 
 /// What a team uses.
--- a/src/core/ranking.rs
+++ b/src/core/scheduling/ranking.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use super::job::Job;
-use super::model::{Model, EPS};
-use super::plan::Usage;
-use super::slot::Slot;
+use crate::core::scheduling::plan::Usage;
+use crate::core::state::job::Job;
+use crate::core::state::model::{Model, EPS};
+use crate::core::state::slot::Slot;
 use crate::wire::{JobId, JobSpec, Kind, Priority};
 
 /// Place of a job in the queue; the smaller comes first: by priority, then by
@@ -44,7 +44,7 @@
 pub const LIFT_AFTER: Duration = Duration::from_secs(150);
 /// So many of a starved job's tasks go first; the rest waits in the job's
 /// ordinary place, so that all who starve begin soon.
-pub(super) const BEGIN_TASKS: u32 = 2;
+pub(in crate::core) const BEGIN_TASKS: u32 = 2;
 
 impl Model {
     /// Run time predicted for a task of a job: the estimate times the ratio of
@@ -59,7 +59,7 @@
 
     /// Jobs that have a place in the queue, placed or not: neither cancelled nor
     /// waiting for others.
-    pub(super) fn ready_jobs(&self) -> impl Iterator<Item = &Job> {
+    pub(in crate::core) fn ready_jobs(&self) -> impl Iterator<Item = &Job> {
         let ready = |job: &&Job| !job.cancelled && self.dependencies.is_ready(job.spec.id);
         self.jobs.values().filter(ready)
     }
@@ -94,7 +94,7 @@
 
     /// When a job is due, in seconds from its arrival, by the strictest and by
     /// the laxest of what its users were told of it and of the jobs that need it.
-    pub(super) fn dues(&self, job: &Job) -> (Option<f64>, Option<f64>) {
+    pub(in crate::core) fn dues(&self, job: &Job) -> (Option<f64>, Option<f64>) {
         let (own, own_latest) = self.own_dues(job);
         let Some(inherited) = self.dependencies.inherited(job.spec.id) else {
             return (own, own_latest);
@@ -111,7 +111,7 @@
     }
 
     /// The same by what its users were told of the job itself.
-    pub(super) fn own_dues(&self, job: &Job) -> (Option<f64>, Option<f64>) {
+    pub(in crate::core) fn own_dues(&self, job: &Job) -> (Option<f64>, Option<f64>) {
         let class = Some(&job.spec.class);
         let objectives = self
             .config
@@ -184,7 +184,7 @@
     }
 
     /// When a slot is predicted to be free.
-    pub(super) fn predicted_end(&self, slot: &Slot, now: Instant) -> Instant {
+    pub(in crate::core) fn predicted_end(&self, slot: &Slot, now: Instant) -> Instant {
         let Some(spec) = &slot.spec else {
             return now + Duration::from_secs(1);
         };
--- a/src/core/job.rs
+++ b/src/core/state/job.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::bits::BitSet;
-use super::probation::FailureHistory;
-use super::record::JobRecord;
+use crate::core::scheduling::probation::FailureHistory;
+use crate::core::state::bits::BitSet;
+use crate::core::storage::record::JobRecord;
 use crate::wire::{JobSpec, Kind, MachineId};
 
 /// An unfinished job.
@@ -68,7 +68,7 @@
     }
 
     /// Notes that a task is done.
-    pub(super) fn finish(&mut self, index: u32) {
+    pub(in crate::core) fn finish(&mut self, index: u32) {
         self.waiting.remove(index);
         self.done.insert(index);
     }
@@ -89,7 +89,7 @@
     }
 
     /// Each place where one of its tasks may be, and the task's number.
-    pub(super) fn all_places(&self) -> Vec<(MachineId, u32)> {
+    pub(in crate::core) fn all_places(&self) -> Vec<(MachineId, u32)> {
         let places = self.places.iter();
         places
             .flat_map(|(index, machines)| machines.iter().map(move |m| (m.clone(), *index)))
@@ -102,7 +102,7 @@
     }
 
     /// The time of day at an instant, in milliseconds.
-    pub(super) fn wall_clock(&self, now: Instant) -> u64 {
+    pub(in crate::core) fn wall_clock(&self, now: Instant) -> u64 {
         let age = now.saturating_duration_since(self.arrival);
         self.at.saturating_add(age.as_millis() as u64)
     }
@@ -129,7 +129,7 @@
         self.spec.kind == Kind::Gang && !self.places.is_empty() && self.waiting.count() > 0
     }
 
-    pub(super) fn occupy(&mut self, index: u32, machine: &MachineId) {
+    pub(in crate::core) fn occupy(&mut self, index: u32, machine: &MachineId) {
         let list = self.places.entry(index).or_default();
         if !list.contains(machine) {
             list.push(machine.clone());
@@ -138,7 +138,7 @@
         }
     }
 
-    pub(super) fn vacate(&mut self, index: u32, machine: &MachineId) {
+    pub(in crate::core) fn vacate(&mut self, index: u32, machine: &MachineId) {
         if let Some(list) = self.places.get_mut(&index) {
             let before = list.len();
             list.retain(|m| m != machine);
--- a/src/core/machine.rs
+++ b/src/core/state/machine.rs
@@ -3,13 +3,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-use super::job::Job;
-use super::slot::{Slot, SlotState};
-use super::wal::{Entry, Log};
+use crate::core::state::job::Job;
+use crate::core::state::slot::{Slot, SlotState};
+use crate::core::storage::wal::{Entry, Log};
 use crate::wire::{Command, JobId, MachineId, TaskId, Why};
 
 /// Bits of a token below the term.
-pub(super) const TOKEN_BITS: u32 = 20;
+pub(in crate::core) const TOKEN_BITS: u32 = 20;
 
 /// How far a machine is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -80,7 +80,7 @@
 }
 
 impl Machine {
-    pub(super) fn new(id: MachineId, now: Instant) -> Self {
+    pub(in crate::core) fn new(id: MachineId, now: Instant) -> Self {
         Self {
             id,
             addr: String::new(),
@@ -112,7 +112,7 @@
     }
 
     /// What the log is to say of it.
-    pub(super) fn entry(&self) -> Entry {
+    pub(in crate::core) fn entry(&self) -> Entry {
         Entry::Machine(
             self.id.clone(),
             self.addr.clone(),
@@ -123,7 +123,7 @@
     }
 
     /// Something is to be said to its worker.
-    pub(super) fn wants_command(&self) -> bool {
+    pub(in crate::core) fn wants_command(&self) -> bool {
         self.probe
             || self
                 .slots
@@ -131,7 +131,7 @@
                 .any(|s| s.stop.is_some() || matches!(s.state, SlotState::Placed | SlotState::Ended(_)))
     }
 
-    /// Whether a session is over by its lease, see [`super::Model::clear_lapsed`].
+    /// Whether a session is over by its lease, see [`crate::core::Model::clear_lapsed`].
     pub fn session_over(&self, session: u64) -> bool {
         self.newest == (session, u64::MAX)
     }
@@ -146,7 +146,7 @@
         self.images.iter().any(|(i, _)| i == image)
     }
 
-    pub(super) fn touch_image(&mut self, image: &str, gb: f64, cache_gb: f64) {
+    pub(in crate::core) fn touch_image(&mut self, image: &str, gb: f64, cache_gb: f64) {
         if let Some(p) = self.images.iter().position(|(i, _)| i == image) {
             let it = self.images.remove(p);
             self.images.push(it);
@@ -176,7 +176,7 @@
 
 impl Machine {
     /// Orders to forget what has ended and is stored.
-    pub(super) fn forgets(&self, log: &Log, jobs: &BTreeMap<JobId, Job>) -> Vec<Command> {
+    pub(in crate::core) fn forgets(&self, log: &Log, jobs: &BTreeMap<JobId, Job>) -> Vec<Command> {
         let kept = |task: &TaskId, slot: &Slot| match slot.state {
             SlotState::Ended(Why::Done) => log.is_stored(slot.outcome) || !jobs.contains_key(&task.job),
             SlotState::Ended(_) => true,
@@ -192,12 +192,12 @@
             .collect()
     }
 
-    pub(super) fn peek_token(&self, term: u64) -> u64 {
+    pub(in crate::core) fn peek_token(&self, term: u64) -> u64 {
         (term << TOKEN_BITS) + self.token_seq + 1
     }
 
     /// A token above all given out for this machine before.
-    pub(super) fn fresh_token(&mut self, term: u64) -> u64 {
+    pub(in crate::core) fn fresh_token(&mut self, term: u64) -> u64 {
         self.token_seq += 1;
         (term << TOKEN_BITS) + self.token_seq
     }
--- a/src/core/model.rs
+++ b/src/core/state/model.rs
@@ -12,14 +12,14 @@
 
 use tracing::{debug, info};
 
-use super::config::Config;
-use super::dependencies::{Dependencies, DependencyOutcome, DependentJob, Urgency};
-use super::job::Job;
-use super::machine::{Machine, Phase, TOKEN_BITS};
-use super::record::JobRecord;
-use super::slot::{Slot, SlotState};
-use super::tombstones::Tombstones;
-use super::wal::{Entry as Logged, Log, Replay};
+use crate::core::state::config::Config;
+use crate::core::state::dependencies::{Dependencies, DependencyOutcome, DependentJob, Urgency};
+use crate::core::state::job::Job;
+use crate::core::state::machine::{Machine, Phase, TOKEN_BITS};
+use crate::core::state::slot::{Slot, SlotState};
+use crate::core::state::tombstones::Tombstones;
+use crate::core::storage::record::JobRecord;
+use crate::core::storage::wal::{Entry as Logged, Log, Replay};
 use crate::wire::{CloudState, JobId, JobView, ListedMachine, MachineId, MachineType, Standing, TaskId};
 
 /// Ratios of the Last Model are kept above this, so that a team's job of no
@@ -63,8 +63,8 @@
     pub listening: Option<Instant>,
     /// Attempts given out.
     attempts: u64,
-    /// Rentals under way and pauses, see [`super::fleet`].
-    pub fleet: super::fleet::FleetState,
+    /// Rentals under way and pauses, see [`crate::core::fleet`].
+    pub fleet: crate::core::fleet::FleetState,
 }
 
 impl Model {
@@ -87,7 +87,7 @@
             shadows: false,
             listening: None,
             attempts: 0,
-            fleet: super::fleet::FleetState::default(),
+            fleet: crate::core::fleet::FleetState::default(),
         }
     }
 
@@ -305,7 +305,7 @@
     }
 
     /// Removes a slot on evidence; its task waits again unless done.
-    pub(super) fn drop_slot(&mut self, machine: &MachineId, task: TaskId, now: Instant) {
+    pub(in crate::core) fn drop_slot(&mut self, machine: &MachineId, task: TaskId, now: Instant) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
@@ -350,7 +350,7 @@
     }
 
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn load_machine(
+    pub(in crate::core) fn load_machine(
         &mut self,
         id: MachineId,
         addr: String,
@@ -472,7 +472,7 @@
         self.gone.insert(id.clone());
     }
 
-    pub(super) fn clear_machine(&mut self, id: &MachineId, now: Instant, why: &str) {
+    pub(in crate::core) fn clear_machine(&mut self, id: &MachineId, now: Instant, why: &str) {
         let Some(m) = self.machines.get(id) else { return };
         let tasks: Vec<TaskId> = m.slots.keys().copied().collect();
         if !tasks.is_empty() {
--- a/src/core/slot.rs
+++ b/src/core/state/slot.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::machine::TOKEN_BITS;
+use crate::core::state::machine::TOKEN_BITS;
 use crate::wire::{JobSpec, Why};
 
 /// State of a slot.
@@ -56,7 +56,12 @@
     /// An attempt that is or may be there, though this leader did not start
     /// it. Whatever an earlier leader sent is settled by any message that
     /// shows a token of this term.
-    pub(super) fn unknown(attempt: u64, spec: Option<Arc<JobSpec>>, term: u64, now: Instant) -> Self {
+    pub(in crate::core) fn unknown(
+        attempt: u64,
+        spec: Option<Arc<JobSpec>>,
+        term: u64,
+        now: Instant,
+    ) -> Self {
         Self {
             attempt,
             state: SlotState::Unknown,
@@ -73,7 +78,7 @@
         }
     }
 
-    pub(super) fn order_stop(&mut self, grace: Duration, now: Instant) {
+    pub(in crate::core) fn order_stop(&mut self, grace: Duration, now: Instant) {
         self.stop = Some(grace);
         self.stop_at.get_or_insert(now);
     }
--- a/src/core/store_plan.rs
+++ b/src/core/storage/pending_writes.rs
@@ -5,11 +5,11 @@
 
 use tracing::info;
 
-use super::dependencies::DependencyOutcome;
-use super::job::Job;
-use super::model::{Model, LEAST_RATIO};
-use super::record::{self, FinalRecord};
-use super::wal::{Append, Entry};
+use crate::core::state::dependencies::DependencyOutcome;
+use crate::core::state::job::Job;
+use crate::core::state::model::{Model, LEAST_RATIO};
+use crate::core::storage::record::{self, FinalRecord};
+use crate::core::storage::wal::{Append, Entry};
 use crate::store::writer::Unit;
 use crate::wire::{JobId, Kind, Standing};
 
--- a/src/core/record.rs
+++ b/src/core/storage/record.rs
@@ -1,5 +1,5 @@
 //! What is kept in the state service: enough for a new leader to know every
-//! accepted job; what may be on which machine is in the log, see [`super::wal`].
+//! accepted job; what may be on which machine is in the log, see [`crate::core::storage::wal`].
 
 use serde::{Deserialize, Serialize};
 
--- a/src/leader/active_leader/dependency_lookup.rs
+++ b/src/leader/active_leader/dependency_lookup.rs
@@ -7,10 +7,10 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-use crate::core::dependencies::DependencyOutcome;
-use crate::core::record::FinalRecord;
-use crate::job_lookup::Lookup;
-use crate::node::wall_ms;
+use crate::controller::job_lookup::Lookup;
+use crate::controller::wall_ms;
+use crate::core::state::dependencies::DependencyOutcome;
+use crate::core::storage::record::FinalRecord;
 use crate::store::StoreError;
 use crate::wire::{JobId, Standing};
 
--- a/src/leader/active_leader/fleet_loop.rs
+++ b/src/leader/active_leader/fleet_loop.rs
@@ -9,7 +9,7 @@
 
 use crate::cloud::CloudError;
 use crate::core::fleet::FleetAction;
-use crate::core::record;
+use crate::core::storage::record;
 use crate::store::writer::Unit;
 
 use super::ActiveLeader;
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -7,9 +7,9 @@
 use tokio::time::sleep;
 use tracing::info;
 
-use crate::core::record::{self, JobRecord};
-use crate::job_lookup::Lookup;
-use crate::node::wall_ms;
+use crate::controller::job_lookup::Lookup;
+use crate::controller::wall_ms;
+use crate::core::storage::record::{self, JobRecord};
 use crate::store::writer::Unit;
 use crate::store::StoreError;
 use crate::wire::JobId;
--- a/src/leader/active_leader.rs
+++ b/src/leader/active_leader/mod.rs
@@ -19,10 +19,10 @@
 use tracing::{debug, info};
 
 use super::redirects::RedirectHistory;
-use crate::core::authority::{Authority, AuthorityLimits, ClockReading};
-use crate::core::record::{self};
+use crate::controller::{read_clocks, Node, Role};
+use crate::core::evidence::authority::{Authority, AuthorityLimits, ClockReading};
+use crate::core::storage::record::{self};
 use crate::core::Model;
-use crate::node::{read_clocks, Node, Role};
 use crate::store::writer::Writer;
 use crate::store::StoreError;
 
--- a/src/leader/active_leader/report_routing.rs
+++ b/src/leader/active_leader/report_routing.rs
@@ -6,10 +6,10 @@
 
 use tracing::{error, info};
 
-use crate::core::machine::Phase;
-use crate::core::worker_reports::ReportOutcome;
+use crate::controller::Node;
+use crate::core::evidence::heartbeats::ReportOutcome;
+use crate::core::state::machine::Phase;
 use crate::core::Model;
-use crate::node::Node;
 use crate::peer::Reply;
 use crate::wire::{MachineId, Report, ReportReply};
 
--- a/src/leader/active_leader/scheduling_loop.rs
+++ b/src/leader/active_leader/scheduling_loop.rs
@@ -6,10 +6,10 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, info};
 
-use crate::core::record;
-use crate::core::store_plan::Write;
-use crate::core::wal::Append;
-use crate::node::read_clocks;
+use crate::controller::read_clocks;
+use crate::core::storage::pending_writes::Write;
+use crate::core::storage::record;
+use crate::core::storage::wal::Append;
 use crate::store::writer::{CommitError, Unit};
 use crate::wire::{Commands, MachineId};
 use crate::worker::{self, Commanded};
@@ -47,7 +47,7 @@
         let now = Instant::now();
         let mut m = self.model.lock();
         let r = m.plan(now);
-        if r != crate::core::plan::Round::default() {
+        if r != crate::core::scheduling::plan::Round::default() {
             debug!(?r, "round");
         }
         let mut load_ended = self.load_ended.lock();
--- a/src/leader/active_leader/takeover.rs
+++ b/src/leader/active_leader/takeover.rs
@@ -5,8 +5,8 @@
 
 use tracing::info;
 
-use crate::core::record::{self, JobRecord};
-use crate::node::wall_ms;
+use crate::controller::wall_ms;
+use crate::core::storage::record::{self, JobRecord};
 use crate::store::StoreError;
 
 use super::ActiveLeader;
--- a/src/leader/active_leader/user_requests.rs
+++ b/src/leader/active_leader/user_requests.rs
@@ -7,9 +7,9 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, info};
 
-use crate::core::record::{self, JobRecord};
-use crate::job_lookup::Lookup;
-use crate::node::{accepted, wall_ms};
+use crate::controller::job_lookup::Lookup;
+use crate::controller::{accepted, wall_ms};
+use crate::core::storage::record::{self, JobRecord};
 use crate::peer::Reply;
 use crate::store::writer::{CommitError, Unit};
 use crate::wire::{JobId, JobSpec};
--- a/src/leader/mod.rs
+++ b/src/leader/mod.rs
@@ -17,8 +17,8 @@
 use tracing::{debug, info};
 
 use crate::api::Patience;
-use crate::core::record::{LeaderRecord, LEADER};
-use crate::node::{read_clocks, Node, Role};
+use crate::controller::{read_clocks, Node, Role};
+use crate::core::storage::record::{LeaderRecord, LEADER};
 use crate::settings::{Platform, Tuning};
 use crate::stall::TICK;
 use crate::store::StoreError;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,18 +4,17 @@
 //! the operators say, [`wire`] holds the JSON bodies of the four protocols,
 //! [`store`], [`cloud`] and [`worker`] talk to the outside, [`leader`] owns
 //! the election and the right to act, [`core`] decides (pure, no I/O),
-//! [`job_lookup`] finds what is stored of jobs, [`api`] serves users and workers, [`peer`] joins the controllers, [`sockets`]
+//! [`controller`] finds what is stored of jobs, [`api`] serves users and workers, [`peer`] joins the controllers, [`sockets`]
 //! shares out the sockets.
 
 #![deny(missing_docs)]
 
 pub mod api;
 pub mod cloud;
+pub mod controller;
 pub mod core;
 pub mod http;
-pub mod job_lookup;
 pub mod leader;
-pub mod node;
 pub mod peer;
 pub mod settings;
 pub mod sockets;
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, info};
 
-use crate::node::Node;
+use crate::controller::Node;
 
 /// Largest frame.
 const MOST_FRAME: usize = 256 * 1024;
--- a/src/settings.rs
+++ b/src/settings/mod.rs
@@ -1,8 +1,8 @@
 //! What the platform hands over (TOML) and what operators may set themselves
 //! (Java-style properties). Every value is checked; errors name the field.
 
+mod operator;
 mod state_limits;
-mod tuning;
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,8 +11,8 @@
 use serde::{Deserialize, Deserializer};
 
 use crate::sockets;
+pub use operator::Tuning;
 pub use state_limits::{NextStateLimits, StateLimits};
-pub use tuning::Tuning;
 
 /// A controller without work takes less; below it none can start.
 const LEAST_MEMORY_MB: f64 = 8.0;
--- a/src/store.rs
+++ b/src/store/mod.rs
@@ -1,7 +1,7 @@
 //! Client of the state service: guarded transactions, leases and watches, within
-//! a budget ([`pace`]); the leader's group commit ([`writer`]).
+//! a budget ([`rate_limiter`]); the leader's group commit ([`writer`]).
 
-pub mod pace;
+pub mod rate_limiter;
 pub mod writer;
 
 use std::time::{Duration, Instant};
@@ -14,7 +14,7 @@
 use crate::http::{Http, HttpError, Response};
 use crate::settings::StateLimits;
 use crate::wire::{Change, Item, LeaseGrant, Listing, Outcome, Transaction, Watched};
-use pace::Pace;
+use rate_limiter::Pace;
 
 /// Why the state service did not do it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -339,7 +339,7 @@
         for (unit, reply) in batch {
             for (key, value) in unit.changes {
                 // Final records are written once; their versions aren't kept.
-                if value.is_some() && !key.starts_with(crate::core::record::FINALS) {
+                if value.is_some() && !key.starts_with(crate::core::storage::record::FINALS) {
                     s.versions.insert(key, revision);
                 } else {
                     s.versions.remove(&key);
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -3,7 +3,7 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-use crate::core::permission::{SendPermit, Withheld};
+use crate::core::evidence::permission::{SendPermit, Withheld};
 use crate::http::{post_once, HttpError};
 use crate::sockets::Sockets;
 use crate::wire::{Commands, Report};
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -6,8 +6,8 @@
 
 use std::collections::BTreeMap;
 
-use bitternfold::core::record::{self, FinalRecord, JobRecord, LeaderRecord};
-use bitternfold::core::wal::{Entry, Log, Replay};
+use bitternfold::core::storage::record::{self, FinalRecord, JobRecord, LeaderRecord};
+use bitternfold::core::storage::wal::{Entry, Log, Replay};
 use bitternfold::peer::{encode, read_frame, Frame};
 use bitternfold::wire::{JobId, MachineType, Standing};
 use serde::de::DeserializeOwned;
--- a/tests/dependencies.rs
+++ b/tests/dependencies.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use bitternfold::core::dependencies::{Dependencies, DependencyOutcome, DependentJob, Urgency};
-use bitternfold::core::record::JobRecord;
-use bitternfold::core::store_plan::Write;
+use bitternfold::core::state::dependencies::{Dependencies, DependencyOutcome, DependentJob, Urgency};
+use bitternfold::core::storage::pending_writes::Write;
+use bitternfold::core::storage::record::JobRecord;
 use bitternfold::core::Model;
 use bitternfold::wire::*;
 use proptest::prelude::*;
@@ -383,7 +383,7 @@
     assert!(!ranks.contains_key(&id(2)), "it has no place in the queue");
     let wanted: Vec<JobId> = m.jobs_that_want_room().map(|j| j.spec.id).collect();
     assert_eq!(wanted, [id(1), id(3)]);
-    use bitternfold::core::ranking::Tier;
+    use bitternfold::core::scheduling::ranking::Tier;
     assert_eq!(ranks[&id(3)].1, Tier::Starved, "it waits since it arrived");
     m.jobs.get_mut(&id(3)).expect("known").done.insert(0);
     assert_eq!(
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use bitternfold::core::evidence::heartbeats::ReportOutcome;
 use bitternfold::core::fleet::FleetAction;
-use bitternfold::core::machine::Phase;
-use bitternfold::core::worker_reports::ReportOutcome;
+use bitternfold::core::state::machine::Phase;
 use bitternfold::core::Config;
 use bitternfold::core::Model;
 use bitternfold::settings::{Platform, Tuning};
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use bitternfold::core::bits::BitSet;
+use bitternfold::core::state::bits::BitSet;
 use bitternfold::settings::{Platform, Tuning};
 use bitternfold::wire::*;
 use proptest::prelude::*;
--- a/tests/gap.rs
+++ b/tests/gap.rs
@@ -12,7 +12,7 @@
 
 use std::time::{Duration, SystemTime};
 
-use bitternfold::core::authority::{Authority, AuthorityLimits, ClockReading, MARGIN};
+use bitternfold::core::evidence::authority::{Authority, AuthorityLimits, ClockReading, MARGIN};
 use gap_world::{any_times, Times, World};
 use proptest::prelude::*;
 use support::*;
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use bitternfold::node::Node;
+use bitternfold::controller::Node;
 use proptest::prelude::*;
 use serde_json::{json, Map, Value};
 use site::{on_loopback, Site};
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use bitternfold::core::wal::{Append, Entry, Log};
-use bitternfold::store::pace::Pace;
+use bitternfold::core::storage::wal::{Append, Entry, Log};
+use bitternfold::store::rate_limiter::Pace;
 use bitternfold::store::writer::RESERVE;
 use bitternfold::wire::{JobId, MachineId, TaskId};
 use proptest::prelude::*;
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -109,7 +109,7 @@
     // A machine that loses power closes nothing, before a request or within one.
     // Hundreds of them a day would use up the sockets.
     on_loopback(async {
-        let node = bitternfold::node::Node::new(support::platform(), Default::default());
+        let node = bitternfold::controller::Node::new(support::platform(), Default::default());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
         let patience = Patience {
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -5,11 +5,11 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use bitternfold::core::admission::{admissible, type_allowed, Unfit};
-use bitternfold::core::job::Job;
-use bitternfold::core::probation::FailureHistory;
-use bitternfold::core::ranking::Tier;
-use bitternfold::core::slot::SlotState;
+use bitternfold::core::scheduling::admission::{admissible, type_allowed, Unfit};
+use bitternfold::core::scheduling::probation::FailureHistory;
+use bitternfold::core::scheduling::ranking::Tier;
+use bitternfold::core::state::job::Job;
+use bitternfold::core::state::slot::SlotState;
 use bitternfold::core::Model;
 use bitternfold::wire::*;
 use proptest::prelude::*;
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bitternfold::core::store_plan::Write;
+use bitternfold::core::storage::pending_writes::Write;
 use bitternfold::wire::*;
 use cluster::{Op, World};
 use proptest::prelude::*;
@@ -358,7 +358,7 @@
         }];
         assert_eq!(
             m.apply_report(&old, now),
-            bitternfold::core::worker_reports::ReportOutcome::Outdated
+            bitternfold::core::evidence::heartbeats::ReportOutcome::Outdated
         );
         assert!(m.machines[&id].slots.is_empty());
         assert_eq!(m.machines[&id].newest, (2, 5));
@@ -443,7 +443,7 @@
     let heard = next.apply_report(&report("i-1", "small", "north", false, 7, 9), now);
     assert_eq!(
         heard,
-        bitternfold::core::worker_reports::ReportOutcome::MachineGone
+        bitternfold::core::evidence::heartbeats::ReportOutcome::MachineGone
     );
     assert!(next.machines.is_empty());
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -7,7 +7,7 @@
 use std::cell::Cell;
 use std::time::Instant;
 
-use bitternfold::core::store_plan::Write;
+use bitternfold::core::storage::pending_writes::Write;
 use bitternfold::core::Model;
 use bitternfold::wire::*;
 use support::*;
--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -4,10 +4,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use bitternfold::core::dependencies::DependencyOutcome;
-use bitternfold::core::record::{FinalRecord, JobRecord};
-use bitternfold::core::store_plan::Write;
-use bitternfold::core::worker_reports::ReportOutcome;
+use bitternfold::core::evidence::heartbeats::ReportOutcome;
+use bitternfold::core::state::dependencies::DependencyOutcome;
+use bitternfold::core::storage::pending_writes::Write;
+use bitternfold::core::storage::record::{FinalRecord, JobRecord};
 use bitternfold::core::Model;
 use bitternfold::wire::*;
 
--- a/tests/support/gap_world.rs
+++ b/tests/support/gap_world.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
 
-use bitternfold::core::authority::{Authority, AuthorityLimits, ClockReading, MARGIN};
-use bitternfold::core::record::JobRecord;
-use bitternfold::core::store_plan::Write;
+use bitternfold::core::evidence::authority::{Authority, AuthorityLimits, ClockReading, MARGIN};
+use bitternfold::core::storage::pending_writes::Write;
+use bitternfold::core::storage::record::JobRecord;
 use bitternfold::core::Config;
 use bitternfold::core::Model;
 use bitternfold::settings::Tuning;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bitternfold::core::job::Job;
-use bitternfold::core::record::JobRecord;
+use bitternfold::core::state::job::Job;
+use bitternfold::core::storage::record::JobRecord;
 use bitternfold::core::Config;
 use bitternfold::core::Model;
 use bitternfold::settings::{Platform, Tuning};
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -9,8 +9,8 @@
 
 use std::time::{Duration, Instant};
 
-use bitternfold::core::machine::Phase;
-use bitternfold::core::permission::{StartRefusal, Withheld};
+use bitternfold::core::evidence::permission::{StartRefusal, Withheld};
+use bitternfold::core::state::machine::Phase;
 use bitternfold::core::Model;
 use bitternfold::wire::{Command, Commands, JobId, MachineId, TaskId};
 use site::{job_name, on_loopback, Site, LONG};
