--- a/src/api.rs
+++ b/src/api.rs
@@ -15,22 +15,22 @@
 use warp::http::{HeaderValue, StatusCode};
 use warp::{Filter, Rejection, Reply as _};
 
-use crate::controller::Node;
-use crate::peer::Reply;
+use crate::controller::Controller;
+use crate::peer::ApiResponse;
 use crate::wire::{JobId, BODY_LIMIT};
 
 type Response = warp::http::Response<Bytes>;
 
 /// How long a connection may take: a machine without power never closes its own.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
+pub struct ConnectionTimeouts {
     /// Between two requests.
     pub quiet: Duration,
     /// For one request and its answer.
     pub request: Duration,
 }
 
-impl Patience {
+impl ConnectionTimeouts {
     /// Well above what users and workers need, who report and ask every few seconds.
     pub fn new(report: Duration) -> Self {
         Self {
@@ -43,7 +43,7 @@
 /// Serves users, workers and health checks for ever. Connections beyond the
 /// share of sockets wait in the listener's queue, where the load balancer and
 /// the workers pass them on to another controller.
-pub async fn serve(listener: TcpListener, node: Arc<Node>, patience: Patience) {
+pub async fn serve(listener: TcpListener, node: Arc<Controller>, patience: ConnectionTimeouts) {
     let service = warp::service(routes(node.clone()));
     let mut http = http1::Builder::new();
     http.timer(TokioTimer::new()).header_read_timeout(patience.quiet);
@@ -73,7 +73,7 @@
     }
 }
 
-fn respond(reply: Reply) -> Response {
+fn respond(reply: ApiResponse) -> Response {
     let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let mut b = warp::http::Response::builder()
         .status(status)
@@ -89,22 +89,22 @@
 
 async fn rejected(r: Rejection) -> Result<warp::reply::Response, Infallible> {
     let reply = if r.find::<warp::reject::PayloadTooLarge>().is_some() {
-        Reply::error(413, "body too large")
+        ApiResponse::error(413, "body too large")
     } else if r.find::<warp::reject::LengthRequired>().is_some() {
-        Reply::error(411, "content-length required")
+        ApiResponse::error(411, "content-length required")
     } else if r.find::<warp::reject::MethodNotAllowed>().is_some() {
-        Reply::error(405, "method not allowed")
+        ApiResponse::error(405, "method not allowed")
     } else if r.is_not_found() {
-        Reply::error(404, "no such path")
+        ApiResponse::error(404, "no such path")
     } else {
-        Reply::error(400, "malformed request")
+        ApiResponse::error(400, "malformed request")
     };
     Ok(respond(reply).into_response())
 }
 
 /// All endpoints.
 pub fn routes(
-    node: Arc<Node>,
+    node: Arc<Controller>,
 ) -> impl Filter<Extract = (impl warp::Reply,), Error = Infallible> + Clone + Send + Sync + 'static {
     let with = warp::any().map(move || node.clone());
     let body = warp::body::content_length_limit(BODY_LIMIT).and(warp::body::bytes());
@@ -112,42 +112,42 @@
     let up = warp::get()
         .and(warp::path!("up"))
         .and(with.clone())
-        .map(|node: Arc<Node>| {
+        .map(|node: Arc<Controller>| {
             respond(if node.can_serve() {
-                Reply::json(200, &serde_json::json!({}))
+                ApiResponse::json(200, &serde_json::json!({}))
             } else {
-                Reply::later("cut off from the state service and the other controllers")
+                ApiResponse::later("cut off from the state service and the other controllers")
             })
         });
     let submit = warp::post()
         .and(warp::path!("v2" / "runs"))
         .and(body)
         .and(with.clone())
-        .then(|body: Bytes, node: Arc<Node>| async move { respond(node.submit(&body).await) });
+        .then(|body: Bytes, node: Arc<Controller>| async move { respond(node.submit(&body).await) });
     let poll = warp::get()
         .and(warp::path!("v2" / "runs" / String))
         .and(with.clone())
-        .then(|id: String, node: Arc<Node>| async move {
+        .then(|id: String, node: Arc<Controller>| async move {
             // An id that can't be one was never accepted.
             match id.parse::<JobId>() {
                 Ok(id) => respond(node.poll(id).await),
-                Err(_) => respond(Reply::error(404, "no such job")),
+                Err(_) => respond(ApiResponse::error(404, "no such job")),
             }
         });
     let cancel = warp::post()
         .and(warp::path!("v2" / "runs" / String / "cancel"))
         .and(with.clone())
-        .then(|id: String, node: Arc<Node>| async move {
+        .then(|id: String, node: Arc<Controller>| async move {
             match id.parse::<JobId>() {
                 Ok(id) => respond(node.cancel(id).await),
-                Err(_) => respond(Reply::error(404, "no such job")),
+                Err(_) => respond(ApiResponse::error(404, "no such job")),
             }
         });
     let report = warp::post()
         .and(warp::path!("v1" / "report"))
         .and(body)
         .and(with)
-        .then(|body: Bytes, node: Arc<Node>| async move {
+        .then(|body: Bytes, node: Arc<Controller>| async move {
             let mut r = respond(node.report(&body).await);
             if node.sockets.crowded() {
                 // The worker comes back on a new connection; meanwhile its socket serves another.
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -5,8 +5,8 @@
 use hyper::Method;
 
 use crate::http::{Http, HttpError};
-use crate::store::rate_limiter::Pace;
-use crate::wire::{ListedMachine, MachineId, MachineList, MachineType, MachineTypes, Machines, Rental};
+use crate::store::rate_limiter::RateLimiter;
+use crate::wire::{ListedMachine, MachineId, MachineNames, MachinePage, MachineType, MachineTypes, Rental};
 
 /// Why the cloud did not do it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -30,7 +30,7 @@
 pub struct Cloud {
     http: Http,
     addr: String,
-    pace: Pace,
+    pace: RateLimiter,
 }
 
 const PATIENCE: Duration = Duration::from_secs(4);
@@ -41,7 +41,7 @@
         Self {
             http,
             addr,
-            pace: Pace::new(rps * 0.85, rps),
+            pace: RateLimiter::new(rps * 0.85, rps),
         }
     }
 
@@ -98,7 +98,7 @@
     pub async fn rent(&self, rental: &Rental, go: impl Fn() -> bool) -> Result<Vec<MachineId>, CloudError> {
         let body = serde_json::to_vec(rental).map_err(|_| CloudError::Rejected(0))?;
         Ok(self
-            .call::<Machines>(Method::POST, "/hosts", Some(body), go)
+            .call::<MachineNames>(Method::POST, "/hosts", Some(body), go)
             .await?
             .machines)
     }
@@ -106,7 +106,7 @@
     /// Gives machines back, if `go` still allows it when the request is due; once
     /// this returns they are gone.
     pub async fn release(&self, machines: &[MachineId], go: impl Fn() -> bool) -> Result<(), CloudError> {
-        let body = serde_json::to_vec(&Machines {
+        let body = serde_json::to_vec(&MachineNames {
             machines: machines.to_vec(),
         })
         .map_err(|_| CloudError::Rejected(0))?;
@@ -120,7 +120,7 @@
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
             let since = all.last().map(|m| format!("since={}&", m.id)).unwrap_or_default();
-            let page: MachineList = self
+            let page: MachinePage = self
                 .call(Method::GET, &format!("/hosts?{since}limit=500"), None, || true)
                 .await?;
             let end = page.machines.is_empty() || !page.more;
--- a/src/controller/job_lookup.rs
+++ b/src/controller/job_lookup.rs
@@ -6,24 +6,24 @@
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
-use crate::controller::Node;
-use crate::core::scheduling::admission::Unfit;
+use crate::controller::Controller;
+use crate::core::scheduling::admission::AdmissionError;
 use crate::core::storage::record::{self, FinalRecord, JobRecord};
-use crate::peer::Reply;
+use crate::peer::ApiResponse;
 use crate::store::StoreError;
-use crate::wire::{JobId, JobSpec, JobView, Kind, Standing};
+use crate::wire::{JobId, JobKind, JobSpec, JobState, JobStatus};
 
 /// Final states kept at hand; the rest is read from the state service.
 const MOST_FINALS: usize = 50_000;
 
 /// Final states of jobs: once known they hold for ever.
 #[derive(Debug, Default)]
-pub struct Finals {
+pub struct TerminalStates {
     records: HashMap<JobId, FinalRecord>,
     order: VecDeque<JobId>,
 }
 
-impl Finals {
+impl TerminalStates {
     /// Keeps a final state.
     pub fn keep(&mut self, id: JobId, record: FinalRecord) {
         let ended_at = record.ended_at;
@@ -48,13 +48,13 @@
     }
 
     /// What its user is told, if at hand.
-    pub fn view(&self, id: JobId) -> Option<JobView> {
+    pub fn view(&self, id: JobId) -> Option<JobStatus> {
         self.records.get(&id).map(|record| final_view(id, record))
     }
 }
 
-fn final_view(id: JobId, record: &FinalRecord) -> JobView {
-    JobView {
+fn final_view(id: JobId, record: &FinalRecord) -> JobStatus {
+    JobStatus {
         id,
         state: record.state,
         done: record.done,
@@ -64,44 +64,44 @@
 
 /// What the state service says of a job.
 #[derive(Debug)]
-pub enum Lookup {
+pub enum StoredJob {
     /// Not finished: its record, and the version of that.
-    Active(Box<JobRecord>, u64),
+    Unfinished(Box<JobRecord>, u64),
     /// Finished.
-    Final(JobView),
+    Finished(JobStatus),
     /// Never accepted.
-    Absent,
+    NeverAccepted,
 }
 
-impl Node {
+impl Controller {
     /// What the state service says of a job, read afresh. The unfinished ones
     /// come first: a job moves from there to the finished ones, never back.
-    pub async fn lookup(&self, id: JobId) -> Result<Lookup, StoreError> {
+    pub async fn lookup(&self, id: JobId) -> Result<StoredJob, StoreError> {
         if let Ok(item) = self.store.get_soon(&record::job_key(id)).await? {
             let record = serde_json::from_value(item.value).map_err(|_| StoreError::Unanswered)?;
-            return Ok(Lookup::Active(Box::new(record), item.version));
+            return Ok(StoredJob::Unfinished(Box::new(record), item.version));
         }
         if let Ok(item) = self.store.get_soon(&record::final_key(id)).await? {
             let record: FinalRecord =
                 serde_json::from_value(item.value).map_err(|_| StoreError::Unanswered)?;
             let view = final_view(id, &record);
             self.finals.lock().keep(id, record);
-            return Ok(Lookup::Final(view));
+            return Ok(StoredJob::Finished(view));
         }
-        Ok(Lookup::Absent)
+        Ok(StoredJob::NeverAccepted)
     }
 
     /// The state of a job that was looked up, given the jobs before it; `None`:
     /// it was never accepted. How far an unfinished one is, only the leader knows.
-    pub async fn standing(&self, found: &Lookup) -> Result<Option<Standing>, StoreError> {
+    pub async fn standing(&self, found: &StoredJob) -> Result<Option<JobState>, StoreError> {
         Ok(match found {
-            Lookup::Absent => None,
-            Lookup::Final(view) => Some(view.state),
-            Lookup::Active(record, _) if record.cancelled => Some(Standing::Cancelled),
-            Lookup::Active(record, _) if self.any_cancelled(&record.spec.awaits).await? => {
-                Some(Standing::Cancelled)
+            StoredJob::NeverAccepted => None,
+            StoredJob::Finished(view) => Some(view.state),
+            StoredJob::Unfinished(record, _) if record.cancelled => Some(JobState::Cancelled),
+            StoredJob::Unfinished(record, _) if self.any_cancelled(&record.spec.awaits).await? => {
+                Some(JobState::Cancelled)
             }
-            Lookup::Active(..) => Some(Standing::Queued),
+            StoredJob::Unfinished(..) => Some(JobState::Queued),
         })
     }
 
@@ -112,39 +112,39 @@
         while let Some(id) = next.pop_front() {
             let known = self.finals.lock().view(id);
             let found = match known {
-                Some(view) => Lookup::Final(view),
+                Some(view) => StoredJob::Finished(view),
                 None => self.lookup(id).await?,
             };
             match found {
-                Lookup::Final(view) if view.state == Standing::Cancelled => return Ok(true),
-                Lookup::Active(record, _) if record.cancelled => return Ok(true),
-                Lookup::Active(record, _) => {
+                StoredJob::Finished(view) if view.state == JobState::Cancelled => return Ok(true),
+                StoredJob::Unfinished(record, _) if record.cancelled => return Ok(true),
+                StoredJob::Unfinished(record, _) => {
                     let before = record.spec.awaits.into_iter();
                     next.extend(before.filter(|named| seen.insert(*named)));
                 }
-                Lookup::Final(_) | Lookup::Absent => {}
+                StoredJob::Finished(_) | StoredJob::NeverAccepted => {}
             }
         }
         Ok(false)
     }
 
     /// The answer about a job that was looked up.
-    pub async fn reply_about(&self, id: JobId, found: &Lookup) -> Reply {
-        if let Lookup::Final(view) = found {
-            return Reply::json(200, view);
+    pub async fn reply_about(&self, id: JobId, found: &StoredJob) -> ApiResponse {
+        if let StoredJob::Finished(view) = found {
+            return ApiResponse::json(200, view);
         }
         match self.standing(found).await {
-            Ok(None) => Reply::error(404, "no such job"),
-            Ok(Some(state)) => Reply::json(
+            Ok(None) => ApiResponse::error(404, "no such job"),
+            Ok(Some(state)) => ApiResponse::json(
                 200,
-                &JobView {
+                &JobStatus {
                     id,
                     state,
                     done: 0,
                     running: 0,
                 },
             ),
-            Err(_) => Reply::later("the state of a job that it needs can't be read now"),
+            Err(_) => ApiResponse::later("the state of a job that it needs can't be read now"),
         }
     }
 
@@ -153,24 +153,24 @@
     pub async fn check_awaits(
         &self,
         spec: &JobSpec,
-        in_memory: impl Fn(JobId) -> Option<Kind>,
-    ) -> Result<(), Reply> {
+        in_memory: impl Fn(JobId) -> Option<JobKind>,
+    ) -> Result<(), ApiResponse> {
         for named in &spec.awaits {
             let mut kind = in_memory(*named);
             if kind.is_none() && self.finals.lock().record(*named).is_none() {
                 kind = match self.lookup(*named).await {
-                    Ok(Lookup::Active(record, _)) => Some(record.spec.kind),
-                    Ok(Lookup::Final(_)) => None,
-                    Ok(Lookup::Absent) => {
-                        let reason = Unfit::AwaitsUnknown(*named);
-                        return Err(Reply::error(422, &reason.to_string()));
+                    Ok(StoredJob::Unfinished(record, _)) => Some(record.spec.kind),
+                    Ok(StoredJob::Finished(_)) => None,
+                    Ok(StoredJob::NeverAccepted) => {
+                        let reason = AdmissionError::UnknownDependency(*named);
+                        return Err(ApiResponse::error(422, &reason.to_string()));
                     }
-                    Err(_) => return Err(Reply::later("a job that it waits for can't be read now")),
+                    Err(_) => return Err(ApiResponse::later("a job that it waits for can't be read now")),
                 };
             }
-            if kind == Some(Kind::Service) {
-                let reason = Unfit::AwaitsService(*named);
-                return Err(Reply::error(422, &reason.to_string()));
+            if kind == Some(JobKind::Service) {
+                let reason = AdmissionError::DependsOnService(*named);
+                return Err(ApiResponse::error(422, &reason.to_string()));
             }
         }
         Ok(())
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -12,14 +12,14 @@
 use tracing::info;
 
 use crate::cloud::Cloud;
-use crate::controller::job_lookup::Finals;
+use crate::controller::job_lookup::TerminalStates;
 use crate::core::evidence::authority::ClockReading;
-use crate::core::Config;
+use crate::core::SchedulerConfig;
 use crate::http::Http;
 use crate::leader::active_leader::ActiveLeader;
-use crate::peer::{Ask, Link, Reply};
-use crate::settings::{Platform, Tuning};
-use crate::sockets::Sockets;
+use crate::peer::{ApiResponse, PeerLink, PeerRequest};
+use crate::settings::{DeploymentSettings, OperatorSettings};
+use crate::sockets::SocketBudget;
 use crate::stall::StallDetector;
 use crate::store::Store;
 use crate::wire::{MachineType, Redirect};
@@ -47,13 +47,13 @@
 
 /// A controller.
 #[derive(Debug)]
-pub struct Node {
+pub struct Controller {
     /// The platform's settings.
-    pub platform: Platform,
+    pub platform: DeploymentSettings,
     /// The operators' settings.
-    pub tuning: Tuning,
+    pub tuning: OperatorSettings,
     /// What the model needs of both.
-    pub config: Arc<Config>,
+    pub config: Arc<SchedulerConfig>,
     /// Tells this process from its earlier self.
     pub nonce: u64,
     /// The state service.
@@ -61,13 +61,13 @@
     /// The cloud.
     pub cloud: Arc<Cloud>,
     /// The budget of sockets.
-    pub sockets: Sockets,
+    pub sockets: SocketBudget,
     /// Whether this process runs as it should.
     pub stall_detector: StallDetector,
     /// Links to the other controllers.
-    pub links: Vec<Arc<Link>>,
+    pub links: Vec<Arc<PeerLink>>,
     /// Final states.
-    pub finals: Mutex<Finals>,
+    pub finals: Mutex<TerminalStates>,
     /// Machine types, once known.
     pub types: Mutex<Arc<Vec<MachineType>>>,
     role: Mutex<Role>,
@@ -91,9 +91,9 @@
     }
 }
 
-impl Node {
+impl Controller {
     /// A controller that is not running yet.
-    pub fn new(platform: Platform, tuning: Tuning) -> Arc<Self> {
+    pub fn new(platform: DeploymentSettings, tuning: OperatorSettings) -> Arc<Self> {
         let limits = platform.params.state.clone();
         let http = Http::default();
         let store = Store::new(http.clone(), platform.services.state.to_string(), &limits);
@@ -102,14 +102,14 @@
             platform.services.cloud.to_string(),
             platform.params.cloud.rps,
         );
-        let sockets = Sockets::new(platform.params.limits.sockets);
+        let sockets = SocketBudget::new(platform.params.limits.sockets);
         let links = platform
             .peers
             .iter()
-            .map(|p| Link::new(p.node.clone(), p.addr, sockets.most_incoming()))
+            .map(|p| PeerLink::new(p.node.clone(), p.addr, sockets.most_incoming()))
             .collect();
         Arc::new(Self {
-            config: Arc::new(Config::new(&platform, tuning.clone())),
+            config: Arc::new(SchedulerConfig::new(&platform, tuning.clone())),
             nonce: rand::random(),
             sockets,
             stall_detector: StallDetector::new(Instant::now()),
@@ -245,7 +245,7 @@
         all
     }
 
-    async fn ask_leader(&self, ask: Ask, patience: Duration) -> Option<Reply> {
+    async fn ask_leader(&self, ask: PeerRequest, patience: Duration) -> Option<ApiResponse> {
         let Role::Following { host, .. } = self.role() else {
             return None;
         };
@@ -254,52 +254,52 @@
     }
 
     /// Answers another controller's question.
-    pub async fn answer_peer(&self, from: &str, ask: Ask) -> Reply {
-        if let Ask::Report(body) = ask {
+    pub async fn answer_peer(&self, from: &str, ask: PeerRequest) -> ApiResponse {
+        if let PeerRequest::Heartbeat(body) = ask {
             return self.answer_report(from, &body);
         }
         let Some(active_leader) = self.active_leader() else {
-            return Reply::not_leading();
+            return ApiResponse::not_leading();
         };
         match ask {
-            Ask::Submit(body) => active_leader.submit(&body).await,
-            Ask::Poll(id) => match id.parse() {
+            PeerRequest::Submit(body) => active_leader.submit(&body).await,
+            PeerRequest::Poll(id) => match id.parse() {
                 Ok(id) => active_leader.poll(id).await,
-                Err(_) => Reply::error(404, "no such job"),
+                Err(_) => ApiResponse::error(404, "no such job"),
             },
-            Ask::Cancel(id) => match id.parse() {
+            PeerRequest::Cancel(id) => match id.parse() {
                 Ok(id) => active_leader.cancel(id).await,
-                Err(_) => Reply::error(404, "no such job"),
+                Err(_) => ApiResponse::error(404, "no such job"),
             },
-            Ask::Ping { .. } | Ask::Report(_) => Reply::not_leading(),
+            PeerRequest::Ping { .. } | PeerRequest::Heartbeat(_) => ApiResponse::not_leading(),
         }
     }
 
     /// Answers a report that another controller passes on.
-    pub fn answer_report(&self, from: &str, body: &[u8]) -> Reply {
+    pub fn answer_report(&self, from: &str, body: &[u8]) -> ApiResponse {
         self.check_for_stall();
         match self.role() {
             Role::Leading(active_leader) => active_leader.report(body, from),
-            _ => Reply::not_leading(),
+            _ => ApiResponse::not_leading(),
         }
     }
 
     /// A worker's report, relayed to the leader if that is another.
-    pub async fn report(&self, body: &[u8]) -> Reply {
+    pub async fn report(&self, body: &[u8]) -> ApiResponse {
         self.check_for_stall();
         match self.role() {
             Role::Leading(active_leader) => active_leader.report(body, self.host()),
             Role::Following { .. } => self
-                .ask_leader(Ask::Report(body.to_vec()), Duration::from_millis(2500))
+                .ask_leader(PeerRequest::Heartbeat(body.to_vec()), Duration::from_millis(2500))
                 .await
-                .unwrap_or_else(|| Reply::later("no leader answers")),
-            Role::Unknown => Reply::later("no leader known"),
+                .unwrap_or_else(|| ApiResponse::later("no leader answers")),
+            Role::Unknown => ApiResponse::later("no leader known"),
         }
     }
 
     /// The answer that sends a worker elsewhere.
-    pub fn elsewhere(host: &str) -> Reply {
-        Reply::json(
+    pub fn elsewhere(host: &str) -> ApiResponse {
+        ApiResponse::json(
             421,
             &Redirect {
                 report_to: Some(host.to_owned()),
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -6,12 +6,12 @@
 
 use tracing::debug;
 
-use super::{wall_ms, Node};
-use crate::controller::job_lookup::Lookup;
-use crate::core::scheduling::admission::{admissible, Unfit};
+use super::{wall_ms, Controller};
+use crate::controller::job_lookup::StoredJob;
+use crate::core::scheduling::admission::{admissible, AdmissionError};
 use crate::core::storage::record::{self, FinalRecord, JobRecord};
-use crate::peer::{Ask, Reply};
-use crate::wire::{Change, Guard, JobId, JobSpec, JobView, MachineType, Standing, Transaction};
+use crate::peer::{ApiResponse, PeerRequest};
+use crate::wire::{Change, Condition, JobId, JobSpec, JobState, JobStatus, MachineType, Transaction};
 
 /// Whether a body can be a JSON object: a list of values in the order of the
 /// fields would be read as one, too.
@@ -32,18 +32,18 @@
     serde_json::from_slice::<Only>(body).ok().map(|o| o.id)
 }
 
-impl Node {
+impl Controller {
     /// A submission.
-    pub async fn submit(&self, body: &[u8]) -> Reply {
+    pub async fn submit(&self, body: &[u8]) -> ApiResponse {
         self.check_for_stall();
         if let Some(active_leader) = self.active_leader() {
             return active_leader.submit(body).await;
         }
         if let Some(view) = id_in(body).and_then(|id| self.finals.lock().view(id)) {
-            return Reply::json(200, &view);
+            return ApiResponse::json(200, &view);
         }
         let asked = self
-            .ask_leader(Ask::Submit(body.to_vec()), self.tuning.forward)
+            .ask_leader(PeerRequest::Submit(body.to_vec()), self.tuning.forward)
             .await;
         match asked {
             Some(r) if r.status != 503 => r,
@@ -52,22 +52,22 @@
     }
 
     /// A poll.
-    pub async fn poll(&self, id: JobId) -> Reply {
+    pub async fn poll(&self, id: JobId) -> ApiResponse {
         self.check_for_stall();
         if self.stall_detector.overloaded(Instant::now()) {
             return match self.finals.lock().view(id) {
-                Some(view) => Reply::json(200, &view),
-                None => Reply::later("too much to do"),
+                Some(view) => ApiResponse::json(200, &view),
+                None => ApiResponse::later("too much to do"),
             };
         }
         if let Some(active_leader) = self.active_leader() {
             return active_leader.poll(id).await;
         }
         if let Some(view) = self.finals.lock().view(id) {
-            return Reply::json(200, &view);
+            return ApiResponse::json(200, &view);
         }
         let asked = self
-            .ask_leader(Ask::Poll(id.to_string()), self.tuning.forward)
+            .ask_leader(PeerRequest::Poll(id.to_string()), self.tuning.forward)
             .await;
         match asked {
             Some(r) if r.status != 503 => {
@@ -76,18 +76,18 @@
             }
             _ => match self.lookup(id).await {
                 Ok(found) => self.reply_about(id, &found).await,
-                Err(_) => Reply::later("the job's state can't be read now"),
+                Err(_) => ApiResponse::later("the job's state can't be read now"),
             },
         }
     }
 
     /// Keeps a final state that passes by.
-    fn learn(&self, r: &Reply) {
+    fn learn(&self, r: &ApiResponse) {
         if r.status != 200 {
             return;
         }
-        if let Ok(v) = serde_json::from_slice::<JobView>(&r.body) {
-            if matches!(v.state, Standing::Done | Standing::Cancelled) {
+        if let Ok(v) = serde_json::from_slice::<JobStatus>(&r.body) {
+            if matches!(v.state, JobState::Done | JobState::Cancelled) {
                 let record = FinalRecord {
                     state: v.state,
                     done: v.done,
@@ -99,15 +99,15 @@
     }
 
     /// A cancellation. Only the leader can take it.
-    pub async fn cancel(&self, id: JobId) -> Reply {
+    pub async fn cancel(&self, id: JobId) -> ApiResponse {
         if let Some(active_leader) = self.active_leader() {
             return active_leader.cancel(id).await;
         }
         if let Some(view) = self.finals.lock().view(id) {
-            return Reply::json(200, &view);
+            return ApiResponse::json(200, &view);
         }
         let asked = self
-            .ask_leader(Ask::Cancel(id.to_string()), Duration::from_secs(2))
+            .ask_leader(PeerRequest::Cancel(id.to_string()), Duration::from_secs(2))
             .await;
         match asked {
             Some(r) if r.status != 503 => {
@@ -116,13 +116,13 @@
             }
             _ => {
                 let Ok(found) = self.lookup(id).await else {
-                    return Reply::later("no leader to cancel it now");
+                    return ApiResponse::later("no leader to cancel it now");
                 };
                 match self.standing(&found).await {
-                    Ok(None | Some(Standing::Cancelled | Standing::Done)) => {
+                    Ok(None | Some(JobState::Cancelled | JobState::Done)) => {
                         self.reply_about(id, &found).await
                     }
-                    _ => Reply::later("no leader to cancel it now"),
+                    _ => ApiResponse::later("no leader to cancel it now"),
                 }
             }
         }
@@ -143,27 +143,30 @@
     }
 
     /// Judges a submission: its job, or the answer.
-    pub fn judge(&self, body: &[u8], types: &[MachineType]) -> Result<JobSpec, Reply> {
+    pub fn judge(&self, body: &[u8], types: &[MachineType]) -> Result<JobSpec, ApiResponse> {
         if !is_object(body) {
-            return Err(Reply::error(400, "not a JSON object"));
+            return Err(ApiResponse::error(400, "not a JSON object"));
         }
         let mut json = serde_json::Deserializer::from_slice(body);
         // The error names the field.
-        let spec: JobSpec =
-            serde_path_to_error::deserialize(&mut json).map_err(|e| Reply::error(400, &e.to_string()))?;
-        json.end().map_err(|e| Reply::error(400, &e.to_string()))?;
+        let spec: JobSpec = serde_path_to_error::deserialize(&mut json)
+            .map_err(|e| ApiResponse::error(400, &e.to_string()))?;
+        json.end().map_err(|e| ApiResponse::error(400, &e.to_string()))?;
         spec.check()
-            .map_err(|f| Reply::error(400, &format!("invalid field `{f}`")))?;
+            .map_err(|f| ApiResponse::error(400, &format!("invalid field `{f}`")))?;
         if !self.config.teams.contains_key(&spec.team) {
-            return Err(Reply::error(422, &Unfit::Team.to_string()));
+            return Err(ApiResponse::error(422, &AdmissionError::UnknownTeam.to_string()));
         }
         if types.is_empty() {
-            return Err(Reply::later("the machine types are not known yet"));
+            return Err(ApiResponse::later("the machine types are not known yet"));
         }
-        admissible(&spec, &self.config.teams, types).map_err(|u| Reply::error(422, &u.to_string()))?;
+        admissible(&spec, &self.config.teams, types).map_err(|u| ApiResponse::error(422, &u.to_string()))?;
         let mut spec = spec;
         if spec.awaits.contains(&spec.id) {
-            return Err(Reply::error(422, &Unfit::AwaitsItself.to_string()));
+            return Err(ApiResponse::error(
+                422,
+                &AdmissionError::DependsOnItself.to_string(),
+            ));
         }
         if let Some(list) = &mut spec.types {
             // Types that don't exist are of no use to anybody.
@@ -177,10 +180,10 @@
     }
 
     /// The id of a submission, or the answer to one that has none.
-    pub fn id_of(&self, body: &[u8]) -> Result<JobId, Reply> {
+    pub fn id_of(&self, body: &[u8]) -> Result<JobId, ApiResponse> {
         id_in(body).ok_or_else(|| match self.judge(body, &[]) {
             Err(r) if r.status == 400 => r,
-            _ => Reply::error(400, "malformed id"),
+            _ => ApiResponse::error(400, "malformed id"),
         })
     }
 
@@ -191,16 +194,16 @@
     }
 
     /// Stores a new job without the leader, who finds it by its inbox mark.
-    async fn submit_direct(&self, body: &[u8]) -> Reply {
+    async fn submit_direct(&self, body: &[u8]) -> ApiResponse {
         let id = match self.id_of(body) {
             Ok(id) => id,
             Err(r) => return r,
         };
         // The id comes before the body: a repeat of an accepted job is 200.
         match self.lookup(id).await {
-            Ok(Lookup::Absent) => {}
+            Ok(StoredJob::NeverAccepted) => {}
             Ok(found) => return self.reply_about(id, &found).await,
-            Err(_) => return Reply::later("the job's state can't be read now"),
+            Err(_) => return ApiResponse::later("the job's state can't be read now"),
         }
         let types = self.known_types().await;
         let spec = match self.judge(body, &types) {
@@ -213,21 +216,21 @@
             cancelled: false,
         };
         if !self.record_fits(&rec) {
-            return Reply::error(400, "the job's description is too long");
+            return ApiResponse::error(400, "the job's description is too long");
         }
         if let Err(r) = self.check_awaits(&rec.spec, |_| None).await {
             return r;
         }
         let Ok(value) = serde_json::to_value(&rec) else {
-            return Reply::error(400, "malformed");
+            return ApiResponse::error(400, "malformed");
         };
         let t = Transaction {
             conditions: vec![
-                Guard {
+                Condition {
                     key: record::job_key(id),
                     version: 0,
                 },
-                Guard {
+                Condition {
                     key: record::final_key(id),
                     version: 0,
                 },
@@ -251,7 +254,7 @@
                 accepted(id, 201)
             }
             Err(_) => match self.lookup(id).await {
-                Ok(Lookup::Absent) | Err(_) => Reply::later("the job can't be stored now"),
+                Ok(StoredJob::NeverAccepted) | Err(_) => ApiResponse::later("the job can't be stored now"),
                 Ok(found) => self.reply_about(id, &found).await,
             },
         }
@@ -259,12 +262,12 @@
 }
 
 /// A submission was accepted.
-pub fn accepted(id: JobId, status: u16) -> Reply {
-    Reply::json(
+pub fn accepted(id: JobId, status: u16) -> ApiResponse {
+    ApiResponse::json(
         status,
-        &JobView {
+        &JobStatus {
             id,
-            state: Standing::Queued,
+            state: JobState::Queued,
             done: 0,
             running: 0,
         },
--- a/src/core/evidence/commands.rs
+++ b/src/core/evidence/commands.rs
@@ -3,12 +3,12 @@
 use std::time::{Duration, Instant};
 
 use crate::core::evidence::permission::check_job;
-use crate::core::state::machine::{Machine, Phase, TOKEN_BITS};
-use crate::core::state::model::{Model, EPS};
+use crate::core::state::machine::{Machine, MachinePhase, TOKEN_BITS};
+use crate::core::state::model::{ClusterModel, EPS};
 use crate::core::state::slot::SlotState;
-use crate::wire::{Command, Commands, MachineId, Report, TaskState};
+use crate::wire::{Command, CommandBatch, Heartbeat, MachineId, TaskState};
 
-impl Model {
+impl ClusterModel {
     /// The token for the response to a report, and what the response orders.
     /// The token is one that the worker has reported in this term, so that no
     /// response runs ahead of a command that is still on its way; where it has
@@ -52,7 +52,7 @@
     /// response that renews a lease, also past the right to act, so that no
     /// answer of one who knows of a cancellation lets its tasks live on. A stop
     /// names an attempt and may be repeated; it is no evidence by itself.
-    pub fn stops(&self, r: &Report) -> Vec<Command> {
+    pub fn stops(&self, r: &Heartbeat) -> Vec<Command> {
         let live = r.tasks.iter().filter(|t| t.state != TaskState::Exited);
         live.filter(|t| self.jobs.get(&t.task.job).is_some_and(|j| j.cancelled))
             .map(|t| Command::Stop {
@@ -73,7 +73,7 @@
 
     /// Commands that are due, at most so many probes of machines that have
     /// nothing else to do. Tokens are fresh.
-    pub fn commands(&mut self, now: Instant, probes: usize) -> Vec<(MachineId, String, Commands)> {
+    pub fn commands(&mut self, now: Instant, probes: usize) -> Vec<(MachineId, String, CommandBatch)> {
         let mut out = Vec::new();
         let mut left = probes;
         for id in std::mem::take(&mut self.due) {
@@ -95,7 +95,7 @@
     }
 
     /// The next command to a worker, if one is due. The token is fresh.
-    pub fn command(&mut self, machine: &MachineId, now: Instant) -> Option<(String, Commands)> {
+    pub fn command(&mut self, machine: &MachineId, now: Instant) -> Option<(String, CommandBatch)> {
         let term = self.term;
         let types = &self.types;
         let (log, jobs, dependencies) = (&self.log, &self.jobs, &self.dependencies);
@@ -104,7 +104,7 @@
         if m.commanding || m.addr.is_empty() || m.command_after.is_some_and(|t| t > now) {
             return None;
         }
-        if m.phase == Phase::Releasing {
+        if m.phase == MachinePhase::Releasing {
             return None;
         }
         let mut commands = m.forgets(log, jobs);
@@ -187,7 +187,7 @@
         let token = m.fresh_token(term);
         Some((
             m.addr.clone(),
-            Commands {
+            CommandBatch {
                 token,
                 session,
                 commands,
@@ -196,7 +196,7 @@
     }
 
     /// A command was answered, or not (`report` is `None`: unknown).
-    pub fn commanded(&mut self, machine: &MachineId, report: Option<&Report>, now: Instant) {
+    pub fn commanded(&mut self, machine: &MachineId, report: Option<&Heartbeat>, now: Instant) {
         if let Some(r) = report.filter(|r| r.machine == *machine) {
             self.apply_report(r, now);
         }
--- a/src/core/evidence/heartbeats.rs
+++ b/src/core/evidence/heartbeats.rs
@@ -6,31 +6,31 @@
 use tracing::{debug, info};
 
 use crate::core::state::job::Job;
-use crate::core::state::machine::{Machine, Phase, TOKEN_BITS};
-use crate::core::state::model::Model;
+use crate::core::state::machine::{Machine, MachinePhase, TOKEN_BITS};
+use crate::core::state::model::ClusterModel;
 use crate::core::state::slot::{Slot, SlotState};
-use crate::core::storage::wal::Entry as Logged;
-use crate::wire::{JobId, Kind, MachineId, Report, ReportedTask, TaskId, TaskState, Why};
+use crate::core::storage::wal::LogEntry as Logged;
+use crate::wire::{ExitReason, Heartbeat, JobId, JobKind, MachineId, ReportedTask, TaskId, TaskState};
 
 /// A cordoned machine that is still there is tried again after so long.
 const CORDON: Duration = Duration::from_secs(45);
 
 /// What came of a message of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReportOutcome {
+pub enum HeartbeatOutcome {
     /// It is of a machine that is gone.
-    MachineGone,
+    MachineReleased,
     /// Older than what is known.
     Outdated,
     /// Taken in.
     Applied,
 }
 
-impl Model {
+impl ClusterModel {
     /// Takes in a message of a worker: a report, or the answer to a command.
-    pub fn apply_report(&mut self, r: &Report, now: Instant) -> ReportOutcome {
+    pub fn apply_report(&mut self, r: &Heartbeat, now: Instant) -> HeartbeatOutcome {
         if self.gone.contains(&r.machine) {
-            return ReportOutcome::MachineGone;
+            return HeartbeatOutcome::MachineReleased;
         }
         let term = self.term;
         let cache_gb = self
@@ -45,12 +45,12 @@
         }
         let m = self.machines.get_mut(&r.machine).expect("just made");
         if (r.session, r.seq) <= m.newest {
-            return ReportOutcome::Outdated;
+            return HeartbeatOutcome::Outdated;
         }
         m.newest = (r.session, r.seq);
         m.heard = Some(now);
-        if m.phase == Phase::Booting {
-            m.phase = Phase::Up;
+        if m.phase == MachinePhase::Booting {
+            m.phase = MachinePhase::Up;
             m.idle_since = m.idle_since.map(|_| now);
             debug!(machine = %r.machine, zone = %r.zone, boot_s = (now - m.since).as_secs_f64(), "machine is up");
         }
@@ -109,12 +109,12 @@
             }
         }
         self.note_due(&r.machine);
-        ReportOutcome::Applied
+        HeartbeatOutcome::Applied
     }
 
     pub(in crate::core) fn apply_task_report(
         &mut self,
-        r: &Report,
+        r: &Heartbeat,
         t: &ReportedTask,
         obeys: bool,
         cache_gb: f64,
@@ -162,20 +162,20 @@
                 }
             }
             TaskState::Exited => {
-                let why = t.why.unwrap_or(Why::Other);
+                let why = t.why.unwrap_or(ExitReason::Other);
                 slot.state = SlotState::Ended(why);
                 let ran = slot.running_since.map(|s| now - s);
                 let attempt = slot.attempt;
                 let was_stopped = slot.stop.is_some();
                 debug!(task = %t.task, attempt, machine = %r.machine, ?why, "ended");
                 m.forget_since.get_or_insert(now);
-                if why == Why::Done {
+                if why == ExitReason::Done {
                     m.failures = 0;
                     m.failed_jobs.clear();
                 }
                 if let Some(job) = job {
-                    let service = job.spec.kind == Kind::Service;
-                    if why == Why::Done && !service && t.task.index < job.spec.tasks {
+                    let service = job.spec.kind == JobKind::Service;
+                    if why == ExitReason::Done && !service && t.task.index < job.spec.tasks {
                         job.finish(t.task.index);
                         slot.outcome = self.log.push(Logged::Done(t.task.job, vec![t.task.index]));
                         job.failures.clear();
@@ -184,7 +184,7 @@
                             job.run_count += 1;
                         }
                     }
-                    if why == Why::Error || why == Why::Other {
+                    if why == ExitReason::Failed || why == ExitReason::Other {
                         job.failures.record(&r.machine, ran.unwrap_or_default(), now);
                         m.failures += 1;
                         m.failed_jobs.insert(t.task.job);
@@ -193,10 +193,10 @@
                         }
                         failed = true;
                     }
-                    if why == Why::NoRoom && !was_stopped {
+                    if why == ExitReason::NoRoom && !was_stopped {
                         m.full_until = Some(now + Duration::from_secs(3));
                     }
-                    if why == Why::Unknown {
+                    if why == ExitReason::UnknownTask {
                         job.pause_until = Some(now + Duration::from_secs(2));
                     }
                     job.vacate(t.task.index, &r.machine);
@@ -272,7 +272,7 @@
         job.failures.admitted(slots.filter(survives).count() as u32)
     }
 
-    pub(in crate::core) fn hold_unexpected_attempt(&mut self, r: &Report, t: &ReportedTask) {
+    pub(in crate::core) fn hold_unexpected_attempt(&mut self, r: &Heartbeat, t: &ReportedTask) {
         let Some(slot) = self
             .machines
             .get_mut(&r.machine)
--- a/src/core/evidence/invariants.rs
+++ b/src/core/evidence/invariants.rs
@@ -2,14 +2,14 @@
 //! an error in the log with the evidence; it never ends the process, which has
 //! workers to serve.
 
-use crate::core::state::model::Model;
-use crate::wire::{Report, ReportedTask, TaskState};
+use crate::core::state::model::ClusterModel;
+use crate::wire::{Heartbeat, ReportedTask, TaskState};
 
-impl Model {
+impl ClusterModel {
     /// Tasks that a report lists as alive although the model has no place for that
     /// attempt on that machine, or knows no such job. To be asked once the report is
     /// taken in. Until a machine obeys this term its words may be late copies.
-    pub fn unknown_tasks<'a>(&'a self, report: &'a Report) -> impl Iterator<Item = &'a ReportedTask> {
+    pub fn unknown_tasks<'a>(&'a self, report: &'a Heartbeat) -> impl Iterator<Item = &'a ReportedTask> {
         let machine = self.machines.get(&report.machine);
         let machine = machine.filter(|m| m.fenced(self.term));
         let known = move |task: &ReportedTask| {
--- a/src/core/evidence/liveness.rs
+++ b/src/core/evidence/liveness.rs
@@ -5,11 +5,11 @@
 
 use tracing::info;
 
-use crate::core::state::machine::{Machine, Phase};
-use crate::core::state::model::Model;
+use crate::core::state::machine::{Machine, MachinePhase};
+use crate::core::state::model::ClusterModel;
 use crate::wire::MachineId;
 
-impl Model {
+impl ClusterModel {
     /// This process stood still until now: what it didn't hear is no silence.
     pub fn listen_from(&mut self, now: Instant) {
         self.listening = Some(now);
@@ -23,7 +23,7 @@
 
     /// Whether all machines that were up when this term began obey it.
     pub fn all_fenced(&self) -> bool {
-        let mut up = self.machines.values().filter(|m| m.phase == Phase::Up);
+        let mut up = self.machines.values().filter(|m| m.phase == MachinePhase::Up);
         up.all(|m| !m.probe || m.fenced(self.term))
     }
 
@@ -33,7 +33,7 @@
     pub(in crate::core) fn lapsed(&self, m: &Machine, now: Instant) -> bool {
         let lease = self.config.lease + self.config.lease / 500 + Duration::from_secs(1);
         let last = m.replied.max(m.heard);
-        m.phase == Phase::Up
+        m.phase == MachinePhase::Up
             && m.fenced(self.term)
             && last.is_some_and(|t| now.saturating_duration_since(t) > lease)
     }
@@ -65,7 +65,7 @@
     /// so long.
     pub fn ignores_commands(&self, m: &Machine, now: Instant, long: Duration) -> bool {
         let within = |t: Instant, d: Duration| now.saturating_duration_since(t) < d;
-        m.phase == Phase::Up
+        m.phase == MachinePhase::Up
             && m.heard.is_some_and(|t| within(t, self.config.report * 2))
             && m.unanswered
                 .max(self.listening.filter(|_| m.unanswered.is_some()))
--- a/src/core/evidence/permission.rs
+++ b/src/core/evidence/permission.rs
@@ -9,9 +9,9 @@
 
 use crate::core::state::dependencies::Dependencies;
 use crate::core::state::job::Job;
-use crate::core::state::machine::Phase;
-use crate::core::state::model::Model;
-use crate::wire::{Command, Commands, JobId, MachineId, TaskId};
+use crate::core::state::machine::MachinePhase;
+use crate::core::state::model::ClusterModel;
+use crate::wire::{Command, CommandBatch, JobId, MachineId, TaskId};
 
 /// The right to send one command now. It is made here alone.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
 
 /// Why a command is not sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Withheld {
+pub enum SendRefusal {
     /// The right to act has ended.
     #[error("the right to act has ended")]
     NoAuthority,
@@ -69,22 +69,22 @@
     Ok(())
 }
 
-impl Model {
+impl ClusterModel {
     /// Judges a command that was decided earlier by what is known now; `may_act`
     /// says whether the leader still has the right to.
     pub fn permit_send(
         &self,
         machine: &MachineId,
-        commands: &Commands,
+        commands: &CommandBatch,
         may_act: bool,
-    ) -> Result<SendPermit, Withheld> {
+    ) -> Result<SendPermit, SendRefusal> {
         if !may_act {
-            return Err(Withheld::NoAuthority);
+            return Err(SendRefusal::NoAuthority);
         }
         for command in &commands.commands {
             if let Command::Start { task, attempt } = *command {
                 self.check_start(machine, task, attempt)
-                    .map_err(|refusal| Withheld::Start(task, refusal))?;
+                    .map_err(|refusal| SendRefusal::Start(task, refusal))?;
             }
         }
         Ok(SendPermit(()))
@@ -93,7 +93,10 @@
     /// Whether an attempt that was placed may be started now.
     fn check_start(&self, machine: &MachineId, task: TaskId, attempt: u64) -> Result<(), StartRefusal> {
         check_job(&self.jobs, &self.dependencies, task.job)?;
-        let machine = self.machines.get(machine).filter(|m| m.phase != Phase::Releasing);
+        let machine = self
+            .machines
+            .get(machine)
+            .filter(|m| m.phase != MachinePhase::Releasing);
         let slot = machine.and_then(|m| m.slots.get(&task));
         let slot = slot
             .filter(|s| s.attempt == attempt)
--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -9,12 +9,12 @@
 
 use tracing::info;
 
-use crate::core::scheduling::plan::Usage;
+use crate::core::scheduling::plan::TeamUsage;
 use crate::core::state::job::Job;
-use crate::core::state::machine::{Machine, Phase};
-use crate::core::state::model::{Model, EPS};
+use crate::core::state::machine::{Machine, MachinePhase};
+use crate::core::state::model::{ClusterModel, EPS};
 use crate::core::state::slot::SlotState;
-use crate::wire::{Kind, MachineId, Rental};
+use crate::wire::{JobKind, MachineId, Rental};
 
 /// A kind of machine at a place, as the cloud offers it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -53,7 +53,7 @@
 /// before what turns out to be urgent.
 const MOST_PENDING: usize = 6;
 
-impl Model {
+impl ClusterModel {
     /// Decides what to rent and to return.
     pub fn fleet(&mut self, now: Instant) -> Vec<FleetAction> {
         if self.types.is_empty() {
@@ -67,7 +67,7 @@
             info!(machines = release.len(), "releasing");
             for id in &release {
                 if let Some(m) = self.machines.get_mut(id) {
-                    m.phase = Phase::Releasing;
+                    m.phase = MachinePhase::Releasing;
                 }
             }
             actions.extend(
@@ -120,7 +120,7 @@
             .map(|j| f64::from(j.waiting.count()) * j.spec.cpus);
         free -= waiting.sum::<f64>();
         let mut leave = Vec::new();
-        for m in self.machines.values().filter(|m| m.phase == Phase::Up) {
+        for m in self.machines.values().filter(|m| m.phase == MachinePhase::Up) {
             let Some(recall) = m.recall else { continue };
             for (task, s) in &m.slots {
                 let Some(spec) = s.spec.as_ref().filter(|_| s.stop.is_none()) else {
@@ -182,9 +182,9 @@
                 self.released(id, now);
             } else if let Some(m) = self.machines.get_mut(id) {
                 m.phase = if m.heard.is_some() {
-                    Phase::Up
+                    MachinePhase::Up
                 } else {
-                    Phase::Booting
+                    MachinePhase::Booting
                 };
             }
         }
@@ -193,13 +193,13 @@
     /// How many of a job's waiting tasks may start now if there is room: as many
     /// as its pause, its probation and its team's limit allow, given what the
     /// team uses.
-    fn startable(&self, job: &Job, team_usage: Usage, now: Instant) -> u32 {
+    fn startable(&self, job: &Job, team_usage: TeamUsage, now: Instant) -> u32 {
         if job.cancelled || job.pause_until.is_some_and(|t| t > now) {
             return 0;
         }
         let admitted = match self.admitted(job, now).saturating_sub(job.placed) {
             // A gang is placed whole or not at all.
-            1.. if job.spec.kind == Kind::Gang => u32::MAX,
+            1.. if job.spec.kind == JobKind::Gang => u32::MAX,
             admitted => admitted,
         };
         let mut startable = admitted.min(job.waiting.count());
@@ -243,7 +243,7 @@
                 mine += s.spec.as_ref().map_or(0.0, |s| s.cpus);
             }
             used += mine;
-            if m.phase == Phase::Booting || (self.usable(m, now) && m.recall.is_none()) {
+            if m.phase == MachinePhase::Booting || (self.usable(m, now) && m.recall.is_none()) {
                 free += self.types[k].cpus - mine;
             }
         }
--- a/src/core/fleet/releases.rs
+++ b/src/core/fleet/releases.rs
@@ -6,16 +6,16 @@
 
 use tracing::debug;
 
-use crate::core::state::machine::{Machine, Phase};
-use crate::core::state::model::Model;
+use crate::core::state::machine::{Machine, MachinePhase};
+use crate::core::state::model::ClusterModel;
 use crate::wire::MachineId;
 
-impl Model {
+impl ClusterModel {
     /// Zones most of whose machines are silent for longer than their reports
     /// are apart: cut off, it seems.
     pub(super) fn silent_zones(&self, now: Instant) -> BTreeSet<String> {
         let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.phase == Phase::Up) {
+        for m in self.machines.values().filter(|m| m.phase == MachinePhase::Up) {
             let z = zones.entry(&m.zone).or_default();
             z.0 += 1;
             z.1 += usize::from(self.silence(m, now) > self.config.report);
@@ -30,7 +30,11 @@
     pub(super) fn to_release(&self, now: Instant) -> Vec<MachineId> {
         let silent_after = self.config.silent;
         let mut out = Vec::new();
-        let up: Vec<&Machine> = self.machines.values().filter(|m| m.phase == Phase::Up).collect();
+        let up: Vec<&Machine> = self
+            .machines
+            .values()
+            .filter(|m| m.phase == MachinePhase::Up)
+            .collect();
         let silent = |m: &Machine| self.silence(m, now) > silent_after;
         let silent_count = up.iter().filter(|m| silent(m)).count();
         // Most of them silent at once: it is we who don't hear.
@@ -50,8 +54,8 @@
         let mut idle: Vec<&Machine> = Vec::new();
         for m in self.machines.values() {
             let why = match m.phase {
-                Phase::Releasing => continue,
-                Phase::Booting => {
+                MachinePhase::Releasing => continue,
+                MachinePhase::Booting => {
                     let boot = self.kind_of(m).map_or(30.0, |k| self.types[k].boot_s);
                     let most = Duration::from_secs_f64(boot * 4.0 + 10.0) + self.config.list_lag;
                     if now.saturating_duration_since(m.since) <= most {
@@ -63,12 +67,12 @@
                         "silent since it was found"
                     }
                 }
-                Phase::Up if silent(m) && waits(m) => continue,
-                Phase::Up if silent(m) && !deaf => "silent",
-                Phase::Up if !cut && takes_none(m) => "takes no commands",
-                Phase::Up if m.cordoned.is_some() && m.empty() => "failed or faulty",
-                Phase::Up if m.recall.is_some() && m.empty() => "spot notice",
-                Phase::Up => {
+                MachinePhase::Up if silent(m) && waits(m) => continue,
+                MachinePhase::Up if silent(m) && !deaf => "silent",
+                MachinePhase::Up if !cut && takes_none(m) => "takes no commands",
+                MachinePhase::Up if m.cordoned.is_some() && m.empty() => "failed or faulty",
+                MachinePhase::Up if m.recall.is_some() && m.empty() => "spot notice",
+                MachinePhase::Up => {
                     if m.slots.is_empty() && m.idle_since.is_some() && !silent(m) {
                         idle.push(m);
                     }
--- a/src/core/fleet/rentals.rs
+++ b/src/core/fleet/rentals.rs
@@ -6,8 +6,8 @@
 
 use super::Offer;
 use crate::core::scheduling::admission::type_allowed;
-use crate::core::state::machine::Phase;
-use crate::core::state::model::{Model, EPS};
+use crate::core::state::machine::MachinePhase;
+use crate::core::state::model::{ClusterModel, EPS};
 use crate::core::state::slot::{Slot, SlotState};
 use crate::wire::{JobSpec, MachineType};
 
@@ -73,7 +73,7 @@
     }
 }
 
-impl Model {
+impl ClusterModel {
     /// Share of the load that is kept free. The larger the fleet, the less its
     /// load varies in proportion.
     pub(super) fn warm_share(&self) -> f64 {
@@ -140,7 +140,7 @@
         let mut open_machines = Vec::new();
         for m in self.machines.values() {
             let Some(kind) = self.kind_of(m) else { continue };
-            let booting = m.phase == Phase::Booting;
+            let booting = m.phase == MachinePhase::Booting;
             if !(booting || self.usable(m, now) && m.recall.is_none()) || cut.contains(&m.zone) {
                 continue;
             }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -15,5 +15,5 @@
 pub mod state;
 pub mod storage;
 
-pub use state::config::Config;
-pub use state::model::Model;
+pub use state::config::SchedulerConfig;
+pub use state::model::ClusterModel;
--- a/src/core/scheduling/admission.rs
+++ b/src/core/scheduling/admission.rs
@@ -4,34 +4,38 @@
 
 use crate::core::state::model::EPS;
 use crate::settings::Team;
-use crate::wire::{JobId, JobSpec, Kind, MachineType};
+use crate::wire::{JobId, JobKind, JobSpec, MachineType};
 
 /// Why a job can never run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum AdmissionError {
     /// No such team.
     #[error("unknown team")]
-    Team,
+    UnknownTeam,
     /// A task fits no allowed machine type.
     #[error("a task fits no allowed machine type")]
-    Type,
+    FitsNoMachineType,
     /// It waits for itself.
     #[error("a job can't wait for itself")]
-    AwaitsItself,
+    DependsOnItself,
     /// It waits for a job that was never accepted.
     #[error("waits for {0}, which was never accepted")]
-    AwaitsUnknown(JobId),
+    UnknownDependency(JobId),
     /// It waits for a service, which is never done.
     #[error("waits for {0}, a service, which is never done")]
-    AwaitsService(JobId),
+    DependsOnService(JobId),
     /// It needs more than the team's limit.
     #[error("needs more than the team's limit")]
-    Limit,
+    ExceedsTeamLimit,
 }
 
 /// Whether a job can ever run, given teams and machine types.
-pub fn admissible(spec: &JobSpec, teams: &HashMap<String, Team>, types: &[MachineType]) -> Result<(), Unfit> {
-    let team = teams.get(&spec.team).ok_or(Unfit::Team)?;
+pub fn admissible(
+    spec: &JobSpec,
+    teams: &HashMap<String, Team>,
+    types: &[MachineType],
+) -> Result<(), AdmissionError> {
+    let team = teams.get(&spec.team).ok_or(AdmissionError::UnknownTeam)?;
     let fits = types.iter().any(|t| {
         type_allowed(spec, t)
             && spec
@@ -40,16 +44,16 @@
                 .is_none_or(|z| t.zones.is_empty() || t.zones.contains(z))
     });
     if !fits {
-        return Err(Unfit::Type);
+        return Err(AdmissionError::FitsNoMachineType);
     }
-    let n = if spec.kind == Kind::Array {
+    let n = if spec.kind == JobKind::Array {
         1.0
     } else {
         f64::from(spec.tasks)
     };
     let over = |need: f64, most: f64| most > 0.0 && need * n > most + EPS;
     if over(spec.cpus, team.cpus_max) || over(spec.gpus, team.gpus_max) {
-        return Err(Unfit::Limit);
+        return Err(AdmissionError::ExceedsTeamLimit);
     }
     Ok(())
 }
--- a/src/core/scheduling/borrowed.rs
+++ b/src/core/scheduling/borrowed.rs
@@ -10,9 +10,9 @@
 use std::time::{Duration, Instant};
 
 use crate::core::scheduling::ranking::{Rank, Tier, BEGIN_TASKS};
-use crate::core::state::model::Model;
+use crate::core::state::model::ClusterModel;
 use crate::core::state::slot::Slot;
-use crate::wire::{JobId, Kind};
+use crate::wire::{JobId, JobKind};
 
 /// A task is young until it has run for this share of its predicted run time.
 const YOUNG_SHARE: f64 = 0.25;
@@ -22,7 +22,7 @@
 /// job may wait beside room.
 const PAUSE_AFTER_STOP: Duration = Duration::from_secs(20);
 
-impl Model {
+impl ClusterModel {
     /// Pauses a job whose borrowed tasks were stopped for others. Further stops
     /// don't prolong the pause: its other tasks may have room where the head
     /// has none, and would wait beside it for as long as the stops go on.
@@ -48,7 +48,11 @@
     /// What is borrowed from the head's point of view: running work of lower
     /// priority beyond its team's guarantee, for which no time was promised, if
     /// the head can still be served as its user was told.
-    pub(in crate::core) fn for_head(model: &Model, head: JobId, ranks: &BTreeMap<JobId, Rank>) -> Self {
+    pub(in crate::core) fn for_head(
+        model: &ClusterModel,
+        head: JobId,
+        ranks: &BTreeMap<JobId, Rank>,
+    ) -> Self {
         let served_in_time = ranks
             .get(&head)
             .is_some_and(|rank| matches!(rank.1, Tier::Guaranteed | Tier::InTime));
@@ -61,7 +65,7 @@
             .jobs
             .iter()
             .filter(|(_, job)| job.placed > BEGIN_TASKS)
-            .filter(|(_, job)| job.spec.kind == Kind::Array)
+            .filter(|(_, job)| job.spec.kind == JobKind::Array)
             .filter(|(_, job)| model.priority(job) < head_priority)
             .filter(|(id, _)| beyond_guarantee(id))
             .filter(|(_, job)| model.dues(job).0.is_none())
@@ -82,7 +86,7 @@
     /// first few of a job are spared, so that a job once begun stays so.
     pub(in crate::core) fn admits_stop(
         &mut self,
-        model: &Model,
+        model: &ClusterModel,
         job: JobId,
         slot: &Slot,
         now: Instant,
--- a/src/core/scheduling/capacity.rs
+++ b/src/core/scheduling/capacity.rs
@@ -8,7 +8,7 @@
 
 /// Free room of a machine that may be placed on.
 #[derive(Debug, Clone)]
-pub(in crate::core) struct Room {
+pub(in crate::core) struct FreeCapacity {
     pub(in crate::core) machine: MachineId,
     /// Number of its zone, see [`Planner::names`].
     pub(in crate::core) zone: usize,
@@ -21,11 +21,11 @@
     pub(in crate::core) closed: bool,
     pub(in crate::core) recall: Option<Instant>,
     /// Room that running tasks will give back: predicted end, amounts, task.
-    pub(in crate::core) load: Vec<Load>,
+    pub(in crate::core) load: Vec<RunningLoad>,
 }
 
 #[derive(Debug, Clone)]
-pub(in crate::core) struct Load {
+pub(in crate::core) struct RunningLoad {
     pub(in crate::core) end: Instant,
     pub(in crate::core) cpus: f64,
     pub(in crate::core) gpus: f64,
@@ -39,7 +39,7 @@
     pub(in crate::core) started: Instant,
 }
 
-impl Room {
+impl FreeCapacity {
     pub(in crate::core) fn fits(&self, s: &JobSpec) -> bool {
         self.cpus + EPS >= s.cpus && self.gpus + EPS >= s.gpus && self.memory + EPS >= s.memory_gb
     }
@@ -64,7 +64,7 @@
         self.memory -= s.memory_gb;
     }
 
-    pub(in crate::core) fn give_back(&mut self, l: &Load) {
+    pub(in crate::core) fn give_back(&mut self, l: &RunningLoad) {
         self.cpus += l.cpus;
         self.gpus += l.gpus;
         self.memory += l.memory;
@@ -73,7 +73,7 @@
     /// Shadow tasks whose end makes room, lowest priority first, and the work
     /// that is lost with them.
     pub(in crate::core) fn victims(&self, s: &JobSpec, now: Instant) -> Option<(Duration, Vec<TaskId>)> {
-        let mut shadows: Vec<&Load> = self.load.iter().filter(|l| l.shadow).collect();
+        let mut shadows: Vec<&RunningLoad> = self.load.iter().filter(|l| l.shadow).collect();
         shadows.sort_by_key(|l| std::cmp::Reverse((l.rank, l.started)));
         let mut after = self.bare();
         let (mut lost, mut victims) = (Duration::ZERO, Vec::new());
@@ -89,8 +89,8 @@
     }
 
     /// The same room, without its load.
-    pub(in crate::core) fn bare(&self) -> Room {
-        Room {
+    pub(in crate::core) fn bare(&self) -> FreeCapacity {
+        FreeCapacity {
             load: Vec::new(),
             machine: self.machine.clone(),
             ..*self
--- a/src/core/scheduling/placement/mod.rs
+++ b/src/core/scheduling/placement/mod.rs
@@ -8,27 +8,27 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use crate::core::scheduling::capacity::{Load, Room};
-use crate::core::scheduling::plan::Usage;
+use crate::core::scheduling::capacity::{FreeCapacity, RunningLoad};
+use crate::core::scheduling::plan::TeamUsage;
 use crate::core::scheduling::ranking::{Rank, Tier, BEGIN_TASKS};
-use crate::core::state::model::{Model, EPS};
-use crate::wire::{JobId, JobSpec, Kind, MachineType, TaskId};
+use crate::core::state::model::{ClusterModel, EPS};
+use crate::wire::{JobId, JobKind, JobSpec, MachineType, TaskId};
 
 use search::{Place, Score};
 
 /// How a placement attempt went.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(in crate::core) enum Tried {
+pub(in crate::core) enum PlacementOutcome {
     Placed,
     /// No machine has room for it.
     NoRoom,
     /// Its team's limit, its own pause, or its placement rules forbid it now.
-    Barred,
+    NotAllowedNow,
 }
 
 /// How tasks of a job are to be placed.
 #[derive(Debug, Clone, Copy)]
-pub(in crate::core) struct Mode {
+pub(in crate::core) struct PlacementMode {
     /// They are backfilled.
     pub(in crate::core) backfill: bool,
     /// They are predicted to end by then.
@@ -37,7 +37,7 @@
     pub(in crate::core) most: u32,
 }
 
-impl Mode {
+impl PlacementMode {
     /// In order, so many at the most.
     pub(in crate::core) fn in_order(most: u32) -> Self {
         Self {
@@ -58,17 +58,17 @@
 }
 
 pub(in crate::core) struct Planner<'m> {
-    pub(in crate::core) model: &'m mut Model,
+    pub(in crate::core) model: &'m mut ClusterModel,
     now: Instant,
     pub(in crate::core) ranks: BTreeMap<JobId, Rank>,
-    rooms: Vec<Room>,
+    rooms: Vec<FreeCapacity>,
     /// Rooms that may still fit something that waits.
     open: Vec<usize>,
     /// The rooms' loads are filled in; they are needed for the head alone.
     loaded: bool,
     /// Every task is placed by itself.
     plainly: bool,
-    usage: HashMap<String, Usage>,
+    usage: HashMap<String, TeamUsage>,
     types: Vec<MachineType>,
     /// Names of zones.
     names: Vec<String>,
@@ -78,7 +78,7 @@
 
 impl<'m> Planner<'m> {
     pub(in crate::core) fn new(
-        model: &'m mut Model,
+        model: &'m mut ClusterModel,
         ranks: BTreeMap<JobId, Rank>,
         now: Instant,
         plainly: bool,
@@ -103,7 +103,7 @@
                 names.len() - 1
             });
             let (cpus, gpus, memory) = m.used();
-            let room = Room {
+            let room = FreeCapacity {
                 machine: m.id.clone(),
                 zone,
                 spot: m.spot,
@@ -138,7 +138,7 @@
     /// How many tasks of a job go in its present place in the queue.
     pub(in crate::core) fn first_tasks(&self, id: JobId, tier: Tier) -> u32 {
         match self.model.jobs.get(&id) {
-            Some(j) if tier == Tier::Starved && j.spec.kind != Kind::Gang => BEGIN_TASKS,
+            Some(j) if tier == Tier::Starved && j.spec.kind != JobKind::Gang => BEGIN_TASKS,
             _ => u32::MAX,
         }
     }
@@ -159,46 +159,51 @@
 
     /// Places as many of a job's waiting tasks as fit and the mode allows, a
     /// gang's all or none.
-    pub(in crate::core) fn place_all(&mut self, id: JobId, mode: Mode, count: &mut u32) -> Tried {
+    pub(in crate::core) fn place_all(
+        &mut self,
+        id: JobId,
+        mode: PlacementMode,
+        count: &mut u32,
+    ) -> PlacementOutcome {
         if !self.plainly && self.alike(id) {
             return self.place_alike(id, mode, count);
         }
         let until = count.saturating_add(mode.most);
         while *count < until {
             let Some(batch) = self.next_batch(id) else {
-                return Tried::Placed;
+                return PlacementOutcome::Placed;
             };
             if self.barred(id, batch.len()) {
-                return Tried::Barred;
+                return PlacementOutcome::NotAllowedNow;
             }
             let Some(places) = self.find(id, &batch, mode.ends_by, false) else {
-                return Tried::NoRoom;
+                return PlacementOutcome::NoRoom;
             };
             *count += places.len() as u32;
             self.take(places, mode.backfill, id);
         }
-        Tried::Placed
+        PlacementOutcome::Placed
     }
 
     /// Whether a job's tasks are all placed by the same rule, whatever became
     /// of the others: then they are placed together.
     fn alike(&self, id: JobId) -> bool {
         self.model.jobs.get(&id).is_some_and(|j| {
-            j.spec.kind != Kind::Gang && !j.spec.one_zone && !j.spec.spread && !j.on_probation(self.now)
+            j.spec.kind != JobKind::Gang && !j.spec.one_zone && !j.spec.spread && !j.on_probation(self.now)
         })
     }
 
     /// [`Planner::place_all`] for tasks that are alike: the machines are judged
     /// once, then filled from the best on, as one by one would do it.
-    fn place_alike(&mut self, id: JobId, mode: Mode, count: &mut u32) -> Tried {
+    fn place_alike(&mut self, id: JobId, mode: PlacementMode, count: &mut u32) -> PlacementOutcome {
         let Some(job) = self.model.jobs.get(&id) else {
-            return Tried::Placed;
+            return PlacementOutcome::Placed;
         };
         if job.waiting.count() == 0 || mode.most == 0 {
-            return Tried::Placed;
+            return PlacementOutcome::Placed;
         }
         if self.barred(id, 1) {
-            return Tried::Barred;
+            return PlacementOutcome::NotAllowedNow;
         }
         let spec = job.spec.clone();
         let mut good: Vec<(Score, usize)> = self
@@ -212,12 +217,12 @@
             })
             .collect();
         if good.is_empty() {
-            return Tried::NoRoom;
+            return PlacementOutcome::NoRoom;
         }
         good.sort_unstable_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal));
         let mut left: VecDeque<u32> = job.waiting.iter().take(mode.most as usize).collect();
         let attempt = self.model.new_attempt();
-        let mut outcome = Tried::NoRoom;
+        let mut outcome = PlacementOutcome::NoRoom;
         'machines: for (_, at) in good {
             // A task that has just ended here is not known to be forgotten yet.
             let mut passed = Vec::new();
@@ -230,7 +235,7 @@
                     continue;
                 }
                 if !self.within_limit(&spec, 1) {
-                    outcome = Tried::Barred;
+                    outcome = PlacementOutcome::NotAllowedNow;
                     break 'machines;
                 }
                 *count += 1;
@@ -245,14 +250,14 @@
                 left.push_front(index);
             }
             if left.is_empty() {
-                outcome = Tried::Placed;
+                outcome = PlacementOutcome::Placed;
                 break;
             }
         }
         self.tidy();
         // At its limit it is skipped, whatever room there is.
-        if outcome == Tried::NoRoom && !self.within_limit(&spec, 1) {
-            return Tried::Barred;
+        if outcome == PlacementOutcome::NoRoom && !self.within_limit(&spec, 1) {
+            return PlacementOutcome::NotAllowedNow;
         }
         outcome
     }
@@ -261,7 +266,7 @@
     fn next_batch(&self, id: JobId) -> Option<Vec<u32>> {
         let job = self.model.jobs.get(&id)?;
         let first = job.waiting.first()?;
-        Some(if job.spec.kind == Kind::Gang {
+        Some(if job.spec.kind == JobKind::Gang {
             job.waiting.iter().collect()
         } else {
             vec![first]
@@ -314,7 +319,7 @@
         self.rooms[p.at].claim(spec);
         if self.loaded {
             let end = self.now + self.model.predict(spec);
-            self.rooms[p.at].load.push(Load {
+            self.rooms[p.at].load.push(RunningLoad {
                 end,
                 cpus: spec.cpus,
                 gpus: spec.gpus,
@@ -331,7 +336,7 @@
             u.cpus += spec.cpus;
             u.gpus += spec.gpus;
         } else {
-            let u = Usage {
+            let u = TeamUsage {
                 cpus: spec.cpus,
                 gpus: spec.gpus,
             };
--- a/src/core/scheduling/placement/preemption.rs
+++ b/src/core/scheduling/placement/preemption.rs
@@ -5,8 +5,8 @@
 
 use super::Planner;
 use crate::core::scheduling::borrowed::BorrowedLoad;
-use crate::core::scheduling::capacity::Load;
-use crate::core::scheduling::plan::Round;
+use crate::core::scheduling::capacity::RunningLoad;
+use crate::core::scheduling::plan::RoundSummary;
 use crate::core::scheduling::ranking::Rank;
 use crate::core::state::slot::SlotState;
 use crate::wire::JobId;
@@ -26,7 +26,7 @@
                 let lives = s.stop.is_none() && !matches!(s.state, SlotState::Saving);
                 let outranked = lives && rank.is_some_and(|r| r > head);
                 let lent = outranked && !s.backfilled && borrowed.admits_stop(model, task.job, s, now);
-                room.load.push(Load {
+                room.load.push(RunningLoad {
                     end: if s.stop.is_some() {
                         now
                     } else {
@@ -48,7 +48,7 @@
 
     /// Stops shadow tasks if that starts tasks of the head (a gang: all of
     /// them) at once; lowest priority first, where the least work is lost.
-    pub(in crate::core) fn preempt_for(&mut self, head: JobId, rank: Rank, round: &mut Round) {
+    pub(in crate::core) fn preempt_for(&mut self, head: JobId, rank: Rank, round: &mut RoundSummary) {
         let borrowed = BorrowedLoad::for_head(self.model, head, &self.ranks);
         if !self.model.shadows && borrowed.is_empty() {
             return;
@@ -98,7 +98,7 @@
                 .iter()
                 .filter(|l| l.shadow)
                 .for_each(|l| after.give_back(l));
-            let mut sunny: Vec<&Load> = room.load.iter().filter(|l| !l.shadow).collect();
+            let mut sunny: Vec<&RunningLoad> = room.load.iter().filter(|l| !l.shadow).collect();
             sunny.sort_by_key(|l| l.end);
             for l in sunny {
                 after.give_back(l);
--- a/src/core/scheduling/placement/rules.rs
+++ b/src/core/scheduling/placement/rules.rs
@@ -4,7 +4,7 @@
 
 use super::Planner;
 use crate::core::scheduling::admission::type_allowed;
-use crate::core::scheduling::capacity::Room;
+use crate::core::scheduling::capacity::FreeCapacity;
 use crate::core::state::model::EPS;
 use crate::wire::{JobId, JobSpec};
 
@@ -61,7 +61,7 @@
         true
     }
 
-    pub(super) fn machine_allowed(&self, spec: &JobSpec, room: &Room) -> bool {
+    pub(super) fn machine_allowed(&self, spec: &JobSpec, room: &FreeCapacity) -> bool {
         (spec.spot || !room.spot)
             && type_allowed(spec, &self.types[room.kind])
             && !room.closed
--- a/src/core/scheduling/placement/search.rs
+++ b/src/core/scheduling/placement/search.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::Planner;
-use crate::core::scheduling::capacity::Room;
+use crate::core::scheduling::capacity::FreeCapacity;
 use crate::wire::{JobId, JobSpec, TaskId};
 
 /// How good a machine is for a task, the smaller the better; the first difference
@@ -105,7 +105,7 @@
     /// tasks would give back.
     pub(super) fn find_one(
         &self,
-        rooms: &[Room],
+        rooms: &[FreeCapacity],
         spec: &JobSpec,
         task: TaskId,
         zones: Option<&BTreeMap<String, u32>>,
@@ -131,7 +131,7 @@
     /// How good a machine is for a job's task, and what would have to stop.
     pub(super) fn judge(
         &self,
-        room: &Room,
+        room: &FreeCapacity,
         spec: &JobSpec,
         zones: Option<&BTreeMap<String, u32>>,
         limit: Option<Instant>,
--- a/src/core/scheduling/plan.rs
+++ b/src/core/scheduling/plan.rs
@@ -5,15 +5,15 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-use crate::core::scheduling::placement::{Mode, Planner, Tried};
+use crate::core::scheduling::placement::{PlacementMode, PlacementOutcome, Planner};
 use crate::core::scheduling::ranking::Rank;
-use crate::core::state::machine::{Machine, Phase};
-use crate::core::state::model::Model;
+use crate::core::state::machine::{Machine, MachinePhase};
+use crate::core::state::model::ClusterModel;
 use crate::wire::{JobId, MachineId, TaskId};
 
 /// What a team uses.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Usage {
+pub struct TeamUsage {
     /// CPUs.
     pub cpus: f64,
     /// Accelerators.
@@ -22,7 +22,7 @@
 
 /// What a round did.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct Round {
+pub struct RoundSummary {
     /// Started in order.
     pub in_order: u32,
     /// Started by backfilling.
@@ -31,10 +31,10 @@
     pub preempted: u32,
 }
 
-impl Model {
+impl ClusterModel {
     /// What each team's tasks use, or may use, wherever they may be.
-    pub fn usage(&self) -> HashMap<String, Usage> {
-        let mut use_of: HashMap<String, Usage> = HashMap::new();
+    pub fn usage(&self) -> HashMap<String, TeamUsage> {
+        let mut use_of: HashMap<String, TeamUsage> = HashMap::new();
         for j in self.jobs.values().filter(|j| j.placed > 0) {
             let n = f64::from(j.placed);
             let u = use_of.entry(j.spec.team.clone()).or_default();
@@ -46,7 +46,7 @@
 
     /// Whether a machine may be placed on.
     pub fn usable(&self, m: &Machine, now: Instant) -> bool {
-        m.phase == Phase::Up
+        m.phase == MachinePhase::Up
             && m.fenced(self.term)
             && m.cordoned.is_none()
             && !m.addr.is_empty()
@@ -58,18 +58,18 @@
     }
 
     /// One scheduling round.
-    pub fn plan(&mut self, now: Instant) -> Round {
+    pub fn plan(&mut self, now: Instant) -> RoundSummary {
         self.round(now, false)
     }
 
     /// A round that places every task by itself: the plain rule, which the
     /// ordinary round is measured by.
-    pub fn plan_one_by_one(&mut self, now: Instant) -> Round {
+    pub fn plan_one_by_one(&mut self, now: Instant) -> RoundSummary {
         self.round(now, true)
     }
 
-    fn round(&mut self, now: Instant, plainly: bool) -> Round {
-        let mut round = Round::default();
+    fn round(&mut self, now: Instant, plainly: bool) -> RoundSummary {
+        let mut round = RoundSummary::default();
         if self.jobs_that_want_room().next().is_none() {
             self.all_sunny();
             return round;
@@ -88,8 +88,8 @@
         let mut head: Option<(usize, Rank)> = None;
         for (at, (rank, id)) in queue.iter().enumerate() {
             let most = p.first_tasks(*id, rank.1);
-            let tried = p.place_all(*id, Mode::in_order(most), &mut round.in_order);
-            if tried == Tried::NoRoom {
+            let tried = p.place_all(*id, PlacementMode::in_order(most), &mut round.in_order);
+            if tried == PlacementOutcome::NoRoom {
                 head = Some((at, *rank));
                 break;
             }
@@ -116,12 +116,12 @@
             by_finish.sort_unstable();
             if let Some(limit) = p.reservation(head_id) {
                 for (_, _, id) in &by_finish {
-                    p.place_all(*id, Mode::backfill(Some(limit)), &mut round.backfilled);
+                    p.place_all(*id, PlacementMode::backfill(Some(limit)), &mut round.backfilled);
                 }
             }
             // Then whatever room is left, by priority.
             for (_, id) in rest {
-                p.place_all(*id, Mode::backfill(None), &mut round.backfilled);
+                p.place_all(*id, PlacementMode::backfill(None), &mut round.backfilled);
             }
         }
         let ranks = std::mem::take(&mut p.ranks);
--- a/src/core/scheduling/ranking.rs
+++ b/src/core/scheduling/ranking.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use crate::core::scheduling::plan::Usage;
+use crate::core::scheduling::plan::TeamUsage;
 use crate::core::state::job::Job;
-use crate::core::state::model::{Model, EPS};
+use crate::core::state::model::{ClusterModel, EPS};
 use crate::core::state::slot::Slot;
-use crate::wire::{JobId, JobSpec, Kind, Priority};
+use crate::wire::{JobId, JobKind, JobSpec, Priority};
 
 /// Place of a job in the queue; the smaller comes first: by priority, then by
 /// [`Tier`], then by arrival or, where something is due, by the work that is
@@ -46,11 +46,11 @@
 /// ordinary place, so that all who starve begin soon.
 pub(in crate::core) const BEGIN_TASKS: u32 = 2;
 
-impl Model {
+impl ClusterModel {
     /// Run time predicted for a task of a job: the estimate times the ratio of
     /// the team's last finished job, never more than the estimate.
     pub fn predict(&self, spec: &JobSpec) -> Duration {
-        if spec.kind == Kind::Service || spec.estimate_s <= 0.0 {
+        if spec.kind == JobKind::Service || spec.estimate_s <= 0.0 {
             return Duration::from_secs(365 * 86_400);
         }
         let ratio = self.ratios.get(&spec.team).copied().unwrap_or(1.0);
@@ -75,7 +75,7 @@
     fn guaranteed(&self) -> HashSet<JobId> {
         let mut by_arrival: Vec<&Job> = self.ready_jobs().collect();
         by_arrival.sort_by_cached_key(|j| (self.ready_since(j), j.spec.id));
-        let mut sums: HashMap<&str, Usage> = HashMap::new();
+        let mut sums: HashMap<&str, TeamUsage> = HashMap::new();
         let mut within = HashSet::new();
         for j in by_arrival {
             let Some(team) = self.config.teams.get(&j.spec.team) else {
--- a/src/core/state/config.rs
+++ b/src/core/state/config.rs
@@ -7,7 +7,7 @@
 
 /// What the model is told once.
 #[derive(Debug, Clone)]
-pub struct Config {
+pub struct SchedulerConfig {
     /// Teams by name.
     pub teams: HashMap<String, Team>,
     /// The users' aims.
@@ -31,12 +31,12 @@
     /// Largest value of the state service in bytes, likewise.
     pub value_bytes: usize,
     /// Operators' settings.
-    pub tuning: crate::settings::Tuning,
+    pub tuning: crate::settings::OperatorSettings,
 }
 
-impl Config {
+impl SchedulerConfig {
     /// Takes what it needs from the settings.
-    pub fn new(p: &crate::settings::Platform, tuning: crate::settings::Tuning) -> Self {
+    pub fn new(p: &crate::settings::DeploymentSettings, tuning: crate::settings::OperatorSettings) -> Self {
         Self {
             teams: p
                 .params
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -7,7 +7,7 @@
 use crate::core::scheduling::probation::FailureHistory;
 use crate::core::state::bits::BitSet;
 use crate::core::storage::record::JobRecord;
-use crate::wire::{JobSpec, Kind, MachineId};
+use crate::wire::{JobKind, JobSpec, MachineId};
 
 /// An unfinished job.
 #[derive(Debug)]
@@ -98,7 +98,7 @@
 
     /// All its tasks are done.
     pub fn complete(&self) -> bool {
-        self.spec.kind != Kind::Service && self.done.count() == self.spec.tasks
+        self.spec.kind != JobKind::Service && self.done.count() == self.spec.tasks
     }
 
     /// The time of day at an instant, in milliseconds.
@@ -126,7 +126,7 @@
     /// A gang that lost some of its tasks: the rest has to go before it can
     /// be placed again, whole.
     pub fn broken_gang(&self) -> bool {
-        self.spec.kind == Kind::Gang && !self.places.is_empty() && self.waiting.count() > 0
+        self.spec.kind == JobKind::Gang && !self.places.is_empty() && self.waiting.count() > 0
     }
 
     pub(in crate::core) fn occupy(&mut self, index: u32, machine: &MachineId) {
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -5,15 +5,15 @@
 
 use crate::core::state::job::Job;
 use crate::core::state::slot::{Slot, SlotState};
-use crate::core::storage::wal::{Entry, Log};
-use crate::wire::{Command, JobId, MachineId, TaskId, Why};
+use crate::core::storage::wal::{LogEntry, WriteAheadLog};
+use crate::wire::{Command, ExitReason, JobId, MachineId, TaskId};
 
 /// Bits of a token below the term.
 pub(in crate::core) const TOKEN_BITS: u32 = 20;
 
 /// How far a machine is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum MachinePhase {
     /// Rented, its worker has not spoken yet.
     Booting,
     /// Its worker has spoken.
@@ -36,7 +36,7 @@
     /// Whether it is a spot machine.
     pub spot: bool,
     /// How far it is.
-    pub phase: Phase,
+    pub phase: MachinePhase,
     /// Known since (rental or first word of it).
     pub since: Instant,
     /// Session and sequence of the newest message.
@@ -87,7 +87,7 @@
             machine_type: String::new(),
             zone: String::new(),
             spot: false,
-            phase: Phase::Booting,
+            phase: MachinePhase::Booting,
             since: now,
             newest: (0, 0),
             seen_token: 0,
@@ -112,8 +112,8 @@
     }
 
     /// What the log is to say of it.
-    pub(in crate::core) fn entry(&self) -> Entry {
-        Entry::Machine(
+    pub(in crate::core) fn entry(&self) -> LogEntry {
+        LogEntry::Machine(
             self.id.clone(),
             self.addr.clone(),
             self.machine_type.clone(),
@@ -131,7 +131,7 @@
                 .any(|s| s.stop.is_some() || matches!(s.state, SlotState::Placed | SlotState::Ended(_)))
     }
 
-    /// Whether a session is over by its lease, see [`crate::core::Model::clear_lapsed`].
+    /// Whether a session is over by its lease, see [`crate::core::ClusterModel::clear_lapsed`].
     pub fn session_over(&self, session: u64) -> bool {
         self.newest == (session, u64::MAX)
     }
@@ -176,16 +176,18 @@
 
 impl Machine {
     /// Orders to forget what has ended and is stored.
-    pub(in crate::core) fn forgets(&self, log: &Log, jobs: &BTreeMap<JobId, Job>) -> Vec<Command> {
+    pub(in crate::core) fn forgets(&self, log: &WriteAheadLog, jobs: &BTreeMap<JobId, Job>) -> Vec<Command> {
         let kept = |task: &TaskId, slot: &Slot| match slot.state {
-            SlotState::Ended(Why::Done) => log.is_stored(slot.outcome) || !jobs.contains_key(&task.job),
+            SlotState::Ended(ExitReason::Done) => {
+                log.is_stored(slot.outcome) || !jobs.contains_key(&task.job)
+            }
             SlotState::Ended(_) => true,
             _ => false,
         };
         self.slots
             .iter()
             .filter(|(task, slot)| kept(task, slot))
-            .map(|(task, slot)| Command::Forget {
+            .map(|(task, slot)| Command::Acknowledge {
                 task: *task,
                 attempt: slot.attempt,
             })
--- a/src/core/state/model.rs
+++ b/src/core/state/model.rs
@@ -12,15 +12,15 @@
 
 use tracing::{debug, info};
 
-use crate::core::state::config::Config;
+use crate::core::state::config::SchedulerConfig;
 use crate::core::state::dependencies::{Dependencies, DependencyOutcome, DependentJob, Urgency};
 use crate::core::state::job::Job;
-use crate::core::state::machine::{Machine, Phase, TOKEN_BITS};
+use crate::core::state::machine::{Machine, MachinePhase, TOKEN_BITS};
 use crate::core::state::slot::{Slot, SlotState};
 use crate::core::state::tombstones::Tombstones;
 use crate::core::storage::record::JobRecord;
-use crate::core::storage::wal::{Entry as Logged, Log, Replay};
-use crate::wire::{CloudState, JobId, JobView, ListedMachine, MachineId, MachineType, Standing, TaskId};
+use crate::core::storage::wal::{LogEntry as Logged, LogReplay, WriteAheadLog};
+use crate::wire::{CloudState, JobId, JobState, JobStatus, ListedMachine, MachineId, MachineType, TaskId};
 
 /// Ratios of the Last Model are kept above this, so that a team's job of no
 /// length doesn't make its long ones look like nothing.
@@ -30,9 +30,9 @@
 
 /// The cluster as the leader of one term knows it.
 #[derive(Debug)]
-pub struct Model {
+pub struct ClusterModel {
     /// What it was told once.
-    pub config: Arc<Config>,
+    pub config: Arc<SchedulerConfig>,
     /// The leader's term.
     pub term: u64,
     /// Machine types; empty until known.
@@ -50,7 +50,7 @@
     /// When they were last written.
     pub ratios_written: Option<Instant>,
     /// The write-ahead log.
-    pub log: Log,
+    pub log: WriteAheadLog,
     /// When an append was last taken from it.
     pub log_taken: Option<Instant>,
     /// Machines that a command may be due for.
@@ -67,11 +67,11 @@
     pub fleet: crate::core::fleet::FleetState,
 }
 
-impl Model {
+impl ClusterModel {
     /// An empty cluster.
-    pub fn new(config: Arc<Config>, term: u64) -> Self {
+    pub fn new(config: Arc<SchedulerConfig>, term: u64) -> Self {
         Self {
-            log: Log::new(config.value_bytes),
+            log: WriteAheadLog::new(config.value_bytes),
             log_taken: None,
             due: BTreeSet::new(),
             config,
@@ -171,7 +171,7 @@
         !job.cancelled && job.waiting.count() > 0 && self.dependencies.is_ready(job.spec.id)
     }
 
-    /// The jobs that want room, see [`Model::wants_room`].
+    /// The jobs that want room, see [`ClusterModel::wants_room`].
     pub fn jobs_that_want_room(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values().filter(|job| self.wants_room(job))
     }
@@ -220,7 +220,7 @@
     /// its own or of a job that it needs, is on its way to be stored. It may be
     /// stored already though no answer says so, and another controller that read
     /// it may have told the user: only what is stored is sure then.
-    pub fn view(&self, id: JobId) -> Option<JobView> {
+    pub fn view(&self, id: JobId) -> Option<JobStatus> {
         let job = self.jobs.get(&id)?;
         let cancelled = job.cancel_is_sure();
         if !cancelled && (job.writing || job.cancelled || self.dependencies.in_doubt(id)) {
@@ -228,13 +228,13 @@
         }
         let running = job.running.len() as u32;
         let state = if cancelled {
-            Standing::Cancelled
+            JobState::Cancelled
         } else if running > 0 {
-            Standing::Running
+            JobState::Running
         } else {
-            Standing::Queued
+            JobState::Queued
         };
-        Some(JobView {
+        Some(JobStatus {
             id,
             state,
             done: job.done.count(),
@@ -335,7 +335,7 @@
         for id in &replay.gone {
             self.gone.insert(id.clone());
         }
-        let Replay {
+        let LogReplay {
             machines, mut starts, ..
         } = replay;
         for (id, (addr, kind, zone, spot)) in machines {
@@ -371,7 +371,7 @@
         m.probe = !m.addr.is_empty();
         if m.probe {
             // It was up: silence from now on counts as silence, not as boot.
-            m.phase = Phase::Up;
+            m.phase = MachinePhase::Up;
             self.due.insert(id.clone());
         }
         for (task, attempt) in tasks {
@@ -435,7 +435,7 @@
                 m.zone = l.zone.clone();
                 m.spot = l.spot;
                 if l.state == CloudState::Running {
-                    m.phase = Phase::Up;
+                    m.phase = MachinePhase::Up;
                     m.since = now;
                     m.probe = true;
                 }
@@ -445,7 +445,7 @@
                 let entry = m.entry();
                 self.log.push(entry);
             }
-            if l.state == CloudState::Running && m.phase == Phase::Booting {
+            if l.state == CloudState::Running && m.phase == MachinePhase::Booting {
                 m.probe = true;
             }
             if m.probe {
--- a/src/core/state/slot.rs
+++ b/src/core/state/slot.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use crate::core::state::machine::TOKEN_BITS;
-use crate::wire::{JobSpec, Why};
+use crate::wire::{ExitReason, JobSpec};
 
 /// State of a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -20,7 +20,7 @@
     /// Saves, after a stop.
     Saving,
     /// Ended; stays until the worker forgets it.
-    Ended(Why),
+    Ended(ExitReason),
 }
 
 /// A place where an attempt of a task is or may be.
--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -7,11 +7,11 @@
 
 use crate::core::state::dependencies::DependencyOutcome;
 use crate::core::state::job::Job;
-use crate::core::state::model::{Model, LEAST_RATIO};
+use crate::core::state::model::{ClusterModel, LEAST_RATIO};
 use crate::core::storage::record::{self, FinalRecord};
-use crate::core::storage::wal::{Append, Entry};
-use crate::store::writer::Unit;
-use crate::wire::{JobId, Kind, Standing};
+use crate::core::storage::wal::{LogAppend, LogEntry};
+use crate::store::writer::AtomicWrite;
+use crate::wire::{JobId, JobKind, JobState};
 
 /// Entries of the log that no start waits for are written at most so often.
 const LOG_PAUSE: Duration = Duration::from_millis(800);
@@ -20,9 +20,9 @@
 
 /// A write that is due.
 #[derive(Debug, Clone)]
-pub enum Write {
+pub enum PendingWrite {
     /// Segments of the write-ahead log.
-    Log(Append),
+    WriteAheadLog(LogAppend),
     /// A job's final state.
     Final {
         /// The job.
@@ -36,38 +36,38 @@
     Ratios(BTreeMap<String, f64>),
 }
 
-impl Write {
+impl PendingWrite {
     /// The changes of the state service.
-    pub fn unit(&self) -> Unit {
+    pub fn unit(&self) -> AtomicWrite {
         let put = |v: Result<serde_json::Value, _>| v.ok();
         let changes = match self {
-            Write::Log(a) => a
+            PendingWrite::WriteAheadLog(a) => a
                 .segments
                 .iter()
                 .map(|(n, v)| (record::segment_key(*n), v.clone()))
                 .collect(),
-            Write::Final { id, record, .. } => vec![
+            PendingWrite::Final { id, record, .. } => vec![
                 (record::job_key(*id), None),
                 (record::final_key(*id), put(serde_json::to_value(record))),
             ],
-            Write::Ratios(r) => vec![(record::RATIOS.to_owned(), put(serde_json::to_value(r)))],
+            PendingWrite::Ratios(r) => vec![(record::RATIOS.to_owned(), put(serde_json::to_value(r)))],
         };
-        Unit {
+        AtomicWrite {
             changes,
             absent: Vec::new(),
-            urgent: matches!(self, Write::Final { needed: true, .. }),
+            urgent: matches!(self, PendingWrite::Final { needed: true, .. }),
         }
     }
 }
 
-impl Model {
+impl ClusterModel {
     /// Takes the writes that are due now.
-    pub fn take_writes(&mut self, now: Instant) -> Vec<Write> {
+    pub fn take_writes(&mut self, now: Instant) -> Vec<PendingWrite> {
         let mut out = Vec::new();
         let idle = self.log_taken.is_none_or(|t| now >= t + LOG_PAUSE);
         let paced = self.log_taken.is_none_or(|t| now >= t + self.config.log_pause);
         if paced && self.log.wants(idle) {
-            out.extend(self.take_log(now).map(Write::Log));
+            out.extend(self.take_log(now).map(PendingWrite::WriteAheadLog));
         }
         let mut learned = Vec::new();
         self.stop_cancelled(now);
@@ -84,22 +84,22 @@
                     continue;
                 }
                 cancelled_left -= 1;
-                Standing::Cancelled
+                JobState::Cancelled
             } else if job.complete() && !job.cancelled {
                 learned.extend(ratio(job).map(|r| (job.spec.team.clone(), r)));
-                Standing::Done
+                JobState::Done
             } else {
                 continue;
             };
             job.writing = true;
-            out.push(Write::Final {
+            out.push(PendingWrite::Final {
                 id: *id,
                 record: FinalRecord {
                     state,
                     done: job.done.count(),
                     ended_at: Some(job.wall_clock(now)),
                 },
-                needed: state == Standing::Done && self.dependencies.is_needed(*id),
+                needed: state == JobState::Done && self.dependencies.is_needed(*id),
             });
         }
         for (team, r) in learned {
@@ -113,7 +113,7 @@
         {
             self.ratios_dirty = false;
             self.ratios_written = Some(now);
-            out.push(Write::Ratios(self.ratios_that_fit()));
+            out.push(PendingWrite::Ratios(self.ratios_that_fit()));
         }
         out
     }
@@ -141,20 +141,20 @@
         }
     }
 
-    fn take_log(&mut self, now: Instant) -> Option<Append> {
+    fn take_log(&mut self, now: Instant) -> Option<LogAppend> {
         let per = self.config.value_bytes.max(1);
         let most = (MOST_BYTES / per).min(self.config.txn_ops).max(1);
         let slots: usize = self.machines.values().map(|m| m.slots.len()).sum();
         let done: usize = self.jobs.values().map(|j| j.done.count() as usize).sum();
         let live_bytes = self.machines.len() * 90 + slots * 50 + done * 6;
         let (machines, jobs) = (&self.machines, &self.jobs);
-        let live = |e: &Entry| match e {
-            Entry::Machine(id, addr, ..) => machines
+        let live = |e: &LogEntry| match e {
+            LogEntry::Machine(id, addr, ..) => machines
                 .get(id)
                 .is_some_and(|m| m.addr == *addr)
                 .then(|| e.clone()),
-            Entry::Gone(_) => None,
-            Entry::Start(id, job, attempt, tasks) => {
+            LogEntry::Gone(_) => None,
+            LogEntry::Start(id, job, attempt, tasks) => {
                 let m = machines.get(id)?;
                 let still: Vec<u32> = tasks
                     .iter()
@@ -166,10 +166,10 @@
                             .is_some_and(|s| s.attempt == *attempt && s.takes_room())
                     })
                     .collect();
-                (!still.is_empty()).then(|| Entry::Start(id.clone(), *job, *attempt, still))
+                (!still.is_empty()).then(|| LogEntry::Start(id.clone(), *job, *attempt, still))
             }
-            Entry::Done(job, _) => jobs.contains_key(job).then(|| e.clone()),
-            Entry::Unknown(_) => Some(e.clone()),
+            LogEntry::Done(job, _) => jobs.contains_key(job).then(|| e.clone()),
+            LogEntry::Unknown(_) => Some(e.clone()),
         };
         let a = self.log.take(most, live_bytes, live)?;
         self.log_taken = Some(now);
@@ -177,13 +177,13 @@
     }
 
     /// A write is stored, or was not.
-    pub fn written(&mut self, w: &Write, ok: bool, now: Instant) {
+    pub fn written(&mut self, w: &PendingWrite, ok: bool, now: Instant) {
         match w {
-            Write::Log(a) if ok => self.log.appended(a),
-            Write::Final { id, record, .. } => {
+            PendingWrite::WriteAheadLog(a) if ok => self.log.appended(a),
+            PendingWrite::Final { id, record, .. } => {
                 if ok {
                     let outcome = match record.state {
-                        Standing::Cancelled => DependencyOutcome::Cancelled,
+                        JobState::Cancelled => DependencyOutcome::Cancelled,
                         _ => DependencyOutcome::Done(Some(now)),
                     };
                     self.resolve_dependency(*id, outcome);
@@ -193,7 +193,7 @@
                     info!(job = %id, state = ?record.state, "its final state is not stored yet");
                 }
             }
-            Write::Log(_) | Write::Ratios(_) => {}
+            PendingWrite::WriteAheadLog(_) | PendingWrite::Ratios(_) => {}
         }
     }
 }
@@ -201,7 +201,7 @@
 /// The run-to-estimate ratio of a finished job. Only what ended `done` counts,
 /// never errors or stops: a job that fails at once says nothing of run times.
 fn ratio(job: &Job) -> Option<f64> {
-    if job.spec.kind == Kind::Service || job.spec.estimate_s <= 0.0 || job.run_count == 0 {
+    if job.spec.kind == JobKind::Service || job.spec.estimate_s <= 0.0 || job.run_count == 0 {
         return None;
     }
     let mean = job.run_sum.as_secs_f64() / f64::from(job.run_count);
--- a/src/core/storage/record.rs
+++ b/src/core/storage/record.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::wire::{JobId, JobSpec, Standing};
+use crate::wire::{JobId, JobSpec, JobState};
 
 /// Key of the leader's election.
 pub const LEADER: &str = "leader";
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinalRecord {
     /// `done` or `cancelled`.
-    pub state: Standing,
+    pub state: JobState,
     /// Tasks done.
     pub done: u32,
     /// When it ended, in milliseconds of the time of day: the times of jobs that
--- a/src/core/storage/wal.rs
+++ b/src/core/storage/wal.rs
@@ -16,7 +16,7 @@
 
 /// An entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Entry {
+pub enum LogEntry {
     /// A machine: name, address (empty if not known yet), type, zone, spot.
     #[serde(rename = "m")]
     Machine(MachineId, String, String, String, bool),
@@ -37,11 +37,13 @@
 /// Names of the entries that this version knows.
 const KNOWN_ENTRIES: [&str; 4] = ["m", "g", "s", "d"];
 
-impl Entry {
+impl LogEntry {
     /// An entry that this version ought to know, and can't read: what it names is
     /// in doubt.
     fn is_damaged(&self) -> bool {
-        let Entry::Unknown(value) = self else { return false };
+        let LogEntry::Unknown(value) = self else {
+            return false;
+        };
         let known = |name: &str| KNOWN_ENTRIES.contains(&name);
         value
             .as_object()
@@ -71,7 +73,7 @@
 
 #[derive(Debug, Default, Clone)]
 struct Segment {
-    entries: Vec<Entry>,
+    entries: Vec<LogEntry>,
     bytes: usize,
 }
 
@@ -83,12 +85,12 @@
 struct Compaction {
     segment: u64,
     /// Entries that are still to be moved.
-    left: Vec<Entry>,
+    left: Vec<LogEntry>,
 }
 
 /// An append on its way: segments to be written, or to be deleted (`None`).
 #[derive(Debug, Clone, PartialEq)]
-pub struct Append {
+pub struct LogAppend {
     /// Segments by number.
     pub segments: Vec<(u64, Option<Value>)>,
     /// Entries up to here are stored once it is.
@@ -97,7 +99,7 @@
 
 /// What the log says, replayed in order.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Replay {
+pub struct LogReplay {
     /// Machines: address, type, zone, spot.
     pub machines: BTreeMap<MachineId, (String, String, String, bool)>,
     /// Tasks that may be on each machine, and their attempts.
@@ -108,31 +110,31 @@
     pub gone: BTreeSet<MachineId>,
 }
 
-impl Replay {
-    fn take(&mut self, e: &Entry) {
+impl LogReplay {
+    fn take(&mut self, e: &LogEntry) {
         match e {
-            Entry::Machine(id, addr, kind, zone, spot) => {
+            LogEntry::Machine(id, addr, kind, zone, spot) => {
                 self.machines
                     .insert(id.clone(), (addr.clone(), kind.clone(), zone.clone(), *spot));
             }
-            Entry::Gone(id) => {
+            LogEntry::Gone(id) => {
                 self.machines.remove(id);
                 self.starts.remove(id);
                 self.gone.insert(id.clone());
             }
-            Entry::Start(id, job, attempt, tasks) => {
+            LogEntry::Start(id, job, attempt, tasks) => {
                 let on = self.starts.entry(id.clone()).or_default();
                 on.extend(tasks.iter().map(|i| (TaskId { job: *job, index: *i }, *attempt)));
             }
-            Entry::Done(job, tasks) => self.done.entry(*job).or_default().extend(tasks),
-            Entry::Unknown(_) => {}
+            LogEntry::Done(job, tasks) => self.done.entry(*job).or_default().extend(tasks),
+            LogEntry::Unknown(_) => {}
         }
     }
 }
 
 /// The log as its writer knows it.
 #[derive(Debug)]
-pub struct Log {
+pub struct WriteAheadLog {
     /// Most bytes of a segment.
     limit: usize,
     /// Most task numbers in an entry, so that none outgrows a segment.
@@ -145,7 +147,7 @@
     open: Option<u64>,
     next: u64,
     /// Entries to be written, each with the mark of its last push.
-    pending: Vec<(Entry, u64)>,
+    pending: Vec<(LogEntry, u64)>,
     /// A start is pending.
     urgent: bool,
     pushed: u64,
@@ -153,7 +155,7 @@
     in_flight: bool,
 }
 
-impl Log {
+impl WriteAheadLog {
     /// An empty log whose segments hold at most `value_bytes`.
     pub fn new(value_bytes: usize) -> Self {
         let limit = value_bytes.saturating_sub(VALUE_MARGIN).max(LEAST_SEGMENT);
@@ -175,13 +177,13 @@
 
     /// Takes a stored segment of an earlier term. False: it can't be read.
     pub fn load(&mut self, number: u64, value: Value) -> bool {
-        let Ok(entries) = serde_json::from_value::<Vec<Entry>>(value) else {
+        let Ok(entries) = serde_json::from_value::<Vec<LogEntry>>(value) else {
             return false;
         };
-        if entries.iter().any(Entry::is_damaged) {
+        if entries.iter().any(LogEntry::is_damaged) {
             return false;
         }
-        let bytes = entries.iter().map(Entry::bytes).sum();
+        let bytes = entries.iter().map(LogEntry::bytes).sum();
         self.segments.insert(number, Segment { entries, bytes });
         // Numbers are never used again.
         self.next = self.next.max(number + 1);
@@ -189,27 +191,27 @@
     }
 
     /// What the stored segments say.
-    pub fn replay(&self) -> Replay {
-        let mut r = Replay::default();
+    pub fn replay(&self) -> LogReplay {
+        let mut r = LogReplay::default();
         for e in self.segments.values().flat_map(|s| &s.entries) {
             r.take(e);
         }
         r
     }
 
-    /// Adds an entry; the mark that [`Log::is_stored`] is asked with.
-    pub fn push(&mut self, e: Entry) -> u64 {
-        self.urgent |= matches!(e, Entry::Start(..));
+    /// Adds an entry; the mark that [`WriteAheadLog::is_stored`] is asked with.
+    pub fn push(&mut self, e: LogEntry) -> u64 {
+        self.urgent |= matches!(e, LogEntry::Start(..));
         self.pushed += 1;
         let joined = match (self.pending.last_mut(), &e) {
-            (Some((Entry::Start(m, j, a, list), mark)), Entry::Start(m2, j2, a2, more))
+            (Some((LogEntry::Start(m, j, a, list), mark)), LogEntry::Start(m2, j2, a2, more))
                 if m == m2 && j == j2 && a == a2 && list.len() < self.most_indices =>
             {
                 list.extend(more);
                 *mark = self.pushed;
                 true
             }
-            (Some((Entry::Done(j, list), mark)), Entry::Done(j2, more))
+            (Some((LogEntry::Done(j, list), mark)), LogEntry::Done(j2, more))
                 if j == j2 && list.len() < self.most_indices =>
             {
                 list.extend(more);
@@ -241,8 +243,8 @@
         &mut self,
         most: usize,
         live_bytes: usize,
-        live: impl Fn(&Entry) -> Option<Entry>,
-    ) -> Option<Append> {
+        live: impl Fn(&LogEntry) -> Option<LogEntry>,
+    ) -> Option<LogAppend> {
         if self.in_flight || self.pending.is_empty() {
             return None;
         }
@@ -259,18 +261,18 @@
                 left.push((entry, mark));
             }
         }
-        self.urgent = left.iter().any(|(e, _)| matches!(e, Entry::Start(..)));
+        self.urgent = left.iter().any(|(e, _)| matches!(e, LogEntry::Start(..)));
         self.pending = left;
         self.in_flight = true;
         let value = |n: &u64| serde_json::to_value(&self.segments[n].entries).unwrap_or(Value::Null);
         let mut segments: Vec<_> = changed.iter().map(|n| (*n, Some(value(n)))).collect();
         segments.extend(deleted.map(|n| (n, None)));
-        Some(Append { segments, upto })
+        Some(LogAppend { segments, upto })
     }
 
     /// Writes an entry to the open segment or a new one, if no more segments are
     /// changed by that than may be. Whether it did.
-    fn write(&mut self, entry: &Entry, changed: &mut BTreeSet<u64>, most_changed: usize) -> bool {
+    fn write(&mut self, entry: &LogEntry, changed: &mut BTreeSet<u64>, most_changed: usize) -> bool {
         let bytes = entry.bytes();
         let may_change = |n: &u64| changed.contains(n) || changed.len() < most_changed;
         let fitting = self.open.filter(|n| self.segments[n].bytes + bytes <= self.limit);
@@ -296,7 +298,7 @@
         &mut self,
         most: usize,
         live_bytes: usize,
-        live: impl Fn(&Entry) -> Option<Entry>,
+        live: impl Fn(&LogEntry) -> Option<LogEntry>,
         changed: &mut BTreeSet<u64>,
     ) -> Option<u64> {
         let waits_its_turn = most <= SMALL_TRANSACTION && self.compacted;
@@ -341,7 +343,7 @@
     }
 
     /// An append is stored.
-    pub fn appended(&mut self, a: &Append) {
+    pub fn appended(&mut self, a: &LogAppend) {
         self.in_flight = false;
         self.stored = self.stored.max(a.upto);
     }
@@ -353,15 +355,15 @@
 ///
 /// No entry holds more than so many task numbers: earlier ones may be larger than
 /// the limits allow by now.
-fn merged(entries: impl Iterator<Item = Entry>, most_indices: usize) -> Vec<Entry> {
+fn merged(entries: impl Iterator<Item = LogEntry>, most_indices: usize) -> Vec<LogEntry> {
     let mut out = Vec::new();
     let mut done: BTreeMap<JobId, Vec<u32>> = BTreeMap::new();
     for e in entries {
         match e {
-            Entry::Done(job, tasks) => done.entry(job).or_default().extend(tasks),
-            Entry::Start(machine, job, attempt, tasks) => {
+            LogEntry::Done(job, tasks) => done.entry(job).or_default().extend(tasks),
+            LogEntry::Start(machine, job, attempt, tasks) => {
                 let parts = tasks.chunks(most_indices);
-                out.extend(parts.map(|part| Entry::Start(machine.clone(), job, attempt, part.to_vec())));
+                out.extend(parts.map(|part| LogEntry::Start(machine.clone(), job, attempt, part.to_vec())));
             }
             other => out.push(other),
         }
@@ -370,7 +372,7 @@
         out.extend(
             tasks
                 .chunks(most_indices)
-                .map(|part| Entry::Done(job, part.to_vec())),
+                .map(|part| LogEntry::Done(job, part.to_vec())),
         );
     }
     out
--- a/src/leader/active_leader/dependency_lookup.rs
+++ b/src/leader/active_leader/dependency_lookup.rs
@@ -7,12 +7,12 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-use crate::controller::job_lookup::Lookup;
+use crate::controller::job_lookup::StoredJob;
 use crate::controller::wall_ms;
 use crate::core::state::dependencies::DependencyOutcome;
 use crate::core::storage::record::FinalRecord;
 use crate::store::StoreError;
-use crate::wire::{JobId, Standing};
+use crate::wire::{JobId, JobState};
 
 use super::ActiveLeader;
 
@@ -47,9 +47,9 @@
 
     async fn look_up_dependency(&self, id: JobId) -> Result<(), StoreError> {
         match self.node.lookup(id).await? {
-            Lookup::Active(record, version) => self.admit(*record, version),
-            Lookup::Final(_) => self.resolve(id),
-            Lookup::Absent => {
+            StoredJob::Unfinished(record, version) => self.admit(*record, version),
+            StoredJob::Finished(_) => self.resolve(id),
+            StoredJob::NeverAccepted => {
                 info!(job = %id, "jobs wait for one that is not stored; it is looked up again");
                 return Err(StoreError::Unanswered);
             }
@@ -66,7 +66,7 @@
         let mut resolved = 0;
         for id in &unresolved {
             // What passed by in an answer tells no time; the stored record may.
-            let at_hand = |r: &&FinalRecord| r.state == Standing::Cancelled || r.ended_at.is_some();
+            let at_hand = |r: &&FinalRecord| r.state == JobState::Cancelled || r.ended_at.is_some();
             if let Some(record) = finals.record(*id).filter(at_hand) {
                 model.resolve_dependency(*id, outcome_of(record, now, wall));
                 resolved += 1;
@@ -95,7 +95,7 @@
 
 /// What a final record tells of a job that others wait for.
 fn outcome_of(record: &FinalRecord, now: Instant, wall_ms: u64) -> DependencyOutcome {
-    if record.state == Standing::Cancelled {
+    if record.state == JobState::Cancelled {
         return DependencyOutcome::Cancelled;
     }
     // Earlier versions store no time; what they ended is older than any job
--- a/src/leader/active_leader/fleet_loop.rs
+++ b/src/leader/active_leader/fleet_loop.rs
@@ -10,7 +10,7 @@
 use crate::cloud::CloudError;
 use crate::core::fleet::FleetAction;
 use crate::core::storage::record;
-use crate::store::writer::Unit;
+use crate::store::writer::AtomicWrite;
 
 use super::ActiveLeader;
 
@@ -36,7 +36,7 @@
                                 let changes = vec![(record::TYPES.to_owned(), Some(value))];
                                 let _ = self
                                     .writer
-                                    .commit(Unit {
+                                    .commit(AtomicWrite {
                                         changes,
                                         absent: Vec::new(),
                                         urgent: true,
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -7,10 +7,10 @@
 use tokio::time::sleep;
 use tracing::info;
 
-use crate::controller::job_lookup::Lookup;
+use crate::controller::job_lookup::StoredJob;
 use crate::controller::wall_ms;
 use crate::core::storage::record::{self, JobRecord};
-use crate::store::writer::Unit;
+use crate::store::writer::AtomicWrite;
 use crate::store::StoreError;
 use crate::wire::JobId;
 
@@ -104,7 +104,7 @@
             return false;
         }
         self.writer.know(key, version);
-        let unit = Unit {
+        let unit = AtomicWrite {
             changes: vec![(key.to_owned(), None)],
             absent: Vec::new(),
             urgent: false,
@@ -121,7 +121,7 @@
             return true;
         }
         match self.node.lookup(id).await {
-            Ok(Lookup::Active(r, version)) => {
+            Ok(StoredJob::Unfinished(r, version)) => {
                 self.admit(*r, version);
                 true
             }
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -19,10 +19,10 @@
 use tracing::{debug, info};
 
 use super::redirects::RedirectHistory;
-use crate::controller::{read_clocks, Node, Role};
+use crate::controller::{read_clocks, Controller, Role};
 use crate::core::evidence::authority::{Authority, AuthorityLimits, ClockReading};
 use crate::core::storage::record::{self};
-use crate::core::Model;
+use crate::core::ClusterModel;
 use crate::store::writer::Writer;
 use crate::store::StoreError;
 
@@ -36,9 +36,9 @@
 pub struct ActiveLeader {
     /// The term.
     pub term: u64,
-    node: Arc<Node>,
+    node: Arc<Controller>,
     lease: u64,
-    model: Mutex<Model>,
+    model: Mutex<ClusterModel>,
     writer: Arc<Writer>,
     authority: Mutex<Authority>,
     /// Renewals of the lease begun so far, and the latest that ended, with its success.
@@ -59,10 +59,10 @@
 
 impl ActiveLeader {
     /// A term that was just won by a request sent at `sent`.
-    pub fn new(node: Arc<Node>, term: u64, lease: u64, sent: ClockReading) -> Arc<Self> {
+    pub fn new(node: Arc<Controller>, term: u64, lease: u64, sent: ClockReading) -> Arc<Self> {
         let most = node.config.txn_ops;
         let writer = Writer::new(node.store.clone(), record::LEADER, term, most);
-        let model = Model::new(node.config.clone(), term);
+        let model = ClusterModel::new(node.config.clone(), term);
         let workers = &node.platform.params.workers;
         let limits = AuthorityLimits {
             lease: node.tuning.leader_lease,
--- a/src/leader/active_leader/report_routing.rs
+++ b/src/leader/active_leader/report_routing.rs
@@ -6,12 +6,12 @@
 
 use tracing::{error, info};
 
-use crate::controller::Node;
-use crate::core::evidence::heartbeats::ReportOutcome;
-use crate::core::state::machine::Phase;
-use crate::core::Model;
-use crate::peer::Reply;
-use crate::wire::{MachineId, Report, ReportReply};
+use crate::controller::Controller;
+use crate::core::evidence::heartbeats::HeartbeatOutcome;
+use crate::core::state::machine::MachinePhase;
+use crate::core::ClusterModel;
+use crate::peer::ApiResponse;
+use crate::wire::{Heartbeat, HeartbeatResponse, MachineId};
 
 use super::ActiveLeader;
 
@@ -34,13 +34,13 @@
     }
 
     /// A report that reached the controller `via`.
-    pub fn report(&self, body: &[u8], via: &str) -> Reply {
+    pub fn report(&self, body: &[u8], via: &str) -> ApiResponse {
         if !self.may_renew_leases() {
-            return Reply::later("leadership is in doubt");
+            return ApiResponse::later("leadership is in doubt");
         }
-        let r: Report = match serde_json::from_slice(body) {
+        let r: Heartbeat = match serde_json::from_slice(body) {
             Ok(r) => r,
-            Err(e) => return Reply::error(400, &e.to_string()),
+            Err(e) => return ApiResponse::error(400, &e.to_string()),
         };
         let now = Instant::now();
         let may_act = self.may_act();
@@ -48,26 +48,26 @@
             let mut m = self.model.lock();
             let heard = m.apply_report(&r, now);
             let known = m.machines.get(&r.machine);
-            if known.is_some_and(|m| m.phase == Phase::Releasing) {
-                return Reply::later("this machine is being returned");
+            if known.is_some_and(|m| m.phase == MachinePhase::Releasing) {
+                return ApiResponse::later("this machine is being returned");
             }
             match heard {
-                ReportOutcome::MachineGone => return Reply::later("this machine was returned"),
+                HeartbeatOutcome::MachineReleased => return ApiResponse::later("this machine was returned"),
                 // A command's answer has overtaken it, or it is a late copy,
                 // whose answer reaches nobody.
-                ReportOutcome::Outdated
+                HeartbeatOutcome::Outdated
                     if known.is_none_or(|m| m.newest.0 != r.session || m.session_over(r.session)) =>
                 {
-                    return Reply::later("an older report")
+                    return ApiResponse::later("an older report")
                 }
-                ReportOutcome::Outdated | ReportOutcome::Applied => {}
+                HeartbeatOutcome::Outdated | HeartbeatOutcome::Applied => {}
             }
-            if heard == ReportOutcome::Applied {
+            if heard == HeartbeatOutcome::Applied {
                 self.log_unknown_tasks(&m, &r);
             }
             (heard, m.reply(&r.machine, r.token, now), m.stops(&r))
         };
-        if heard == ReportOutcome::Applied {
+        if heard == HeartbeatOutcome::Applied {
             self.wake.notify_one();
         }
         let Some((token, commands)) = answer else {
@@ -78,20 +78,20 @@
                 "a newer leader has spoken to a worker"
             );
             self.end();
-            return Reply::later("a newer leader has spoken to this worker");
+            return ApiResponse::later("a newer leader has spoken to this worker");
         };
         // Late copies tell nothing of where the worker reports now.
-        if heard == ReportOutcome::Applied {
+        if heard == HeartbeatOutcome::Applied {
             if let Some(to) = self.redirect(&r.machine, via, now) {
-                return Node::elsewhere(&to);
+                return Controller::elsewhere(&to);
             }
         }
         let mut commands = if may_act { commands } else { Vec::new() };
         commands.extend(stops);
-        Reply::json(200, &ReportReply { token, commands })
+        ApiResponse::json(200, &HeartbeatResponse { token, commands })
     }
 
-    fn log_unknown_tasks(&self, model: &Model, r: &Report) {
+    fn log_unknown_tasks(&self, model: &ClusterModel, r: &Heartbeat) {
         for unknown in model.unknown_tasks(r) {
             error!(
                 term = self.term,
--- a/src/leader/active_leader/scheduling_loop.rs
+++ b/src/leader/active_leader/scheduling_loop.rs
@@ -7,12 +7,12 @@
 use tracing::{debug, info};
 
 use crate::controller::read_clocks;
-use crate::core::storage::pending_writes::Write;
+use crate::core::storage::pending_writes::PendingWrite;
 use crate::core::storage::record;
-use crate::core::storage::wal::Append;
-use crate::store::writer::{CommitError, Unit};
-use crate::wire::{Commands, MachineId};
-use crate::worker::{self, Commanded};
+use crate::core::storage::wal::LogAppend;
+use crate::store::writer::{AtomicWrite, CommitError};
+use crate::wire::{CommandBatch, MachineId};
+use crate::worker::{self, CommandOutcome};
 
 use super::ActiveLeader;
 
@@ -47,7 +47,7 @@
         let now = Instant::now();
         let mut m = self.model.lock();
         let r = m.plan(now);
-        if r != crate::core::scheduling::plan::Round::default() {
+        if r != crate::core::scheduling::plan::RoundSummary::default() {
             debug!(?r, "round");
         }
         let mut load_ended = self.load_ended.lock();
@@ -84,27 +84,27 @@
 
     /// Sends a command that a round decided. What it was decided on is asked for
     /// again when it is handed over, as it may have waited for a socket.
-    async fn send_command(&self, id: &MachineId, addr: &str, commands: &Commands) {
+    async fn send_command(&self, id: &MachineId, addr: &str, commands: &CommandBatch) {
         let permit = || {
             let may_act = self.may_act();
             self.model.lock().permit_send(id, commands, may_act)
         };
         let outcome = worker::command(&self.node.sockets, addr, commands, permit).await;
         let report = match &outcome {
-            Commanded::Done(r) | Commanded::Refused(r) => Some(r),
-            Commanded::Unknown | Commanded::Withheld(_) => None,
+            CommandOutcome::Executed(r) | CommandOutcome::Refused(r) => Some(r),
+            CommandOutcome::Unanswered | CommandOutcome::SendRefusal(_) => None,
         };
         match &outcome {
-            Commanded::Refused(r) => {
+            CommandOutcome::Refused(r) => {
                 debug!(machine = %id, token = commands.token, seen = r.token, session = r.session, "command refused");
             }
-            Commanded::Withheld(why) => {
+            CommandOutcome::SendRefusal(why) => {
                 info!(machine = %id, token = commands.token, %why, "command withheld");
             }
-            Commanded::Done(_) | Commanded::Unknown => {}
+            CommandOutcome::Executed(_) | CommandOutcome::Unanswered => {}
         }
         let mut model = self.model.lock();
-        if matches!(outcome, Commanded::Withheld(_)) {
+        if matches!(outcome, CommandOutcome::SendRefusal(_)) {
             model.command_withheld(id);
         } else {
             model.commanded(id, report, Instant::now());
@@ -116,9 +116,9 @@
     /// Stores an append that is refused whole, one segment after the other: the
     /// state service may take fewer changes at once than was announced. What is
     /// deleted comes last, so that the log never names less than is there.
-    async fn commit_in_order(&self, append: &Append) -> Result<(), CommitError> {
+    async fn commit_in_order(&self, append: &LogAppend) -> Result<(), CommitError> {
         for (number, value) in &append.segments {
-            let segment = Unit {
+            let segment = AtomicWrite {
                 changes: vec![(record::segment_key(*number), value.clone())],
                 absent: Vec::new(),
                 urgent: false,
@@ -128,21 +128,21 @@
         Ok(())
     }
 
-    pub(super) async fn write(&self, w: Write) {
+    pub(super) async fn write(&self, w: PendingWrite) {
         let mut result = self.writer.commit(w.unit()).await;
-        if let (Err(CommitError::Refused), Write::Log(append)) = (&result, &w) {
+        if let (Err(CommitError::Refused), PendingWrite::WriteAheadLog(append)) = (&result, &w) {
             result = self.commit_in_order(append).await;
         }
         if let Err(CommitError::Conflict(keys)) = &result {
             info!(?keys, "a write met a changed key");
         }
-        if result.is_err() && matches!(w, Write::Log(_)) {
+        if result.is_err() && matches!(w, PendingWrite::WriteAheadLog(_)) {
             // The log is this term's alone: what it holds is in doubt now, and
             // the next term reads it anew.
             return self.end();
         }
         let ok = result.is_ok();
-        if let (true, Write::Final { id, record, .. }) = (ok, &w) {
+        if let (true, PendingWrite::Final { id, record, .. }) = (ok, &w) {
             // Before the job leaves the model, so that no answer falls between.
             self.node.finals.lock().keep(*id, record.clone());
             debug!(job = %id, state = ?record.state, "finished");
--- a/src/leader/active_leader/user_requests.rs
+++ b/src/leader/active_leader/user_requests.rs
@@ -7,11 +7,11 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, info};
 
-use crate::controller::job_lookup::Lookup;
+use crate::controller::job_lookup::StoredJob;
 use crate::controller::{accepted, wall_ms};
 use crate::core::storage::record::{self, JobRecord};
-use crate::peer::Reply;
-use crate::store::writer::{CommitError, Unit};
+use crate::peer::ApiResponse;
+use crate::store::writer::{AtomicWrite, CommitError};
 use crate::wire::{JobId, JobSpec};
 
 use super::ActiveLeader;
@@ -21,7 +21,7 @@
 
 impl ActiveLeader {
     /// A submission.
-    pub async fn submit(self: &Arc<Self>, body: &[u8]) -> Reply {
+    pub async fn submit(self: &Arc<Self>, body: &[u8]) -> ApiResponse {
         let id = match self.node.id_of(body) {
             Ok(id) => id,
             Err(r) => return r,
@@ -41,7 +41,7 @@
             cancelled: false,
         };
         if !self.node.record_fits(&rec) {
-            let bad = Reply::error(400, "the job's description is too long");
+            let bad = ApiResponse::error(400, "the job's description is too long");
             return self.unless_known(id, bad).await;
         }
         let in_memory = |named| self.model.lock().jobs.get(&named).map(|j| j.spec.kind);
@@ -51,17 +51,17 @@
         // What can't be stored in time is refused at once.
         let within = self.node.store.changes_within(STORED_WITHIN);
         if self.writer.urgent_waiting() as f64 > within {
-            return Reply::later("too many jobs are being stored");
+            return ApiResponse::later("too many jobs are being stored");
         }
         let active_leader = self.clone();
         let stored = tokio::spawn(async move { active_leader.accept(rec).await });
         match timeout(STORED_WITHIN, stored).await {
             Ok(Ok(Ok(()))) => accepted(id, 201),
             Ok(Ok(Err(CommitError::Conflict(_) | CommitError::Refused))) => {
-                let other = Reply::later("the job's state can't be read now");
+                let other = ApiResponse::later("the job's state can't be read now");
                 self.unless_known(id, other).await
             }
-            _ => Reply::later("the job can't be stored now"),
+            _ => ApiResponse::later("the job can't be stored now"),
         }
     }
 
@@ -69,7 +69,7 @@
         let id = rec.spec.id;
         let value = serde_json::to_value(&rec).unwrap_or(Value::Null);
         let key = record::job_key(id);
-        let unit = Unit {
+        let unit = AtomicWrite {
             changes: vec![(key.clone(), Some(value))],
             absent: vec![key, record::final_key(id)],
             urgent: true,
@@ -84,67 +84,70 @@
     }
 
     /// The answer for a job known here.
-    pub(super) fn known(&self, id: JobId) -> Option<Reply> {
+    pub(super) fn known(&self, id: JobId) -> Option<ApiResponse> {
         if !self.may_act() {
-            return Some(Reply::later("leadership is in doubt"));
+            return Some(ApiResponse::later("leadership is in doubt"));
         }
         let active = self.model.lock().view(id);
         let view = active.or_else(|| self.node.finals.lock().view(id))?;
-        Some(Reply::json(200, &view))
+        Some(ApiResponse::json(200, &view))
     }
 
     /// The same, if it can't be older than what another leader has told since:
     /// final states never are.
-    pub(super) async fn known_for_sure(&self, id: JobId) -> Option<Reply> {
+    pub(super) async fn known_for_sure(&self, id: JobId) -> Option<ApiResponse> {
         if let Some(view) = self.node.finals.lock().view(id) {
-            return Some(Reply::json(200, &view));
+            return Some(ApiResponse::json(200, &view));
         }
         let reply = self.known(id)?;
         if reply.status == 200 && !self.confirm().await {
-            return Some(Reply::later("leadership can't be confirmed now"));
+            return Some(ApiResponse::later("leadership can't be confirmed now"));
         }
         Some(reply)
     }
 
-    pub(super) async fn unless_known(&self, id: JobId, otherwise: Reply) -> Reply {
+    pub(super) async fn unless_known(&self, id: JobId, otherwise: ApiResponse) -> ApiResponse {
         match self.node.lookup(id).await {
-            Ok(Lookup::Absent) => otherwise,
+            Ok(StoredJob::NeverAccepted) => otherwise,
             Ok(found) => {
                 let reply = self.node.reply_about(id, &found).await;
-                if let Lookup::Active(record, version) = found {
+                if let StoredJob::Unfinished(record, version) = found {
                     self.admit(*record, version);
                 }
                 reply
             }
-            Err(_) => Reply::later("the job's state can't be read now"),
+            Err(_) => ApiResponse::later("the job's state can't be read now"),
         }
     }
 
     /// A poll.
-    pub async fn poll(&self, id: JobId) -> Reply {
+    pub async fn poll(&self, id: JobId) -> ApiResponse {
         match self.known_for_sure(id).await {
             Some(r) => r,
-            None => self.unless_known(id, Reply::error(404, "no such job")).await,
+            None => {
+                self.unless_known(id, ApiResponse::error(404, "no such job"))
+                    .await
+            }
         }
     }
 
     /// A cancellation.
-    pub async fn cancel(self: &Arc<Self>, id: JobId) -> Reply {
+    pub async fn cancel(self: &Arc<Self>, id: JobId) -> ApiResponse {
         if !self.may_act() {
-            return Reply::later("leadership is in doubt");
+            return ApiResponse::later("leadership is in doubt");
         }
         if !self.load_job(id).await {
-            return Reply::later("the job's state can't be read now");
+            return ApiResponse::later("the job's state can't be read now");
         }
         let active_leader = self.clone();
         let work = tokio::spawn(async move { active_leader.cancel_stored(id).await });
         match timeout(STORED_WITHIN, work).await {
             Ok(Ok(reply)) => reply,
-            _ => Reply::later("the cancellation can't be stored now"),
+            _ => ApiResponse::later("the cancellation can't be stored now"),
         }
     }
 
-    pub(super) async fn cancel_stored(self: Arc<Self>, id: JobId) -> Reply {
+    pub(super) async fn cancel_stored(self: Arc<Self>, id: JobId) -> ApiResponse {
         // A job whose last task is done is about to be stored as done.
         for _ in 0..100 {
             let finishing = self
@@ -164,11 +167,11 @@
                 None => {
                     drop(m);
                     return match self.node.finals.lock().view(id) {
-                        Some(v) => Reply::json(200, &v),
-                        None => Reply::error(404, "no such job"),
+                        Some(v) => ApiResponse::json(200, &v),
+                        None => ApiResponse::error(404, "no such job"),
                     };
                 }
-                Some(j) if j.complete() && !j.cancelled => return Reply::later("the job is ending"),
+                Some(j) if j.complete() && !j.cancelled => return ApiResponse::later("the job is ending"),
                 Some(j) if j.cancel_is_sure() => None,
                 Some(_) => {
                     m.cancel(id, Instant::now());
@@ -179,7 +182,7 @@
         self.wake.notify_one();
         if let Some(record) = record {
             if !self.store_cancellation(id, &record).await {
-                return Reply::later("the cancellation can't be stored now");
+                return ApiResponse::later("the cancellation can't be stored now");
             }
             info!(job = %id, "cancelled");
             self.model.lock().cancel_stored(id);
@@ -187,7 +190,7 @@
         }
         match self.known(id) {
             Some(r) => r,
-            None => Reply::later("the job's state can't be told now"),
+            None => ApiResponse::later("the job's state can't be told now"),
         }
     }
 
@@ -199,7 +202,7 @@
         let key = record::job_key(id);
         let value = serde_json::to_value(record).unwrap_or(Value::Null);
         loop {
-            let unit = Unit {
+            let unit = AtomicWrite {
                 changes: vec![(key.clone(), Some(value.clone()))],
                 absent: Vec::new(),
                 urgent: true,
@@ -209,8 +212,8 @@
                 Err(CommitError::Deposed) => return false,
                 // Told apart from a changed key only by reading it.
                 Err(CommitError::Conflict(_) | CommitError::Refused) => match self.node.lookup(id).await {
-                    Ok(Lookup::Active(r, _)) if r.cancelled => return true,
-                    Ok(Lookup::Active(_, version)) => self.writer.know(&key, version),
+                    Ok(StoredJob::Unfinished(r, _)) if r.cancelled => return true,
+                    Ok(StoredJob::Unfinished(_, version)) => self.writer.know(&key, version),
                     Ok(_) => {
                         info!(job = %id, "cancelled here, yet not unfinished in the state service");
                         self.end();
--- a/src/leader/mod.rs
+++ b/src/leader/mod.rs
@@ -16,18 +16,18 @@
 use tokio::time::sleep;
 use tracing::{debug, info};
 
-use crate::api::Patience;
-use crate::controller::{read_clocks, Node, Role};
+use crate::api::ConnectionTimeouts;
+use crate::controller::{read_clocks, Controller, Role};
 use crate::core::storage::record::{LeaderRecord, LEADER};
-use crate::settings::{Platform, Tuning};
+use crate::settings::{DeploymentSettings, OperatorSettings};
 use crate::stall::TICK;
 use crate::store::StoreError;
-use crate::wire::{Change, Guard, Item, Transaction};
+use crate::wire::{Change, Condition, KeyValue, Transaction};
 use active_leader::ActiveLeader;
 
 /// Runs one controller for ever.
-pub async fn run(platform: Platform, tuning: Tuning) -> io::Result<()> {
-    let node = Node::new(platform, tuning);
+pub async fn run(platform: DeploymentSettings, tuning: OperatorSettings) -> io::Result<()> {
+    let node = Controller::new(platform, tuning);
     let name = |what: &str, addr| {
         let what = what.to_owned();
         move |e: io::Error| io::Error::new(e.kind(), format!("can't listen on {what} {addr}: {e}"))
@@ -45,13 +45,13 @@
     tokio::spawn(crate::peer::listen(back, node.clone()));
     tokio::spawn(run_elections(node.clone()));
     tokio::spawn(watch_for_stalls(node.clone()));
-    let patience = Patience::new(node.platform.params.workers.report);
+    let patience = ConnectionTimeouts::new(node.platform.params.workers.report);
     crate::api::serve(api, node, patience).await;
     Ok(())
 }
 
 /// Measures how late the process's own timer fires.
-async fn watch_for_stalls(node: Arc<Node>) {
+async fn watch_for_stalls(node: Arc<Controller>) {
     loop {
         sleep(TICK).await;
         node.check_for_stall();
@@ -59,12 +59,12 @@
     }
 }
 
-fn record_of(item: &Item) -> Option<LeaderRecord> {
+fn record_of(item: &KeyValue) -> Option<LeaderRecord> {
     serde_json::from_value(item.value.clone()).ok()
 }
 
 /// Follows the leader's key; leads when it can.
-async fn run_elections(node: Arc<Node>) {
+async fn run_elections(node: Arc<Controller>) {
     loop {
         match node.store.get(LEADER).await {
             Ok(Ok(item)) => match record_of(&item) {
@@ -83,7 +83,7 @@
 }
 
 /// Follows a leader until its key changes or can't be watched.
-async fn follow(node: &Arc<Node>, leader: &LeaderRecord, version: u64) {
+async fn follow(node: &Arc<Controller>, leader: &LeaderRecord, version: u64) {
     info!(leader = leader.host, term = version, "following");
     node.observe_term(version);
     node.set_role(Role::Following {
@@ -112,7 +112,7 @@
 }
 
 /// Stands for election, and leads if elected.
-async fn run_for_leader(node: &Arc<Node>, version: u64) {
+async fn run_for_leader(node: &Arc<Controller>, version: u64) {
     let life = node.tuning.leader_lease;
     let sent = read_clocks();
     let lease = match node.store.grant_lease(life).await {
@@ -130,7 +130,7 @@
         return;
     };
     let t = Transaction {
-        conditions: vec![Guard {
+        conditions: vec![Condition {
             key: LEADER.into(),
             version,
         }],
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use bitternfold::settings::{Platform, Tuning};
+use bitternfold::settings::{DeploymentSettings, OperatorSettings};
 use clap::Parser;
 use tracing_subscriber::filter::{LevelFilter, Targets};
 use tracing_subscriber::prelude::*;
@@ -39,12 +39,12 @@
     tracing_subscriber::registry()
         .with(lines.with_filter(quiet))
         .init();
-    let settings = Platform::load(&args.config).and_then(|p| {
+    let settings = DeploymentSettings::load(&args.config).and_then(|p| {
         Ok((
             p,
             args.properties
                 .as_deref()
-                .map_or_else(|| Ok(Tuning::default()), Tuning::load)?,
+                .map_or_else(|| Ok(OperatorSettings::default()), OperatorSettings::load)?,
         ))
     });
     let (platform, tuning) = match settings {
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, info};
 
-use crate::controller::Node;
+use crate::controller::Controller;
 
 /// Largest frame.
 const MOST_FRAME: usize = 256 * 1024;
@@ -28,7 +28,7 @@
 
 /// A question to another controller.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub enum Ask {
+pub enum PeerRequest {
     /// Are you there? Tells the highest term known here.
     Ping {
         /// The term.
@@ -41,12 +41,12 @@
     /// A user's cancellation.
     Cancel(String),
     /// A worker's report.
-    Report(Vec<u8>),
+    Heartbeat(Vec<u8>),
 }
 
 /// An answer, in terms of the HTTP response that it becomes.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
-pub struct Reply {
+pub struct ApiResponse {
     /// Status; 0 where the asked one doesn't lead.
     pub status: u16,
     /// When to come back, in seconds.
@@ -55,7 +55,7 @@
     pub body: Vec<u8>,
 }
 
-impl Reply {
+impl ApiResponse {
     /// A response with a JSON body.
     pub fn json<T: serde::Serialize>(status: u16, body: &T) -> Self {
         Self {
@@ -99,20 +99,20 @@
         host: String,
     },
     /// A question.
-    Ask {
+    PeerRequest {
         /// Its number on this link.
         id: u64,
         /// The question.
-        ask: Ask,
+        ask: PeerRequest,
     },
     /// The answer to a question.
-    Answer {
+    Response {
         /// The question's number.
         id: u64,
         /// The highest term known to the one who answers.
         term: u64,
         /// The answer.
-        reply: Reply,
+        reply: ApiResponse,
     },
     /// I am here; the highest term that I know of, and the latest leader.
     Pong {
@@ -160,11 +160,11 @@
     }
 }
 
-type Question = (Ask, oneshot::Sender<Reply>);
+type Question = (PeerRequest, oneshot::Sender<ApiResponse>);
 
 /// The link to another controller, for questions of ours.
 #[derive(Debug)]
-pub struct Link {
+pub struct PeerLink {
     /// Its name.
     pub host: String,
     addr: SocketAddr,
@@ -173,7 +173,7 @@
     heard: Mutex<Option<Instant>>,
 }
 
-impl Link {
+impl PeerLink {
     /// A link that is not connected yet, with room for so many questions that wait
     /// to be sent: as many as there are requests that may ask one.
     pub fn new(host: String, addr: SocketAddr, most_waiting: usize) -> Arc<Self> {
@@ -193,7 +193,7 @@
     }
 
     /// Asks; `None`: no answer in time.
-    pub async fn ask(&self, ask: Ask, patience: Duration) -> Option<Reply> {
+    pub async fn ask(&self, ask: PeerRequest, patience: Duration) -> Option<ApiResponse> {
         if !self.alive() {
             return None;
         }
@@ -203,7 +203,7 @@
     }
 
     /// Keeps the link connected for ever.
-    pub async fn run(self: Arc<Self>, node: Arc<Node>) {
+    pub async fn run(self: Arc<Self>, node: Arc<Controller>) {
         let Some(mut inbox) = self.inbox.lock().take() else {
             return;
         };
@@ -222,7 +222,7 @@
         &self,
         stream: TcpStream,
         inbox: &mut mpsc::Receiver<Question>,
-        node: &Arc<Node>,
+        node: &Arc<Controller>,
     ) -> io::Result<()> {
         let (read, mut write) = stream.into_split();
         let mut read = BufReader::new(read);
@@ -231,7 +231,7 @@
             host: node.host().to_owned(),
         };
         encode(&hello, &mut out)?;
-        let pending: Arc<Mutex<HashMap<u64, oneshot::Sender<Reply>>>> = Arc::default();
+        let pending: Arc<Mutex<HashMap<u64, oneshot::Sender<ApiResponse>>>> = Arc::default();
         let mut next = 0u64;
         let reader = async {
             loop {
@@ -240,7 +240,7 @@
                     .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
                 *self.heard.lock() = Some(Instant::now());
                 match frame {
-                    Frame::Answer { id, term, reply } => {
+                    Frame::Response { id, term, reply } => {
                         node.observe_term(term);
                         if let Some(tx) = pending.lock().remove(&id) {
                             let _ = tx.send(reply);
@@ -250,7 +250,7 @@
                         node.observe_term(term);
                         node.observe_leader(leader);
                     }
-                    Frame::Hello { .. } | Frame::Ask { .. } => {}
+                    Frame::Hello { .. } | Frame::PeerRequest { .. } => {}
                 }
             }
         };
@@ -265,17 +265,17 @@
                 };
                 if first.is_none() {
                     pending.lock().retain(|_, t| !t.is_closed());
-                    let ask = Ask::Ping {
+                    let ask = PeerRequest::Ping {
                         term: node.known_term(),
                     };
-                    encode(&Frame::Ask { id: next, ask }, &mut out)?;
+                    encode(&Frame::PeerRequest { id: next, ask }, &mut out)?;
                     next += 1;
                 }
                 // All that is ready goes in one packet.
                 let mut question = first;
                 while let Some((ask, tx)) = question {
                     pending.lock().insert(next, tx);
-                    encode(&Frame::Ask { id: next, ask }, &mut out)?;
+                    encode(&Frame::PeerRequest { id: next, ask }, &mut out)?;
                     next += 1;
                     question = next_for(inbox, out.len());
                 }
@@ -291,7 +291,7 @@
 }
 
 /// Accepts the links of other controllers for ever.
-pub async fn listen(listener: TcpListener, node: Arc<Node>) {
+pub async fn listen(listener: TcpListener, node: Arc<Controller>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -309,7 +309,7 @@
     }
 }
 
-async fn answer(stream: TcpStream, node: Arc<Node>) -> io::Result<()> {
+async fn answer(stream: TcpStream, node: Arc<Controller>) -> io::Result<()> {
     let (read, mut write) = stream.into_split();
     let mut read = BufReader::new(read);
     let Frame::Hello { host } = timeout(SILENCE, read_frame(&mut read))
@@ -325,17 +325,19 @@
                 .await
                 .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
             node.peer_alive(&host);
-            let Frame::Ask { id, ask } = frame else { continue };
-            if let Ask::Ping { term } = ask {
+            let Frame::PeerRequest { id, ask } = frame else {
+                continue;
+            };
+            if let PeerRequest::Ping { term } = ask {
                 node.observe_term(term);
                 let (term, leader) = (node.known_term(), node.known_leader());
                 let _ = tx.try_send(Frame::Pong { term, leader });
                 continue;
             }
-            if let Ask::Report(body) = ask {
+            if let PeerRequest::Heartbeat(body) = ask {
                 // Answered on the spot; most questions are of this kind.
                 let reply = node.answer_report(&host, &body);
-                let _ = tx.try_send(Frame::Answer {
+                let _ = tx.try_send(Frame::Response {
                     id,
                     term: node.known_term(),
                     reply,
@@ -345,7 +347,7 @@
             let (node, tx, host) = (node.clone(), tx.clone(), host.clone());
             tokio::spawn(async move {
                 let reply = node.answer_peer(&host, ask).await;
-                let _ = tx.try_send(Frame::Answer {
+                let _ = tx.try_send(Frame::Response {
                     id,
                     term: node.known_term(),
                     reply,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Deserializer};
 
 use crate::sockets;
-pub use operator::Tuning;
+pub use operator::OperatorSettings;
 pub use state_limits::{NextStateLimits, StateLimits};
 
 /// A controller without work takes less; below it none can start.
@@ -58,7 +58,7 @@
 
 /// The settings file of the platform, in the scheduler's own terms.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Platform {
+pub struct DeploymentSettings {
     /// This controller's name.
     #[serde(rename = "host_name")]
     pub node: String,
@@ -73,17 +73,17 @@
     pub peer_listen: SocketAddr,
     /// The other controllers.
     #[serde(default, rename = "seeds")]
-    pub peers: Vec<Peer>,
+    pub peers: Vec<PeerAddress>,
     /// The outside services.
-    pub services: Services,
+    pub services: ServiceAddresses,
     /// What is common to the cluster.
     #[serde(rename = "cluster")]
-    pub params: Params,
+    pub params: ClusterSettings,
 }
 
 /// Another controller.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Peer {
+pub struct PeerAddress {
     /// Its name.
     #[serde(rename = "host_name")]
     pub node: String,
@@ -94,7 +94,7 @@
 
 /// Addresses of the services.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Services {
+pub struct ServiceAddresses {
     /// The cloud's API.
     pub cloud: SocketAddr,
     /// The state service.
@@ -103,7 +103,7 @@
 
 /// Cluster-wide parameters.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Params {
+pub struct ClusterSettings {
     /// Zones that machines may stand in.
     #[serde(default)]
     pub zones: Vec<String>,
@@ -225,7 +225,7 @@
     }
 }
 
-impl Platform {
+impl DeploymentSettings {
     /// Reads and checks the file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
@@ -241,7 +241,7 @@
             reason: reason.lines().next().unwrap_or_default().to_owned(),
         };
         let de = toml::Deserializer::parse(text).map_err(|e| fail("(file)".into(), e.message().into()))?;
-        let got: Platform = serde_path_to_error::deserialize(de).map_err(|e| {
+        let got: DeploymentSettings = serde_path_to_error::deserialize(de).map_err(|e| {
             let field = e.path().to_string();
             fail(field, e.inner().message().into())
         })?;
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -8,7 +8,7 @@
 
 /// Operators' own settings, with defaults that suit any deployment.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Tuning {
+pub struct OperatorSettings {
     /// `leader.lease_ms` (earlier: `leader.hold_ms`): life of the leader's lease at
     /// the state service.
     pub leader_lease: Duration,
@@ -27,7 +27,7 @@
     pub forward: Duration,
 }
 
-impl Default for Tuning {
+impl Default for OperatorSettings {
     fn default() -> Self {
         Self {
             leader_lease: Duration::from_millis(2000),
@@ -41,7 +41,7 @@
     }
 }
 
-impl Tuning {
+impl OperatorSettings {
     /// Reads and checks a properties file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -8,7 +8,7 @@
 
 /// The shares of the limit.
 #[derive(Debug)]
-pub struct Sockets {
+pub struct SocketBudget {
     /// Connections of users, workers and health checks.
     incoming: Arc<Semaphore>,
     /// Most of them.
@@ -20,7 +20,7 @@
 /// The least limit that leaves room for every share.
 pub const LEAST: usize = 64;
 
-impl Sockets {
+impl SocketBudget {
     /// Shares out so many sockets. A sixteenth, within bounds, is left to the
     /// state service, the cloud, the other controllers and the listeners.
     pub fn new(limit: usize) -> Self {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -13,8 +13,8 @@
 
 use crate::http::{Http, HttpError, Response};
 use crate::settings::StateLimits;
-use crate::wire::{Change, Item, LeaseGrant, Listing, Outcome, Transaction, Watched};
-use rate_limiter::Pace;
+use crate::wire::{Change, KeyPage, KeyValue, LeaseGrant, Transaction, TransactionResult, WatchResponse};
+use rate_limiter::RateLimiter;
 
 /// Why the state service did not do it.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -47,8 +47,8 @@
 pub struct Store {
     http: Http,
     addr: String,
-    requests: Pace,
-    writes: Pace,
+    requests: RateLimiter,
+    writes: RateLimiter,
     limits: StateLimits,
     /// Since when it fails to answer.
     failing: Mutex<Option<Instant>>,
@@ -96,8 +96,8 @@
         Self {
             http,
             addr,
-            requests: Pace::new(rps, rps),
-            writes: Pace::new(write_rps, write_rps),
+            requests: RateLimiter::new(rps, rps),
+            writes: RateLimiter::new(write_rps, write_rps),
             limits: limits.clone(),
             failing: Mutex::new(None),
         }
@@ -167,7 +167,7 @@
     }
 
     /// Reads a key. `Err(revision)` inside: it does not exist at that revision.
-    pub async fn get(&self, key: &str) -> Result<Result<Item, u64>, StoreError> {
+    pub async fn get(&self, key: &str) -> Result<Result<KeyValue, u64>, StoreError> {
         self.requests.pass(1.0).await;
         self.read(key, PATIENCE).await
     }
@@ -175,27 +175,27 @@
     /// [`Store::get`] for one who waits for the answer: where the budget is used
     /// up for longer than a moment, as in a flood of questions, it is refused at
     /// once, and what the leader needs for its own doesn't queue behind it.
-    pub async fn get_soon(&self, key: &str) -> Result<Result<Item, u64>, StoreError> {
+    pub async fn get_soon(&self, key: &str) -> Result<Result<KeyValue, u64>, StoreError> {
         if !self.requests.pass_soon(1.0, SOON).await {
             return Err(StoreError::Unavailable);
         }
         self.read(key, Duration::from_millis(900)).await
     }
 
-    async fn read(&self, key: &str, timeout: Duration) -> Result<Result<Item, u64>, StoreError> {
+    async fn read(&self, key: &str, timeout: Duration) -> Result<Result<KeyValue, u64>, StoreError> {
         let r = self
             .call(Method::GET, &format!("/kv/{key}"), None, timeout)
             .await?;
         match r.status {
             200 => Ok(Ok(parse(&r)?)),
-            404 => Ok(Err(parse::<Outcome>(&r)?.revision)),
+            404 => Ok(Err(parse::<TransactionResult>(&r)?.revision)),
             s => Err(refusal(s)),
         }
     }
 
     /// Reads all keys with a prefix, page by page.
-    pub async fn list(&self, prefix: &str) -> Result<(Vec<Item>, u64), StoreError> {
-        let mut items: Vec<Item> = Vec::new();
+    pub async fn list(&self, prefix: &str) -> Result<(Vec<KeyValue>, u64), StoreError> {
+        let mut items: Vec<KeyValue> = Vec::new();
         loop {
             self.requests.pass(1.0).await;
             let since = items
@@ -207,7 +207,7 @@
             if r.status != 200 {
                 return Err(refusal(r.status));
             }
-            let page: Listing = parse(&r)?;
+            let page: KeyPage = parse(&r)?;
             let end = page.items.is_empty() || !page.more;
             items.extend(page.items);
             if end {
@@ -237,8 +237,8 @@
         let body = serde_json::to_vec(t).map_err(|_| StoreError::Rejected(0))?;
         let r = self.call(Method::POST, "/multi", Some(body), timeout).await?;
         match r.status {
-            200 => Ok(parse::<Outcome>(&r)?.revision),
-            409 => Err(StoreError::Conflict(parse::<Outcome>(&r)?.failed)),
+            200 => Ok(parse::<TransactionResult>(&r)?.revision),
+            409 => Err(StoreError::Conflict(parse::<TransactionResult>(&r)?.failed)),
             400 if r.body.windows(7).any(|w| w == b"no such") => Err(StoreError::NoLease),
             s => Err(refusal(s)),
         }
@@ -285,7 +285,7 @@
     }
 
     /// Waits for a change of some key with the prefix.
-    pub async fn watch(&self, prefix: &str, since: u64, hold: Duration) -> Result<Watched, StoreError> {
+    pub async fn watch(&self, prefix: &str, since: u64, hold: Duration) -> Result<WatchResponse, StoreError> {
         self.requests.pass(1.0).await;
         let path = format!(
             "/watch?starts={prefix}&since={since}&hold_ms={}",
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -6,7 +6,7 @@
 
 /// A budget of so many units a second, with bursts of a second's worth.
 #[derive(Debug)]
-pub struct Pace {
+pub struct RateLimiter {
     state: Mutex<PaceState>,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-impl Pace {
+impl RateLimiter {
     /// A full budget.
     pub fn new(rate: f64, burst: f64) -> Self {
         let burst = burst.max(1.0);
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -11,7 +11,7 @@
 use tracing::{debug, info};
 
 use super::{Store, StoreError};
-use crate::wire::{Change, Guard, Transaction};
+use crate::wire::{Change, Condition, Transaction};
 
 /// Why a unit was not committed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -30,7 +30,7 @@
 
 /// Changes that belong together, guarded by what the leader knows of the keys.
 #[derive(Debug, Default)]
-pub struct Unit {
+pub struct AtomicWrite {
     /// Keys and their new values (`None`: to be deleted).
     pub changes: Vec<(String, Option<Value>)>,
     /// Keys that must not exist, whether they change or not.
@@ -39,7 +39,7 @@
     pub urgent: bool,
 }
 
-impl Unit {
+impl AtomicWrite {
     /// The keys that it names.
     fn keys(&self) -> impl Iterator<Item = &String> {
         self.changes.iter().map(|change| &change.0).chain(&self.absent)
@@ -56,7 +56,7 @@
 #[derive(Debug, Default)]
 struct WriterState {
     versions: HashMap<String, u64>,
-    queue: VecDeque<(Unit, Reply)>,
+    queue: VecDeque<(AtomicWrite, Reply)>,
     busy: HashSet<String>,
     in_flight: usize,
     over: bool,
@@ -133,7 +133,7 @@
     }
 
     /// Commits a unit; returns once it is stored.
-    pub async fn commit(&self, unit: Unit) -> Result<(), CommitError> {
+    pub async fn commit(&self, unit: AtomicWrite) -> Result<(), CommitError> {
         let (reply, answer) = oneshot::channel();
         {
             let mut s = self.state.lock();
@@ -170,12 +170,12 @@
     }
 
     /// Units that may go together now. Units on the same key stay in order.
-    fn next_batch(&self) -> Option<Vec<(Unit, Reply)>> {
+    fn next_batch(&self) -> Option<Vec<(AtomicWrite, Reply)>> {
         let mut s = self.state.lock();
         if s.in_flight >= LANES || s.over {
             return None;
         }
-        let mut batch: Vec<(Unit, Reply)> = Vec::new();
+        let mut batch: Vec<(AtomicWrite, Reply)> = Vec::new();
         let mut held = HashSet::new();
         let (mut ops, mut guards, mut bytes) = (0, 1, 0);
         let mut at = 0;
@@ -213,10 +213,10 @@
         Some(batch)
     }
 
-    fn transaction(&self, batch: &[(Unit, Reply)]) -> Transaction {
+    fn transaction(&self, batch: &[(AtomicWrite, Reply)]) -> Transaction {
         let s = self.state.lock();
         let mut t = Transaction {
-            conditions: vec![Guard {
+            conditions: vec![Condition {
                 key: self.leader_key.to_owned(),
                 version: self.term,
             }],
@@ -230,7 +230,7 @@
                 } else {
                     s.versions.get(key).copied().unwrap_or(0)
                 };
-                t.conditions.push(Guard {
+                t.conditions.push(Condition {
                     key: key.clone(),
                     version,
                 });
@@ -249,7 +249,7 @@
                 .iter()
                 .filter(|k| unit.changes.iter().all(|c| c.0 != **k))
             {
-                t.conditions.push(Guard {
+                t.conditions.push(Condition {
                     key: key.clone(),
                     version: 0,
                 });
@@ -258,7 +258,7 @@
         t
     }
 
-    async fn send(&self, mut batch: Vec<(Unit, Reply)>) {
+    async fn send(&self, mut batch: Vec<(AtomicWrite, Reply)>) {
         let mut keys: Vec<String> = batch.iter().flat_map(|(u, _)| u.keys().cloned()).collect();
         let mut uncertain = false;
         while !batch.is_empty() && !self.is_over() {
@@ -322,7 +322,7 @@
     }
 
     /// Puts the later half of a batch back to the head of the queue; the rest.
-    fn requeue_half(&self, mut batch: Vec<(Unit, Reply)>) -> Vec<(Unit, Reply)> {
+    fn requeue_half(&self, mut batch: Vec<(AtomicWrite, Reply)>) -> Vec<(AtomicWrite, Reply)> {
         let later = batch.split_off(batch.len() / 2);
         let mut s = self.state.lock();
         for (unit, reply) in later.into_iter().rev() {
@@ -334,7 +334,7 @@
         batch
     }
 
-    fn applied(&self, batch: Vec<(Unit, Reply)>, revision: u64) {
+    fn applied(&self, batch: Vec<(AtomicWrite, Reply)>, revision: u64) {
         let mut s = self.state.lock();
         for (unit, reply) in batch {
             for (key, value) in unit.changes {
@@ -354,10 +354,10 @@
     /// the keys to tell. Units whose keys changed under us fail.
     async fn resolve(
         &self,
-        batch: Vec<(Unit, Reply)>,
+        batch: Vec<(AtomicWrite, Reply)>,
         failed: Vec<String>,
         uncertain: bool,
-    ) -> Option<Vec<(Unit, Reply)>> {
+    ) -> Option<Vec<(AtomicWrite, Reply)>> {
         let mut now: HashMap<String, (u64, Value)> = HashMap::new();
         let mut wanted: Vec<String> = failed.clone();
         if uncertain {
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -66,7 +66,7 @@
 
 /// Machine names, as response to a rental and as body of a release.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Machines {
+pub struct MachineNames {
     /// The names.
     #[serde(rename = "racks")]
     pub machines: Vec<MachineId>,
@@ -113,7 +113,7 @@
 
 /// Response of `GET /hosts`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct MachineList {
+pub struct MachinePage {
     /// The machines.
     #[serde(rename = "racks")]
     pub machines: Vec<ListedMachine>,
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -4,7 +4,7 @@
 
 /// A key with its value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Item<V = serde_json::Value> {
+pub struct KeyValue<V = serde_json::Value> {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
@@ -18,10 +18,10 @@
 
 /// Response of a listing.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Listing {
+pub struct KeyPage {
     /// The items.
     #[serde(rename = "pairs")]
-    pub items: Vec<Item>,
+    pub items: Vec<KeyValue>,
     /// Whether more follow.
     #[serde(rename = "has_next", default)]
     pub more: bool,
@@ -32,7 +32,7 @@
 
 /// A condition of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Guard {
+pub struct Condition {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
@@ -79,7 +79,7 @@
 pub struct Transaction {
     /// All must hold.
     #[serde(rename = "guards")]
-    pub conditions: Vec<Guard>,
+    pub conditions: Vec<Condition>,
     /// What is then done.
     #[serde(rename = "writes")]
     pub changes: Vec<Change>,
@@ -87,7 +87,7 @@
 
 /// Response of `POST /multi` and of a missing key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Outcome {
+pub struct TransactionResult {
     /// Revision of the store.
     #[serde(rename = "ledger")]
     pub revision: u64,
@@ -106,7 +106,7 @@
 
 /// Response of `GET /watch`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Watched {
+pub struct WatchResponse {
     /// Revision up to which it tells.
     #[serde(rename = "ledger")]
     pub revision: u64,
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -6,7 +6,7 @@
 
 /// Kind of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum JobKind {
     /// Independent tasks, each runs to completion.
     #[serde(rename = "batch")]
     Array,
@@ -49,7 +49,7 @@
     pub team: String,
     /// Array or service.
     #[serde(rename = "sort")]
-    pub kind: Kind,
+    pub kind: JobKind,
     /// Its priority.
     #[serde(rename = "urgency")]
     pub priority: Priority,
@@ -163,7 +163,7 @@
 /// State of a job as told to its user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum JobState {
     /// No task runs.
     Queued,
     /// A task runs.
@@ -176,13 +176,13 @@
 
 /// Answer to a user about a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct JobView {
+pub struct JobStatus {
     /// The job.
     #[serde(rename = "name_id")]
     pub id: JobId,
     /// Its state.
     #[serde(rename = "standing")]
-    pub state: Standing,
+    pub state: JobState,
     /// Tasks done, for display.
     pub done: u32,
     /// Tasks running, for display.
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -19,14 +19,14 @@
     /// Was told to stop and saves.
     #[serde(rename = "flushing")]
     Saving,
-    /// Ended, see [`Why`].
+    /// Ended, see [`ExitReason`].
     #[serde(rename = "ended")]
     Exited,
 }
 
 /// Why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Why {
+pub enum ExitReason {
     /// Completed.
     #[serde(rename = "done")]
     Done,
@@ -35,22 +35,22 @@
     Stopped,
     /// Failed.
     #[serde(rename = "error")]
-    Error,
+    Failed,
     /// Refused: not enough free resources.
     #[serde(rename = "full")]
     NoRoom,
     /// Refused: here with another attempt.
     #[serde(rename = "in_use")]
-    Busy,
+    OtherAttemptPresent,
     /// Refused: not known to the worker.
     #[serde(rename = "no_such")]
-    Unknown,
+    UnknownTask,
     /// Another task of its gang is gone.
     #[serde(rename = "mates_gone")]
-    Peers,
+    GangMemberLost,
     /// The other tasks of its gang did not come in time.
     #[serde(rename = "alone")]
-    Alone,
+    GangIncomplete,
     /// A reason that this version does not know; treated as a failure.
     #[serde(other, rename = "other")]
     Other,
@@ -70,7 +70,7 @@
     pub state: TaskState,
     /// Why it ended.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Why>,
+    pub why: Option<ExitReason>,
     /// Whether it saved its progress.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -78,7 +78,7 @@
 
 /// A worker's report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// The machine.
     #[serde(rename = "rack")]
     pub machine: MachineId,
@@ -139,7 +139,7 @@
     },
     /// Drop an ended attempt from the reports.
     #[serde(rename = "reap")]
-    Forget {
+    Acknowledge {
         /// The task.
         #[serde(rename = "lot")]
         task: TaskId,
@@ -151,7 +151,7 @@
 
 /// Response to a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportReply {
+pub struct HeartbeatResponse {
     /// Token.
     #[serde(rename = "gavel")]
     pub token: u64,
@@ -170,7 +170,7 @@
 
 /// Body of `POST /commands`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Commands {
+pub struct CommandBatch {
     /// Token.
     #[serde(rename = "gavel")]
     pub token: u64,
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -3,22 +3,22 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-use crate::core::evidence::permission::{SendPermit, Withheld};
+use crate::core::evidence::permission::{SendPermit, SendRefusal};
 use crate::http::{post_once, HttpError};
-use crate::sockets::Sockets;
-use crate::wire::{Commands, Report};
+use crate::sockets::SocketBudget;
+use crate::wire::{CommandBatch, Heartbeat};
 
 /// What came of a command.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Commanded {
+pub enum CommandOutcome {
     /// Executed; the report after it.
-    Done(Report),
+    Executed(Heartbeat),
     /// Nothing executed: the token or the session is not the worker's.
-    Refused(Report),
+    Refused(Heartbeat),
     /// No answer: it may have been executed, or may still be.
-    Unknown,
+    Unanswered,
     /// It was never handed over.
-    Withheld(Withheld),
+    SendRefusal(SendRefusal),
 }
 
 /// How long a command may take.
@@ -27,13 +27,13 @@
 /// Sends commands to a worker if `permit` still allows it once it is connected,
 /// however long that took.
 pub async fn command(
-    sockets: &Sockets,
+    sockets: &SocketBudget,
     addr: &str,
-    commands: &Commands,
-    permit: impl Fn() -> Result<SendPermit, Withheld>,
-) -> Commanded {
+    commands: &CommandBatch,
+    permit: impl Fn() -> Result<SendPermit, SendRefusal>,
+) -> CommandOutcome {
     let Ok(body) = serde_json::to_vec(commands) else {
-        return Commanded::Unknown;
+        return CommandOutcome::Unanswered;
     };
     let _socket = sockets.command().await;
     let withheld = OnceLock::new();
@@ -49,12 +49,12 @@
     };
     let answer = post_once(addr, "/commands", body, PATIENCE, go).await;
     if let Some(why) = withheld.into_inner() {
-        return Commanded::Withheld(why);
+        return CommandOutcome::SendRefusal(why);
     }
-    let report = |r: &bytes::Bytes| serde_json::from_slice::<Report>(r);
+    let report = |r: &bytes::Bytes| serde_json::from_slice::<Heartbeat>(r);
     match answer.map(|r| (r.status, report(&r.body))) {
-        Ok((200, Ok(report))) => Commanded::Done(report),
-        Ok((409, Ok(report))) => Commanded::Refused(report),
-        Ok(_) | Err(HttpError::Unsent | HttpError::Unanswered) => Commanded::Unknown,
+        Ok((200, Ok(report))) => CommandOutcome::Executed(report),
+        Ok((409, Ok(report))) => CommandOutcome::Refused(report),
+        Ok(_) | Err(HttpError::Unsent | HttpError::Unanswered) => CommandOutcome::Unanswered,
     }
 }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -7,9 +7,9 @@
 use std::collections::BTreeMap;
 
 use bitternfold::core::storage::record::{self, FinalRecord, JobRecord, LeaderRecord};
-use bitternfold::core::storage::wal::{Entry, Log, Replay};
+use bitternfold::core::storage::wal::{LogEntry, LogReplay, WriteAheadLog};
 use bitternfold::peer::{encode, read_frame, Frame};
-use bitternfold::wire::{JobId, MachineType, Standing};
+use bitternfold::wire::{JobId, JobState, MachineType};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::{json, Value};
@@ -42,8 +42,8 @@
     );
     assert!(jobs.iter().all(|r| r.spec.awaits.is_empty()));
     let finals: Vec<FinalRecord> = FINAL_RECORDS.lines().map(read_and_written_alike).collect();
-    let states: Vec<Standing> = finals.iter().map(|r| r.state).collect();
-    assert_eq!(states, [Standing::Done, Standing::Cancelled]);
+    let states: Vec<JobState> = finals.iter().map(|r| r.state).collect();
+    assert_eq!(states, [JobState::Done, JobState::Cancelled]);
     read_and_written_alike::<LeaderRecord>(LEADER_RECORD);
     read_and_written_alike::<BTreeMap<String, f64>>(RATIOS);
     read_and_written_alike::<Vec<MachineType>>(TYPES);
@@ -68,7 +68,7 @@
         serde_json::to_value(&old).expect("json")
     );
     let ended = FinalRecord {
-        state: Standing::Done,
+        state: JobState::Done,
         done: 7,
         ended_at: Some(1_764_600_000_123),
     };
@@ -94,8 +94,8 @@
 
 #[test]
 fn segments_of_the_log_are_read_and_written_as_in_production() {
-    read_and_written_alike::<Vec<Entry>>(SEGMENT);
-    let mut log = Log::new(4096);
+    read_and_written_alike::<Vec<LogEntry>>(SEGMENT);
+    let mut log = WriteAheadLog::new(4096);
     assert!(log.load(1, serde_json::from_str(SEGMENT).expect("json")));
     let replay = log.replay();
     let job: JobId = "job-000412".parse().expect("an id");
@@ -106,8 +106,8 @@
 }
 
 /// Everything of a replay that counts, whatever stands twice in the log.
-fn loaded_large_segments(value_bytes: usize) -> (Log, BTreeMap<u64, Value>) {
-    let mut log = Log::new(value_bytes);
+fn loaded_large_segments(value_bytes: usize) -> (WriteAheadLog, BTreeMap<u64, Value>) {
+    let mut log = WriteAheadLog::new(value_bytes);
     let mut stored = BTreeMap::new();
     for (number, line) in (1..).zip(LARGE_SEGMENTS.lines()) {
         let value: Value = serde_json::from_str(line).expect("json");
@@ -117,8 +117,8 @@
     (log, stored)
 }
 
-fn replay_of(stored: &BTreeMap<u64, Value>) -> Replay {
-    let mut log = Log::new(4096);
+fn replay_of(stored: &BTreeMap<u64, Value>) -> LogReplay {
+    let mut log = WriteAheadLog::new(4096);
     for (number, value) in stored {
         assert!(log.load(*number, value.clone()));
     }
@@ -144,9 +144,9 @@
             appends += 1;
             assert!(appends < 500, "segments are never rewritten with {most} changes");
             for _ in 0..40 {
-                log.push(Entry::Gone(format!("i-9{appends:05}").as_str().into()));
+                log.push(LogEntry::Gone(format!("i-9{appends:05}").as_str().into()));
             }
-            let live = |e: &Entry| (!matches!(e, Entry::Gone(_))).then(|| e.clone());
+            let live = |e: &LogEntry| (!matches!(e, LogEntry::Gone(_))).then(|| e.clone());
             let append = log.take(most, 0, live).expect("something is pending");
             assert!(append.segments.len() <= most, "{} changes", append.segments.len());
             for (number, value) in &append.segments {
@@ -172,7 +172,7 @@
 fn an_unknown_entry_of_the_log_is_kept_and_a_damaged_one_is_refused() {
     let mut entries: Vec<Value> = serde_json::from_str(SEGMENT).expect("json");
     entries.insert(1, json!({ "later": ["i-000231", 7] }));
-    let mut log = Log::new(4096);
+    let mut log = WriteAheadLog::new(4096);
     assert!(
         log.load(1, json!(entries)),
         "a later version's entry ends nothing"
@@ -186,14 +186,14 @@
     for number in 2..8 {
         assert!(log.load(number, json!([])));
     }
-    log.push(Entry::Gone("i-000008".into()));
+    log.push(LogEntry::Gone("i-000008".into()));
     let append = log.take(4, 0, |e| Some(e.clone())).expect("something is pending");
     assert!(append.segments.contains(&(1, None)), "the oldest is compacted");
     let written = format!("{:?}", append.segments);
     assert!(written.contains("later"), "the entry is lost: {written}");
     // What such an entry names would be in doubt.
-    assert!(!Log::new(4096).load(1, json!([{ "s": ["i-000231"] }])));
-    assert!(!Log::new(4096).load(1, json!(["s"])));
+    assert!(!WriteAheadLog::new(4096).load(1, json!([{ "s": ["i-000231"] }])));
+    assert!(!WriteAheadLog::new(4096).load(1, json!(["s"])));
 }
 
 fn bytes(hex: &str) -> Vec<u8> {
--- a/tests/dependencies.rs
+++ b/tests/dependencies.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 use bitternfold::core::state::dependencies::{Dependencies, DependencyOutcome, DependentJob, Urgency};
-use bitternfold::core::storage::pending_writes::Write;
+use bitternfold::core::storage::pending_writes::PendingWrite;
 use bitternfold::core::storage::record::JobRecord;
-use bitternfold::core::Model;
+use bitternfold::core::ClusterModel;
 use bitternfold::wire::*;
 use proptest::prelude::*;
 use support::*;
@@ -281,18 +281,18 @@
 }
 
 /// A model with an idle machine that obeys it.
-fn with_machine(now: Instant) -> (Model, MachineId) {
+fn with_machine(now: Instant) -> (ClusterModel, MachineId) {
     let mut m = model(7);
     m.apply_report(&report("i-1", "large", "north", false, 7, 1), now);
     (m, "i-1".into())
 }
 
 /// Writes whatever is due, and says that it is stored. The final states among it.
-fn store_all(m: &mut Model, now: Instant) -> Vec<(JobId, Standing)> {
+fn store_all(m: &mut ClusterModel, now: Instant) -> Vec<(JobId, JobState)> {
     let mut finals = Vec::new();
     for write in m.take_writes(now) {
         m.written(&write, true, now);
-        if let Write::Final { id, record, .. } = write {
+        if let PendingWrite::Final { id, record, .. } = write {
             finals.push((id, record.state));
         }
     }
@@ -300,7 +300,7 @@
 }
 
 /// Lets the tasks on a machine end.
-fn end_tasks(m: &mut Model, machine: &MachineId, seq: u64, now: Instant) {
+fn end_tasks(m: &mut ClusterModel, machine: &MachineId, seq: u64, now: Instant) {
     let mut r = report(machine, "large", "north", false, 7, seq);
     r.token = m.machines[machine].seen_token.max((7 << 20) + 1000);
     r.tasks = ended(m, machine, usize::MAX);
@@ -314,14 +314,14 @@
     m.add_job(chained(1, &[]), now);
     m.add_job(chained(2, &[1]), now);
     m.plan(now);
-    let placed = |m: &Model, n: usize| m.jobs.get(&id(n)).map_or(0, |j| j.placed);
+    let placed = |m: &ClusterModel, n: usize| m.jobs.get(&id(n)).map_or(0, |j| j.placed);
     assert_eq!((placed(&m, 1), placed(&m, 2)), (1, 0));
     end_tasks(&mut m, &machine, 2, now);
     // All tasks are done, which isn't stored yet.
     m.plan(now);
     assert_eq!(placed(&m, 2), 0, "done, but not stored");
     let ended = now + secs(1);
-    assert_eq!(store_all(&mut m, ended), [(id(1), Standing::Done)]);
+    assert_eq!(store_all(&mut m, ended), [(id(1), JobState::Done)]);
     m.plan(ended);
     assert_eq!(placed(&m, 2), 1);
     assert_eq!(m.ready_since(&m.jobs[&id(2)]), ended);
@@ -338,7 +338,7 @@
     end_tasks(&mut m, &machine, 2, now);
     let writes = m.take_writes(now);
     let finals = writes.iter().filter_map(|w| match w {
-        Write::Final { id, .. } => Some((*id, w.unit().urgent)),
+        PendingWrite::Final { id, .. } => Some((*id, w.unit().urgent)),
         _ => None,
     });
     assert_eq!(finals.collect::<Vec<_>>(), [(id(1), true), (id(3), false)]);
@@ -434,7 +434,7 @@
     assert_eq!(m.priority(&m.jobs[&id(1)]), Priority::High);
 }
 
-fn standing(m: &Model, n: usize) -> Option<Standing> {
+fn standing(m: &ClusterModel, n: usize) -> Option<JobState> {
     m.view(id(n)).map(|v| v.state)
 }
 
@@ -448,19 +448,22 @@
     m.cancel(id(1), now);
     // It may be stored by now though no answer says so.
     assert_eq!((standing(&m, 1), standing(&m, 3)), (None, None));
-    assert_eq!(standing(&m, 4), Some(Standing::Queued));
+    assert_eq!(standing(&m, 4), Some(JobState::Queued));
     m.cancel_stored(id(1));
     for n in [1, 2, 3] {
-        assert_eq!(standing(&m, n), Some(Standing::Cancelled));
+        assert_eq!(standing(&m, n), Some(JobState::Cancelled));
     }
     // One that names a cancelled job, also through others, is accepted and cancelled.
     m.add_job(chained(5, &[3, 4]), now);
-    assert_eq!(standing(&m, 5), Some(Standing::Cancelled));
+    assert_eq!(standing(&m, 5), Some(JobState::Cancelled));
     // While their final states are on their way they are called nothing else.
     let writes = m.take_writes(now);
-    let finals = writes.iter().filter(|w| matches!(w, Write::Final { .. })).count();
+    let finals = writes
+        .iter()
+        .filter(|w| matches!(w, PendingWrite::Final { .. }))
+        .count();
     assert_eq!(finals, 4);
-    assert_eq!(standing(&m, 5), Some(Standing::Cancelled));
+    assert_eq!(standing(&m, 5), Some(JobState::Cancelled));
 }
 
 #[test]
@@ -475,10 +478,10 @@
     m.cancel(id(1), now);
     m.cancel_stored(id(1));
     let finals = store_all(&mut m, now);
-    assert_eq!(finals, [(id(1), Standing::Cancelled)]);
+    assert_eq!(finals, [(id(1), JobState::Cancelled)]);
     assert_eq!(standing(&m, 2), None, "its record is on its way");
     m.cancel_stored(id(2));
-    assert_eq!(store_all(&mut m, now), [(id(2), Standing::Cancelled)]);
+    assert_eq!(store_all(&mut m, now), [(id(2), JobState::Cancelled)]);
 }
 
 #[test]
@@ -493,7 +496,7 @@
     assert!(m.jobs[&id(1)].complete());
     store_all(&mut m, now);
     m.cancel(id(1), now);
-    assert_eq!(standing(&m, 2), Some(Standing::Queued));
+    assert_eq!(standing(&m, 2), Some(JobState::Queued));
     m.plan(now);
     assert_eq!(m.jobs[&id(2)].placed, 1);
 }
@@ -509,7 +512,7 @@
     assert_eq!((standing(&m, 2), standing(&m, 3)), (None, None));
     assert_eq!(m.dependencies.unresolved().iter().collect::<Vec<_>>(), [&id(1)]);
     m.resolve_dependency(id(1), DependencyOutcome::Cancelled);
-    assert_eq!(standing(&m, 3), Some(Standing::Cancelled));
+    assert_eq!(standing(&m, 3), Some(JobState::Cancelled));
     assert!(m.dependencies.unresolved().is_empty());
 }
 
@@ -565,7 +568,7 @@
         assert!(m.dependencies.unresolved().is_empty(), "{shape}");
         m.cancel(id(0), now);
         m.cancel_stored(id(0));
-        let cancelled = |n: &usize| standing(&m, *n) == Some(Standing::Cancelled);
+        let cancelled = |n: &usize| standing(&m, *n) == Some(JobState::Cancelled);
         assert_eq!(
             (0..records.len()).filter(cancelled).count(),
             records.len(),
@@ -584,7 +587,7 @@
                 "{shape}: {} at once",
                 finals.len()
             );
-            assert!(finals.iter().all(|f| f.1 == Standing::Cancelled), "{shape}");
+            assert!(finals.iter().all(|f| f.1 == JobState::Cancelled), "{shape}");
             stored.extend(finals.into_iter().map(|f| f.0));
         }
         assert!(m.jobs.is_empty(), "{shape}");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,16 +5,16 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bitternfold::core::evidence::heartbeats::ReportOutcome;
+use bitternfold::core::evidence::heartbeats::HeartbeatOutcome;
 use bitternfold::core::fleet::FleetAction;
-use bitternfold::core::state::machine::Phase;
-use bitternfold::core::Config;
-use bitternfold::core::Model;
-use bitternfold::settings::{Platform, Tuning};
+use bitternfold::core::state::machine::MachinePhase;
+use bitternfold::core::ClusterModel;
+use bitternfold::core::SchedulerConfig;
+use bitternfold::settings::{DeploymentSettings, OperatorSettings};
 use bitternfold::wire::*;
 use support::*;
 
-fn released(m: &mut Model, now: Instant) -> Vec<String> {
+fn released(m: &mut ClusterModel, now: Instant) -> Vec<String> {
     m.fleet(now)
         .into_iter()
         .filter_map(|w| match w {
@@ -27,7 +27,7 @@
 }
 
 /// So many machines in each zone, each with a task of its own.
-fn cluster(per_zone: usize, now: Instant) -> Model {
+fn cluster(per_zone: usize, now: Instant) -> ClusterModel {
     let mut m = model(7);
     m.add_job(record(job(1, 2 * per_zone as u32, 8.0)), now);
     for zone in ["north", "south"] {
@@ -48,7 +48,7 @@
 }
 
 /// Each machine of a zone reports what it holds, and is answered.
-fn speak(m: &mut Model, zone: &str, seq: u64, now: Instant) {
+fn speak(m: &mut ClusterModel, zone: &str, seq: u64, now: Instant) {
     let ids: Vec<MachineId> = m
         .machines
         .keys()
@@ -80,7 +80,7 @@
     // The lease is 20 s: not sooner, and with a margin, their tasks are gone.
     speak(&mut m, "north", 40, now + secs(22));
     assert_eq!(released(&mut m, now + secs(22)), Vec::<String>::new());
-    let cut = |m: &Model| {
+    let cut = |m: &ClusterModel| {
         m.machines
             .values()
             .filter(|x| x.zone == "south" && x.slots.is_empty())
@@ -92,11 +92,11 @@
     let id = MachineId::from("i-south-0");
     let mut late = report(&id, "small", "south", false, 7, 30);
     late.token = m.machines[&id].seen_token;
-    assert_eq!(m.apply_report(&late, now + secs(23)), ReportOutcome::Outdated);
+    assert_eq!(m.apply_report(&late, now + secs(23)), HeartbeatOutcome::Outdated);
     assert!(m.machines[&id].session_over(1));
     late.session = 2;
     late.seq = 1;
-    assert_eq!(m.apply_report(&late, now + secs(24)), ReportOutcome::Applied);
+    assert_eq!(m.apply_report(&late, now + secs(24)), HeartbeatOutcome::Applied);
     // One that is still silent long after is given up.
     speak(&mut m, "north", 50, now + secs(75));
     let gone = released(&mut m, now + secs(75));
@@ -128,12 +128,12 @@
         let text = SETTINGS
             .replace("report_s = 3.0", &format!("report_s = {report_s:.1}"))
             .replace("lease_s = 20.0", "lease_s = 34.0");
-        let p = Platform::parse(&text, "test").expect("settings");
-        let c = Config::new(&p, Tuning::default());
+        let p = DeploymentSettings::parse(&text, "test").expect("settings");
+        let c = SchedulerConfig::new(&p, OperatorSettings::default());
         let longest = Duration::from_secs_f64(report_s * 1.25);
         assert!(c.silent > longest + Duration::from_secs(2), "{report_s}");
         assert!(c.silent <= c.lease);
-        let mut m = Model::new(Arc::new(c), 7);
+        let mut m = ClusterModel::new(Arc::new(c), 7);
         m.types = types();
         let now = start();
         for i in 0..4 {
@@ -150,7 +150,7 @@
     let now = start();
     let mut m = cluster(2, now);
     let id = MachineId::from("i-north-0");
-    let noticed = |m: &mut Model, seq: u64, recall: f64, now: Instant| {
+    let noticed = |m: &mut ClusterModel, seq: u64, recall: f64, now: Instant| {
         let mut r = report(&id, "small", "north", false, 7, seq);
         r.token = m.machines[&id].seen_token;
         r.tasks = running(m, &id);
@@ -192,7 +192,7 @@
         speak(&mut m, "south", s * 10, now + secs(s));
     }
     assert_eq!(released(&mut m, now + secs(29)), ["i-south-1"]);
-    assert_eq!(m.machines[&id].phase, Phase::Releasing);
+    assert_eq!(m.machines[&id].phase, MachinePhase::Releasing);
 }
 
 #[test]
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use bitternfold::core::state::bits::BitSet;
-use bitternfold::settings::{Platform, Tuning};
+use bitternfold::settings::{DeploymentSettings, OperatorSettings};
 use bitternfold::wire::*;
 use proptest::prelude::*;
 
@@ -37,7 +37,7 @@
                     id,
                     class,
                     team,
-                    kind: [Kind::Array, Kind::Service, Kind::Gang][k as usize],
+                    kind: [JobKind::Array, JobKind::Service, JobKind::Gang][k as usize],
                     priority: [
                         Priority::Low,
                         Priority::Normal,
@@ -122,7 +122,7 @@
         (spec.tasks, spec.zone.clone(), spec.priority),
         (16, None, Priority::High)
     );
-    let report: Report = serde_json::from_str(
+    let report: Heartbeat = serde_json::from_str(
         r#"{"rack":"i-000231","endpoint":"10.1.0.232:9000","rig":"g8","yard":"a","loaners":true,
         "tenure":1,"tick":88,"gavel":41,"recall_s":null,
         "lots":[{"lot":"job-000412/3","try":2,"standing":"running"},
@@ -130,10 +130,10 @@
                 {"lot":"job-000398/1","try":1,"standing":"ended","cause":"a_new_reason"}]}"#,
     )
     .expect("a report");
-    assert_eq!(report.tasks[1].why, Some(Why::Done));
+    assert_eq!(report.tasks[1].why, Some(ExitReason::Done));
     assert_eq!(
         report.tasks[2].why,
-        Some(Why::Other),
+        Some(ExitReason::Other),
         "an unknown reason is no reason to drop a report"
     );
     let stop = Command::Stop {
@@ -218,7 +218,9 @@
         ),
     ] {
         let text = support::SETTINGS.replace(from, to);
-        let e = Platform::parse(&text, "test").expect_err(field).to_string();
+        let e = DeploymentSettings::parse(&text, "test")
+            .expect_err(field)
+            .to_string();
         assert!(e.contains(field), "{e} should name {field}");
         assert_eq!(e.lines().count(), 1, "one line: {e}");
     }
@@ -227,7 +229,7 @@
             "{}\n[cluster.machine_limits]\nfd_limit = {written}\n",
             support::SETTINGS
         );
-        let p = Platform::parse(&text, "test").expect("either way");
+        let p = DeploymentSettings::parse(&text, "test").expect("either way");
         assert_eq!(p.params.limits.sockets, 3000);
     }
     // The smaller of both limits counts, whichever is announced.
@@ -235,18 +237,21 @@
         "txn_ops = 12",
         "txn_ops = 12\nnext = { value_kb = 8.0, txn_ops = 5 }",
     );
-    let limits = Platform::parse(&text, "test").expect("valid").params.state;
+    let limits = DeploymentSettings::parse(&text, "test")
+        .expect("valid")
+        .params
+        .state;
     assert_eq!((limits.value_bytes(), limits.least_txn_ops()), (4096, 5));
     // Optional tables may be missing.
     let text = support::SETTINGS.split("[cluster.state]").next().expect("text");
-    assert!(Platform::parse(text, "test").is_ok());
+    assert!(DeploymentSettings::parse(text, "test").is_ok());
 }
 
 #[test]
 fn properties_are_checked() {
     for key in ["leader.lease_ms", "leader.hold_ms"] {
         let text = format!("# ours\n{key} = 2500\nfleet.warm: 0.5\n");
-        let t = Tuning::parse(text.as_bytes(), "test").expect("good");
+        let t = OperatorSettings::parse(text.as_bytes(), "test").expect("good");
         assert_eq!((t.leader_lease.as_millis(), t.warm), (2500, 0.5), "{key}");
     }
     for (text, key) in [
@@ -254,7 +259,7 @@
         ("fleet.warm=-1", "fleet.warm"),
         ("fleet.wram=1", "fleet.wram"),
     ] {
-        let e = Tuning::parse(text.as_bytes(), "test")
+        let e = OperatorSettings::parse(text.as_bytes(), "test")
             .expect_err(text)
             .to_string();
         assert!(e.contains(key), "{e}");
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -10,7 +10,7 @@
 
 use std::time::Duration;
 
-use bitternfold::controller::Node;
+use bitternfold::controller::Controller;
 use proptest::prelude::*;
 use serde_json::{json, Map, Value};
 use site::{on_loopback, Site};
@@ -111,7 +111,7 @@
 
 #[test]
 fn what_is_malformed_is_named() {
-    let node = Node::new(support::platform(), Default::default());
+    let node = Controller::new(support::platform(), Default::default());
     let types = types();
     assert!(node
         .judge(&serde_json::to_vec(&good()).expect("json"), &types)
@@ -178,7 +178,7 @@
         v.insert("desk".into(), json!(if red { "red" } else { "blue" }));
         let only_small = rig == json!(["small"]);
         v.insert("rigs".into(), rig);
-        let node = Node::new(support::platform(), Default::default());
+        let node = Controller::new(support::platform(), Default::default());
         let judged = node.judge(Value::Object(v).to_string().as_bytes(), &types());
         let sane = cpus.is_finite() && cpus > 0.0 && memory.is_finite() && memory >= 0.0 && (1..=100_000).contains(&lots);
         let (most_cpus, most_memory) = if only_small { (8.0, 16.0) } else { (32.0, 64.0) };
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 
 use bitternfold::http::Http;
-use bitternfold::settings::Platform;
-use bitternfold::store::rate_limiter::Pace;
+use bitternfold::settings::DeploymentSettings;
+use bitternfold::store::rate_limiter::RateLimiter;
 use bitternfold::store::Store;
 use bitternfold::wire::Transaction;
 use serde_json::json;
@@ -162,7 +162,7 @@
 #[test]
 fn a_refusal_for_the_rate_slows_down_to_the_announced_one() {
     let now = Instant::now();
-    let pace = Pace::new(40.0, 40.0);
+    let pace = RateLimiter::new(40.0, 40.0);
     assert!(!pace.slow_to(40.0, now), "no slower than it is");
     assert!(pace.slow_to(10.0, now));
     assert_eq!(pace.rate(), 10.0);
@@ -178,7 +178,10 @@
         let state = std::sync::Arc::new(standins::State::default());
         let address = state.start(0).await.to_string();
         let settings = support::SETTINGS.replace("\n[cluster.cloud]", NEXT);
-        let limits = Platform::parse(&settings, "test").expect("settings").params.state;
+        let limits = DeploymentSettings::parse(&settings, "test")
+            .expect("settings")
+            .params
+            .state;
         let store = Store::new(Http::default(), address, &limits);
         let second = Duration::from_secs(1);
         let before = store.changes_within(second);
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use bitternfold::core::storage::wal::{Append, Entry, Log};
-use bitternfold::store::rate_limiter::Pace;
+use bitternfold::core::storage::wal::{LogAppend, LogEntry, WriteAheadLog};
+use bitternfold::store::rate_limiter::RateLimiter;
 use bitternfold::store::writer::RESERVE;
 use bitternfold::wire::{JobId, MachineId, TaskId};
 use proptest::prelude::*;
@@ -61,7 +61,7 @@
 }
 
 impl World {
-    fn apply(&mut self, a: &Append) {
+    fn apply(&mut self, a: &LogAppend) {
         for (n, v) in &a.segments {
             match v {
                 Some(v) => {
@@ -73,22 +73,22 @@
         }
     }
 
-    fn take(&self, log: &mut Log) -> Option<Append> {
+    fn take(&self, log: &mut WriteAheadLog) -> Option<LogAppend> {
         let live_bytes = self.slots.len() * 60 + self.slots.values().map(BTreeMap::len).sum::<usize>() * 50;
         log.take(6, live_bytes + self.done.len() * 6, |e| match e {
-            Entry::Machine(id, ..) => self.slots.contains_key(id).then(|| e.clone()),
-            Entry::Gone(_) => None,
-            Entry::Start(id, job, attempt, tasks) => {
+            LogEntry::Machine(id, ..) => self.slots.contains_key(id).then(|| e.clone()),
+            LogEntry::Gone(_) => None,
+            LogEntry::Start(id, job, attempt, tasks) => {
                 let on = self.slots.get(id)?;
                 let live = |i: &u32| {
                     on.get(&TaskId { job: *job, index: *i })
                         .is_some_and(|s| s.0 == *attempt)
                 };
                 let left: Vec<u32> = tasks.iter().copied().filter(live).collect();
-                (!left.is_empty()).then(|| Entry::Start(id.clone(), *job, *attempt, left))
+                (!left.is_empty()).then(|| LogEntry::Start(id.clone(), *job, *attempt, left))
             }
-            Entry::Done(job, _) => self.open.contains(job).then(|| e.clone()),
-            Entry::Unknown(_) => Some(e.clone()),
+            LogEntry::Done(job, _) => self.open.contains(job).then(|| e.clone()),
+            LogEntry::Unknown(_) => Some(e.clone()),
         })
     }
 }
@@ -99,7 +99,7 @@
     #[test]
     fn a_replay_names_all_that_may_be_there(ops in proptest::collection::vec(any_op(), 50..600)) {
         let mut w = World::default();
-        let mut log = Log::new(VALUE);
+        let mut log = WriteAheadLog::new(VALUE);
         let (mut highest, mut most_live) = (0, 0);
         for op in ops {
             match op {
@@ -109,11 +109,11 @@
                     w.open.insert(job);
                     w.next += 1;
                     if !w.slots.contains_key(&id) {
-                        log.push(Entry::Machine(id.clone(), "127.0.0.1:9".into(), "small".into(), "north".into(), false));
+                        log.push(LogEntry::Machine(id.clone(), "127.0.0.1:9".into(), "small".into(), "north".into(), false));
                     }
                     for i in 0..u32::from(n) {
                         let task = TaskId { job, index: w.next as u32 * 8 + i };
-                        let mark = log.push(Entry::Start(id.clone(), job, w.next, vec![task.index]));
+                        let mark = log.push(LogEntry::Start(id.clone(), job, w.next, vec![task.index]));
                         w.slots.entry(id.clone()).or_default().insert(task, (w.next, mark));
                     }
                 }
@@ -121,14 +121,14 @@
                     let id = machine(u64::from(m % 8) + w.generation * 8);
                     let first = w.slots.get_mut(&id).and_then(|on| on.pop_first());
                     if let Some((task, _)) = first.filter(|_| done) {
-                        let mark = log.push(Entry::Done(task.job, vec![task.index]));
+                        let mark = log.push(LogEntry::Done(task.job, vec![task.index]));
                         w.done.insert(task, mark);
                     }
                 }
                 Op::Gone(m) => {
                     let id = machine(u64::from(m % 8) + w.generation * 8);
                     if w.slots.remove(&id).is_some() {
-                        log.push(Entry::Gone(id));
+                        log.push(LogEntry::Gone(id));
                         // Names are never used again.
                         w.generation += 1;
                     }
@@ -155,7 +155,7 @@
                             log.appended(&a);
                             // What it was told to wait for may be relied upon: a
                             // new leader must find every stored start and outcome.
-                            let mut fresh = Log::new(VALUE);
+                            let mut fresh = WriteAheadLog::new(VALUE);
                             for (n, v) in &w.stored {
                                 prop_assert!(fresh.load(*n, v.clone()));
                             }
@@ -195,8 +195,8 @@
 }
 
 /// A new leader: it knows only what is stored.
-fn elect(mut w: World) -> (Log, World) {
-    let mut log = Log::new(VALUE);
+fn elect(mut w: World) -> (WriteAheadLog, World) {
+    let mut log = WriteAheadLog::new(VALUE);
     for (n, v) in &w.stored {
         assert!(log.load(*n, v.clone()));
     }
@@ -228,7 +228,7 @@
         users in proptest::collection::vec(0u32..3, 50..200),
     ) {
         let rate = f64::from(rate);
-        let pace = Pace::new(rate, rate);
+        let pace = RateLimiter::new(rate, rate);
         let mut now = Instant::now() + Duration::from_secs(10);
         let (mut taken, mut log) = (0.0, 0.0);
         let began = now;
@@ -265,13 +265,13 @@
     // Its ends come between those of another job, so that no two follow on each
     // other: an entry for each would be five times as long as what it says.
     const TASKS: u32 = 50_000;
-    let mut log = Log::new(4096);
+    let mut log = WriteAheadLog::new(4096);
     let mut stored: BTreeMap<u64, usize> = BTreeMap::new();
     let ids = [1, 2].map(job);
     let mut written = 0;
     for i in 0..TASKS {
         for id in ids {
-            log.push(Entry::Done(id, vec![i]));
+            log.push(LogEntry::Done(id, vec![i]));
         }
         if i % 20 == 19 {
             let live_bytes = 2 * (i as usize + 1) * 6;
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -11,9 +11,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bitternfold::api::Patience;
+use bitternfold::api::ConnectionTimeouts;
 use bitternfold::http::{post_once, HttpError};
-use bitternfold::sockets::Sockets;
+use bitternfold::sockets::SocketBudget;
 use serde_json::json;
 use site::{on_loopback, Site, LONG};
 use standins::ask;
@@ -109,10 +109,10 @@
     // A machine that loses power closes nothing, before a request or within one.
     // Hundreds of them a day would use up the sockets.
     on_loopback(async {
-        let node = bitternfold::controller::Node::new(support::platform(), Default::default());
+        let node = bitternfold::controller::Controller::new(support::platform(), Default::default());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
-        let patience = Patience {
+        let patience = ConnectionTimeouts {
             quiet: Duration::from_millis(200),
             request: Duration::from_millis(200),
         };
@@ -135,7 +135,7 @@
 #[test]
 fn the_shares_of_the_sockets_leave_something_for_each() {
     for limit in [bitternfold::sockets::LEAST, 256, 1024, 3312, 65_536] {
-        let s = Sockets::new(limit);
+        let s = SocketBudget::new(limit);
         let commands = s.commands_free();
         assert!(commands >= 8 && !s.crowded());
         on_loopback(async {
