--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -5,22 +5,22 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use bitternfold::core::scheduling::admission::{admissible, type_allowed, Unfit};
+use bitternfold::core::scheduling::admission::{admissible, type_allowed, AdmissionError};
 use bitternfold::core::scheduling::probation::FailureHistory;
 use bitternfold::core::scheduling::ranking::Tier;
 use bitternfold::core::state::job::Job;
 use bitternfold::core::state::slot::SlotState;
-use bitternfold::core::Model;
+use bitternfold::core::ClusterModel;
 use bitternfold::wire::*;
 use proptest::prelude::*;
 use support::*;
 
 /// Adds a machine that may be placed on.
-fn add(m: &mut Model, id: &str, kind: &str, zone: &str, spot: bool, now: Instant) {
+fn add(m: &mut ClusterModel, id: &str, kind: &str, zone: &str, spot: bool, now: Instant) {
     m.apply_report(&report(id, kind, zone, spot, m.term, 1), now);
 }
 
-fn tasks_on(m: &Model, id: &str) -> Vec<String> {
+fn tasks_on(m: &ClusterModel, id: &str) -> Vec<String> {
     m.machines[&MachineId::from(id)]
         .slots
         .keys()
@@ -29,7 +29,7 @@
 }
 
 /// Marks all that is placed as running since `now`.
-fn run_all(m: &mut Model, now: Instant) {
+fn run_all(m: &mut ClusterModel, now: Instant) {
     for s in m.machines.values_mut().flat_map(|m| m.slots.values_mut()) {
         if s.state == SlotState::Placed {
             s.state = SlotState::Running;
@@ -39,7 +39,7 @@
     }
 }
 
-fn check_placements(m: &Model) -> Result<(), TestCaseError> {
+fn check_placements(m: &ClusterModel) -> Result<(), TestCaseError> {
     let mut cpus: HashMap<String, f64> = HashMap::new();
     let mut places: HashMap<TaskId, u32> = HashMap::new();
     for mac in m.machines.values() {
@@ -88,7 +88,7 @@
                 "{id} not spread"
             );
         }
-        if job.spec.kind == Kind::Gang {
+        if job.spec.kind == JobKind::Gang {
             let placed = job.places.len() as u32;
             prop_assert!(placed == 0 || placed == job.spec.tasks, "{id} is placed in part");
         }
@@ -108,7 +108,7 @@
     )
         .prop_map(move |(tasks, cpus, kind, prio, b, place, est)| {
             let mut j = job(n, tasks, f64::from(cpus) / 2.0);
-            j.kind = [Kind::Array, Kind::Service, Kind::Gang][kind as usize];
+            j.kind = [JobKind::Array, JobKind::Service, JobKind::Gang][kind as usize];
             j.priority = [
                 Priority::Low,
                 Priority::Normal,
@@ -132,7 +132,7 @@
 
 /// A second passes on four machines: tasks that have run for `run` seconds are
 /// done, what fits is placed.
-fn turn(m: &mut Model, s: u64, t: Instant, run: u64) {
+fn turn(m: &mut ClusterModel, s: u64, t: Instant, run: u64) {
     for i in 0..4 {
         let mut r = report(&format!("i-{i}"), "small", "north", false, 5, s + 10);
         r.token = (5 << 20) + 900;
@@ -151,7 +151,7 @@
                     } else {
                         TaskState::Running
                     },
-                    why: over.then_some(Why::Done),
+                    why: over.then_some(ExitReason::Done),
                     saved: None,
                 }
             })
@@ -179,7 +179,7 @@
     let mut s = 0;
     while s < 600 || m.jobs.values().any(|j| !j.complete()) {
         let t = now + secs(s);
-        let mut come = |m: &mut Model, every: u64, tasks: u32, priority: Priority| {
+        let mut come = |m: &mut ClusterModel, every: u64, tasks: u32, priority: Priority| {
             if s < 600 && s % every == 0 {
                 n += 1;
                 let mut j = job(n, tasks, 4.0);
@@ -256,7 +256,7 @@
             let for_higher = m.jobs.values()
                 .any(|j| j.spec.priority > of.spec.priority && ranks[&j.spec.id].1 <= Tier::InTime && gained(j));
             prop_assert!(for_higher, "{task} is stopped for no higher priority");
-            prop_assert!(of.spec.kind == Kind::Array && of.spec.deadline_s.is_none(), "{task} was promised");
+            prop_assert!(of.spec.kind == JobKind::Array && of.spec.deadline_s.is_none(), "{task} was promised");
             prop_assert!(own.1 != Tier::Guaranteed, "{task} was within its team's guarantee");
             let young = m.predict(&of.spec) / 4;
             prop_assert!(s.running_since.is_some_and(|t| later - t < young), "{task} is not young");
@@ -287,7 +287,7 @@
             }
             m
         };
-        let places = |m: &Model| -> Vec<(MachineId, TaskId, bool, bool)> {
+        let places = |m: &ClusterModel| -> Vec<(MachineId, TaskId, bool, bool)> {
             m.machines.values()
                 .flat_map(|x| x.slots.iter().map(|(t, s)| (x.id.clone(), *t, s.backfilled, s.stop.is_some())))
                 .collect()
@@ -393,7 +393,7 @@
 }
 
 /// One large machine: 24 CPUs sunny until 60 s, 8 free; the head wants 16.
-fn blocked() -> (Model, std::time::Instant) {
+fn blocked() -> (ClusterModel, std::time::Instant) {
     let now = start();
     let mut m = model(1);
     add(&mut m, "i-1", "large", "north", false, now);
@@ -459,7 +459,7 @@
             } else {
                 TaskState::Running
             },
-            why: (*t == task).then_some(Why::Done),
+            why: (*t == task).then_some(ExitReason::Done),
             saved: None,
         });
     }
@@ -505,7 +505,10 @@
     let id = MachineId::from("i-1");
     let mut seq = 2;
     run_all(&mut m, now);
-    for (why, ran, expect) in [(Why::Error, 0, None), (Why::Done, 30, Some(33.0 / 60.0))] {
+    for (why, ran, expect) in [
+        (ExitReason::Failed, 0, None),
+        (ExitReason::Done, 30, Some(33.0 / 60.0)),
+    ] {
         let (task, slot) = m.machines[&id]
             .slots
             .iter()
@@ -545,7 +548,7 @@
     let mut m = model(1);
     add(&mut m, "i-1", "small", "north", false, now);
     let mut g = job(1, 3, 4.0);
-    g.kind = Kind::Gang;
+    g.kind = JobKind::Gang;
     m.add_job(record(g), now);
     m.plan(now);
     assert!(tasks_on(&m, "i-1").is_empty(), "two of three would fit");
@@ -572,21 +575,24 @@
         Ok(()),
         "an array only needs room for one task"
     );
-    j.kind = Kind::Service;
+    j.kind = JobKind::Service;
     assert_eq!(
         admissible(&j, teams, &m.types),
-        Err(Unfit::Limit),
+        Err(AdmissionError::ExceedsTeamLimit),
         "48 of 40 CPUs at once"
     );
     j.team = "green".into();
-    assert_eq!(admissible(&j, teams, &m.types), Err(Unfit::Team));
+    assert_eq!(admissible(&j, teams, &m.types), Err(AdmissionError::UnknownTeam));
     let mut big = job(2, 1, 8.0);
     big.memory_gb = 64.5;
-    assert_eq!(admissible(&big, teams, &m.types), Err(Unfit::Type));
+    assert_eq!(
+        admissible(&big, teams, &m.types),
+        Err(AdmissionError::FitsNoMachineType)
+    );
 }
 
 /// Tells the model that all tasks on a machine ended so.
-fn all_ended(m: &mut Model, machine: &str, why: Why, seq: u64, now: Instant) {
+fn all_ended(m: &mut ClusterModel, machine: &str, why: ExitReason, seq: u64, now: Instant) {
     let id = MachineId::from(machine);
     run_all(m, now);
     let mut r = report(machine, "small", "north", false, 1, seq);
@@ -618,7 +624,7 @@
         }
         m.plan(now);
         let id = MachineId::from("i-1");
-        all_ended(&mut m, "i-1", Why::Error, 2, now + secs(1));
+        all_ended(&mut m, "i-1", ExitReason::Failed, 2, now + secs(1));
         assert!(m.machines[&id].cordoned.is_some(), "{jobs} jobs");
         add(&mut m, "i-2", "small", "north", false, now + secs(1));
         m.plan(now + secs(1));
@@ -645,7 +651,7 @@
         m.plan(now);
         for id in &ids {
             tries += tasks_on(&m, id).len();
-            all_ended(&mut m, id, Why::Error, 10 + i * 2, now);
+            all_ended(&mut m, id, ExitReason::Failed, 10 + i * 2, now);
         }
     }
     assert!(m.machines.values().all(|x| x.cordoned.is_none()));
@@ -686,7 +692,7 @@
     r.tasks = running(&m, &"i-1".into());
     m.apply_report(&r, now + secs(1));
     for id in &ids[1..] {
-        all_ended(&mut m, id, Why::Error, 2, now + secs(2));
+        all_ended(&mut m, id, ExitReason::Failed, 2, now + secs(2));
     }
     let only = m.jobs.values().next().expect("the job");
     assert_eq!(
@@ -737,7 +743,7 @@
     low: impl Fn(&mut JobSpec),
     urgent: impl Fn(&mut JobSpec),
     run: Duration,
-) -> (Model, usize) {
+) -> (ClusterModel, usize) {
     let now = start();
     let mut m = model(5);
     for i in 0..4 {
@@ -830,7 +836,7 @@
 
 /// A job of so many tasks that failed on three machines at `now`, each time
 /// after it had run for `run`, and eight more machines with room.
-fn failed_on_three_machines(tasks: u32, run: Duration, now: Instant) -> Model {
+fn failed_on_three_machines(tasks: u32, run: Duration, now: Instant) -> ClusterModel {
     let mut m = model(1);
     m.add_job(record(job(1, tasks, 4.0)), now);
     let only = m.jobs.values_mut().next().expect("the job");
@@ -844,7 +850,7 @@
 
 /// Keeps the machines reporting and plans once a second for so long; how many
 /// tasks are placed after each second.
-fn placed_each_second(m: &mut Model, now: Instant, seconds: u64, runs: bool) -> Vec<u32> {
+fn placed_each_second(m: &mut ClusterModel, now: Instant, seconds: u64, runs: bool) -> Vec<u32> {
     let mut placed = Vec::new();
     for i in 1..=seconds {
         let at = now + secs(i);
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use bitternfold::core::storage::pending_writes::Write;
+use bitternfold::core::storage::pending_writes::PendingWrite;
 use bitternfold::wire::*;
 use cluster::{Op, World};
 use proptest::prelude::*;
@@ -34,7 +34,7 @@
         2 => any_submission(),
         1 => any::<usize>().prop_map(Op::Cancel),
         2 => any::<usize>().prop_map(Op::Resolve),
-        6 => any::<usize>().prop_map(Op::Report),
+        6 => any::<usize>().prop_map(Op::Heartbeat),
         20 => any::<usize>().prop_map(Op::Deliver),
         2 => any::<usize>().prop_map(Op::Repeat),
         2 => any::<usize>().prop_map(Op::Lose),
@@ -83,7 +83,7 @@
         // Tasks run for long, so that work waits and every machine is needed.
         let ends = if i / 8 % 60 < 8 { 0 } else { 4 };
         let op = match i % 8 {
-            0 => Op::Report(i / 8),
+            0 => Op::Heartbeat(i / 8),
             1 => Op::Run(i / 8, ends),
             7 => Op::Wait(400),
             6 => Op::Resolve(0),
@@ -148,7 +148,7 @@
     for i in 0..240usize {
         let op = match (i % 40, i % 8) {
             (39, _) => Op::Fail,
-            (_, 0) => Op::Report(i / 8),
+            (_, 0) => Op::Heartbeat(i / 8),
             (_, 7) => Op::Wait(400),
             _ => Op::Deliver(0),
         };
@@ -173,9 +173,9 @@
         deliver(8392230948040143242),
         deliver(16564175535304606279),
         Op::Away,
-        Op::Report(9103296329697265438),
+        Op::Heartbeat(9103296329697265438),
         Op::Elect,
-        Op::Report(4200274648089707579),
+        Op::Heartbeat(4200274648089707579),
         submit(2, 3, true),
         Op::Lose(16004930154143770109),
         deliver(17343191845699540759),
@@ -196,7 +196,7 @@
         deliver(6658439204812937593),
         Op::Release(2914089572435201884),
         Op::Lose(14365060187647711373),
-        Op::Report(17289338726488251579),
+        Op::Heartbeat(17289338726488251579),
         deliver(2993201230049916690),
         Op::Wait(1597),
         deliver(9587532462849967997),
@@ -325,7 +325,7 @@
     assert!(orders.is_empty(), "nothing to say yet");
     w.iter().for_each(|w| m.written(w, true, now));
     let (token, orders) = m.reply(&id, r.token, now).expect("an answer");
-    assert!(matches!(orders[..], [Command::Forget { .. }]));
+    assert!(matches!(orders[..], [Command::Acknowledge { .. }]));
     assert!(
         token > c.token,
         "late copies of the start are refused from now on"
@@ -333,7 +333,7 @@
     // No report comes: it is said by a command.
     assert!(m.command(&id, now + secs(2)).is_none());
     let (_, c) = m.command(&id, now + secs(9)).expect("a command");
-    assert!(matches!(c.commands[..], [Command::Forget { .. }]));
+    assert!(matches!(c.commands[..], [Command::Acknowledge { .. }]));
 }
 
 #[test]
@@ -358,7 +358,7 @@
         }];
         assert_eq!(
             m.apply_report(&old, now),
-            bitternfold::core::evidence::heartbeats::ReportOutcome::Outdated
+            bitternfold::core::evidence::heartbeats::HeartbeatOutcome::Outdated
         );
         assert!(m.machines[&id].slots.is_empty());
         assert_eq!(m.machines[&id].newest, (2, 5));
@@ -433,7 +433,7 @@
     m.released(&MachineId::from("i-1"), now);
     let mut next = model(8);
     for w in m.take_writes(now) {
-        if let Write::Log(a) = w {
+        if let PendingWrite::WriteAheadLog(a) = w {
             for (n, v) in a.segments {
                 assert!(next.log.load(n, v.expect("written")));
             }
@@ -443,7 +443,7 @@
     let heard = next.apply_report(&report("i-1", "small", "north", false, 7, 9), now);
     assert_eq!(
         heard,
-        bitternfold::core::evidence::heartbeats::ReportOutcome::MachineGone
+        bitternfold::core::evidence::heartbeats::HeartbeatOutcome::MachineReleased
     );
     assert!(next.machines.is_empty());
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -7,8 +7,8 @@
 use std::cell::Cell;
 use std::time::Instant;
 
-use bitternfold::core::storage::pending_writes::Write;
-use bitternfold::core::Model;
+use bitternfold::core::storage::pending_writes::PendingWrite;
+use bitternfold::core::ClusterModel;
 use bitternfold::wire::*;
 use support::*;
 
@@ -47,11 +47,11 @@
 }
 
 /// All that is due is stored; what is due next, too.
-fn store(m: &mut Model, now: Instant) -> Vec<(u64, Option<serde_json::Value>)> {
+fn store(m: &mut ClusterModel, now: Instant) -> Vec<(u64, Option<serde_json::Value>)> {
     let mut segments = Vec::new();
     for s in 0..400 {
         for w in m.take_writes(now + secs(s)) {
-            if let Write::Log(a) = &w {
+            if let PendingWrite::WriteAheadLog(a) = &w {
                 segments.extend(a.segments.iter().cloned());
             }
             m.written(&w, true, now);
@@ -61,7 +61,7 @@
 }
 
 /// A cluster of so many machines, all full, and thousands of waiting tasks.
-fn full(machines: usize, now: Instant) -> (Model, Vec<(u64, Option<serde_json::Value>)>) {
+fn full(machines: usize, now: Instant) -> (ClusterModel, Vec<(u64, Option<serde_json::Value>)>) {
     let mut m = model(7);
     for i in 0..machines {
         m.apply_report(&report(&id(i), "small", "north", false, 7, 1), now);
@@ -87,7 +87,7 @@
 }
 
 /// The report of a machine in which the first task has ended.
-fn one_ended(m: &Model, i: usize, seq: u64) -> Report {
+fn one_ended(m: &ClusterModel, i: usize, seq: u64) -> Heartbeat {
     let mut r = report(&id(i), "small", "north", false, 7, seq);
     r.token = m.machines[&id(i)].seen_token;
     r.tasks = ended(m, &id(i), 1);
@@ -109,7 +109,7 @@
         let bytes: usize = writes
             .iter()
             .filter_map(|w| match w {
-                Write::Log(a) => Some(
+                PendingWrite::WriteAheadLog(a) => Some(
                     a.segments
                         .iter()
                         .map(|s| s.1.as_ref().map_or(0, |v| v.to_string().len())),
@@ -219,7 +219,7 @@
         m.written(&w, true, now);
     }
     let next = m.commands(now, 64);
-    let starts = |c: &Commands| c.commands.iter().any(|c| matches!(c, Command::Start { .. }));
+    let starts = |c: &CommandBatch| c.commands.iter().any(|c| matches!(c, Command::Start { .. }));
     assert!(next.iter().any(|(to, _, c)| *to == last && starts(c)));
     assert!(next.len() <= 65);
     // Asked in turn, all are reached.
@@ -284,7 +284,7 @@
         }
         m.plan(at);
         for w in m.take_writes(at) {
-            if let Write::Log(a) = &w {
+            if let PendingWrite::WriteAheadLog(a) = &w {
                 for (n, v) in &a.segments {
                     match v {
                         Some(v) => stored.insert(*n, v.to_string().len()),
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -30,12 +30,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bitternfold::wire::{JobId, Standing, TaskId};
+use bitternfold::wire::{JobId, JobState, TaskId};
 use faults::{schedule, Fault, Planned, Target, FAULTS};
 use history::{Answer, Event, History, Submitted, Violation};
 use parking_lot::Mutex;
 use processes::Processes;
-use proxy::Mode;
+use proxy::PlacementMode;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use site::{job_name, on_loopback};
@@ -68,7 +68,7 @@
 }
 
 /// What came of it.
-struct Outcome {
+struct TransactionResult {
     violations: Vec<Violation>,
     /// How late its own timer was at the most.
     late: Duration,
@@ -106,11 +106,25 @@
         }
         Fault::Hang => cloud.resume(),
         Fault::LateReports => *cloud.late_copies.lock() = begins.then_some(Duration::from_secs(7)),
-        Fault::PeersRefuse => processes.set_links(i, if begins { Mode::Refuse } else { Mode::Pass }),
-        Fault::PeersHold => processes.set_links(i, if begins { Mode::Hold } else { Mode::Pass }),
+        Fault::PeersRefuse => processes.set_links(
+            i,
+            if begins {
+                PlacementMode::Refuse
+            } else {
+                PlacementMode::Pass
+            },
+        ),
+        Fault::PeersHold => processes.set_links(
+            i,
+            if begins {
+                PlacementMode::Hold
+            } else {
+                PlacementMode::Pass
+            },
+        ),
         Fault::PeersDelay => {
-            let delay = Mode::Delay(Duration::from_millis(300));
-            processes.set_links(i, if begins { delay } else { Mode::Pass });
+            let delay = PlacementMode::Delay(Duration::from_millis(300));
+            processes.set_links(i, if begins { delay } else { PlacementMode::Pass });
         }
         Fault::RateRefused if begins => state.refuse_for_rate(20),
         Fault::RateRefused => state.refuse_for_rate(0),
@@ -199,7 +213,7 @@
             let standing = users.poll(*job, i % 3).await;
             open += usize::from(matches!(
                 standing,
-                None | Some(Standing::Queued | Standing::Running)
+                None | Some(JobState::Queued | JobState::Running)
             ));
         }
         let all = submitting == 0 && open <= jobs.len() - users.accepted().len();
@@ -263,7 +277,7 @@
     found
 }
 
-async fn play(plan: &Plan) -> Outcome {
+async fn play(plan: &Plan) -> TransactionResult {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{}", plan.seed));
     let _ = std::fs::remove_dir_all(&folder);
     let mut processes = Processes::start(folder.clone(), RUN, settings).await;
@@ -294,7 +308,7 @@
     let mut violations = history.violations();
     violations.extend(from_the_logs(&mut processes));
     let late = *late.lock();
-    Outcome {
+    TransactionResult {
         violations,
         late,
         jobs: history.jobs.len(),
@@ -433,7 +447,7 @@
         }
     }
 
-    fn told(n: u32, asked: u64, standing: Standing) -> Event {
+    fn told(n: u32, asked: u64, standing: JobState) -> Event {
         Event::Told {
             job: id(n),
             asked: Duration::from_secs(asked),
@@ -479,18 +493,18 @@
             // Asked before it was accepted, answered after.
             (2, not_found(2, 0)),
             (2, started(1)),
-            (3, told(1, 3, Standing::Running)),
+            (3, told(1, 3, JobState::Running)),
             (4, ended(1, false)),
             (5, started(1)),
             (6, ended(1, true)),
-            (7, told(1, 6, Standing::Done)),
+            (7, told(1, 6, JobState::Done)),
             (8, started(2)),
             (9, Event::CancelAsked(id(2))),
-            (10, told(2, 9, Standing::Cancelled)),
+            (10, told(2, 9, JobState::Cancelled)),
             // Asked before that, answered after it.
-            (11, told(2, 9, Standing::Running)),
+            (11, told(2, 9, JobState::Running)),
             (12, ended(2, false)),
-            (50, told(2, 49, Standing::Cancelled)),
+            (50, told(2, 49, JobState::Cancelled)),
         ];
         assert_eq!(rules(&clean), Vec::<&str>::new());
     }
@@ -499,7 +513,7 @@
     fn each_broken_rule_is_found() {
         let cancelled = [
             (1, Event::CancelAsked(id(1))),
-            (2, told(1, 1, Standing::Cancelled)),
+            (2, told(1, 1, JobState::Cancelled)),
         ];
         let with = |before: &[(u64, Event)], more: &[(u64, Event)]| {
             let mut all = before.to_vec();
@@ -523,14 +537,14 @@
         assert!(outlives.contains(&"ran_cancelled") && outlives.contains(&"orphaned"));
         let restarted = with(&cancelled, &[(6, started(1)), (7, ended(1, false))]);
         assert_eq!(restarted, ["started_after_cancel"]);
-        let called = with(&cancelled, &[(17, told(2, 16, Standing::Queued))]);
+        let called = with(&cancelled, &[(17, told(2, 16, JobState::Queued))]);
         assert_eq!(called, ["orphaned"]);
-        assert_eq!(rules(&[(1, told(1, 1, Standing::Done))]), ["not_done"]);
-        let back = with(&cancelled, &[(4, told(1, 3, Standing::Running))]);
+        assert_eq!(rules(&[(1, told(1, 1, JobState::Done))]), ["not_done"]);
+        let back = with(&cancelled, &[(4, told(1, 3, JobState::Running))]);
         assert_eq!(back, ["went_back"]);
-        assert_eq!(rules(&[(1, told(3, 1, Standing::Cancelled))]), ["went_back"]);
+        assert_eq!(rules(&[(1, told(3, 1, JobState::Cancelled))]), ["went_back"]);
         assert!(rules(&[(1, Event::Accepted(id(1))), (3, not_found(1, 2))]).contains(&"forgotten"));
-        assert_eq!(rules(&[(1, told(9, 1, Standing::Queued))]), ["invented"]);
+        assert_eq!(rules(&[(1, told(9, 1, JobState::Queued))]), ["invented"]);
         assert_eq!(rules(&[(1, Event::Accepted(id(3)))]), ["left_over"]);
         let refused = Event::Refused {
             job: id(3),
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -18,7 +18,7 @@
 struct Task {
     attempt: u64,
     state: TaskState,
-    why: Option<Why>,
+    why: Option<ExitReason>,
     until: Instant,
 }
 
@@ -88,7 +88,7 @@
     pub doubles: Mutex<Vec<TaskId>>,
     pub starts: Mutex<u32>,
     /// Commands that were carried out, reports that were answered, releases.
-    carried_out: Mutex<Vec<(MachineId, Commands)>>,
+    carried_out: Mutex<Vec<(MachineId, CommandBatch)>>,
     reported: Mutex<Vec<Vec<u8>>>,
     /// Commands get no answer and change nothing.
     pub no_commands: AtomicBool,
@@ -167,7 +167,7 @@
             .and(warp::path!("hosts" / "release"))
             .and(warp::body::json())
             .and(with)
-            .map(|r: Machines, c: Arc<Cloud>| {
+            .map(|r: MachineNames, c: Arc<Cloud>| {
                 for m in c.machines.lock().iter() {
                     let mut m = m.lock();
                     if r.machines.contains(&m.id) && !m.gone {
@@ -291,7 +291,7 @@
             .and(warp::body::json())
             .and(with)
             .then(
-                |b: Commands, (c, m): (Arc<Cloud>, Arc<Mutex<Machine>>)| async move {
+                |b: CommandBatch, (c, m): (Arc<Cloud>, Arc<Mutex<Machine>>)| async move {
                     if c.hangs(&m) {
                         let _counted = Counted::new(&c.hanging_commands);
                         sleep(Duration::from_secs(3600)).await;
@@ -314,7 +314,7 @@
         id
     }
 
-    fn command(&self, m: &Mutex<Machine>, b: &Commands) -> Json {
+    fn command(&self, m: &Mutex<Machine>, b: &CommandBatch) -> Json {
         let mut m = m.lock();
         if m.gone || self.no_commands.load(Ordering::Relaxed) {
             return (500, json!({}));
@@ -369,11 +369,11 @@
             Command::Stop { task, attempt, .. } => {
                 let live = |t: &&mut Task| t.attempt == attempt && t.state != TaskState::Exited;
                 if let Some(t) = m.tasks.get_mut(&task).filter(live) {
-                    (t.state, t.why) = (TaskState::Exited, Some(Why::Stopped));
+                    (t.state, t.why) = (TaskState::Exited, Some(ExitReason::Stopped));
                     self.note(m, task, TaskChange::Ended { done: false });
                 }
             }
-            Command::Forget { task, attempt } => {
+            Command::Acknowledge { task, attempt } => {
                 if m.tasks.get(&task).is_some_and(|t| t.attempt == attempt) {
                     m.tasks.remove(&task);
                 }
@@ -432,7 +432,7 @@
             .collect();
         for task in ended {
             let t = m.tasks.get_mut(&task).expect("just seen");
-            (t.state, t.why) = (TaskState::Exited, Some(Why::Done));
+            (t.state, t.why) = (TaskState::Exited, Some(ExitReason::Done));
             self.note(m, task, TaskChange::Ended { done: true });
         }
     }
@@ -489,7 +489,7 @@
             match r {
                 Ok(r) if r.status == 200 => {
                     self.reported.lock().push(body);
-                    let reply: ReportReply = serde_json::from_slice(&r.body).expect("a reply");
+                    let reply: HeartbeatResponse = serde_json::from_slice(&r.body).expect("a reply");
                     let mut m = m.lock();
                     let late = sent.elapsed() > REPORT_PATIENCE;
                     if reply.token < m.token || m.session != session || late {
@@ -517,9 +517,9 @@
     }
 }
 
-fn report_of(m: &mut Machine) -> Report {
+fn report_of(m: &mut Machine) -> Heartbeat {
     m.seq += 1;
-    Report {
+    Heartbeat {
         machine: m.id.clone(),
         addr: m.addr.clone(),
         machine_type: "small".into(),
--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use bitternfold::core::evidence::heartbeats::ReportOutcome;
+use bitternfold::core::evidence::heartbeats::HeartbeatOutcome;
 use bitternfold::core::state::dependencies::DependencyOutcome;
-use bitternfold::core::storage::pending_writes::Write;
+use bitternfold::core::storage::pending_writes::PendingWrite;
 use bitternfold::core::storage::record::{FinalRecord, JobRecord};
-use bitternfold::core::Model;
+use bitternfold::core::ClusterModel;
 use bitternfold::wire::*;
 
 use crate::support::*;
@@ -21,22 +21,22 @@
 pub enum Message {
     Command {
         to: MachineId,
-        commands: Commands,
+        commands: CommandBatch,
         term: u64,
     },
     Answer {
         from: MachineId,
-        report: Option<Report>,
+        report: Option<Heartbeat>,
         term: u64,
     },
     /// A report and when it was sent.
-    Report(Report, Instant),
-    Write {
-        write: Write,
+    Heartbeat(Heartbeat, Instant),
+    PendingWrite {
+        write: PendingWrite,
         term: u64,
     },
     Wrote {
-        write: Write,
+        write: PendingWrite,
         ok: bool,
         term: u64,
     },
@@ -51,7 +51,7 @@
         term: u64,
     },
     /// The response to a report, with its token and orders.
-    Reply {
+    ApiResponse {
         to: MachineId,
         session: u64,
         token: u64,
@@ -74,7 +74,7 @@
     /// The leader reads how a job ended that others wait for.
     Resolve(usize),
     Cancel(usize),
-    Report(usize),
+    Heartbeat(usize),
     Deliver(usize),
     Repeat(usize),
     Lose(usize),
@@ -119,9 +119,9 @@
     pub jobs: BTreeMap<JobId, JobRecord>,
     pub finals: BTreeMap<JobId, FinalRecord>,
     pub wal: BTreeMap<u64, serde_json::Value>,
-    pub model: Model,
+    pub model: ClusterModel,
     /// The leader before, which doesn't know that it is over.
-    pub old: Option<Model>,
+    pub old: Option<ClusterModel>,
     pub copies: Vec<Message>,
     pub workers: Vec<Worker>,
     pub mail: Vec<Message>,
@@ -130,7 +130,7 @@
     pub submitted: Vec<JobId>,
     /// The jobs that each job waits for.
     pub awaits: BTreeMap<JobId, Vec<JobId>>,
-    pub told: BTreeMap<JobId, Standing>,
+    pub told: BTreeMap<JobId, JobState>,
 }
 
 impl World {
@@ -176,13 +176,13 @@
         self.model.plan(self.now);
         let term = self.term;
         for write in self.model.take_writes(self.now) {
-            self.mail.push(Message::Write { write, term });
+            self.mail.push(Message::PendingWrite { write, term });
         }
         for (to, _, commands) in self.model.commands(self.now, 2) {
             for c in &commands.commands {
                 if let Command::Start { task, .. } = c {
                     assert!(
-                        !matches!(self.told.get(&task.job), Some(Standing::Cancelled)),
+                        !matches!(self.told.get(&task.job), Some(JobState::Cancelled)),
                         "{task} of a cancelled job is started"
                     );
                     let named = self.wal.values().any(|v| v.to_string().contains(&*to));
@@ -194,9 +194,9 @@
         }
     }
 
-    pub fn store(&mut self, w: &Write) {
+    pub fn store(&mut self, w: &PendingWrite) {
         match w {
-            Write::Log(a) => {
+            PendingWrite::WriteAheadLog(a) => {
                 for (n, v) in &a.segments {
                     match v {
                         Some(v) => {
@@ -208,13 +208,13 @@
                     }
                 }
             }
-            Write::Final { id, record, .. } => {
+            PendingWrite::Final { id, record, .. } => {
                 self.jobs.remove(id);
                 if let Some(old) = self.finals.insert(*id, record.clone()) {
                     assert_eq!(old.state, record.state, "a final state changed");
                 }
             }
-            Write::Ratios(_) => {}
+            PendingWrite::Ratios(_) => {}
         }
     }
 
@@ -245,19 +245,19 @@
             Message::Answer { from, report, term } if term == self.term => {
                 self.model.commanded(&from, report.as_ref(), self.now);
             }
-            Message::Report(r, sent) => {
+            Message::Heartbeat(r, sent) => {
                 let outcome = self.model.apply_report(&r, self.now);
                 let known = self.model.machines.get(&r.machine);
                 let over = known.is_none_or(|m| m.newest.0 != r.session || m.session_over(r.session));
                 match outcome {
-                    ReportOutcome::MachineGone => return,
-                    ReportOutcome::Outdated if over => return,
-                    ReportOutcome::Outdated | ReportOutcome::Applied => {}
+                    HeartbeatOutcome::MachineReleased => return,
+                    HeartbeatOutcome::Outdated if over => return,
+                    HeartbeatOutcome::Outdated | HeartbeatOutcome::Applied => {}
                 }
                 if let Some((token, mut orders)) = self.model.reply(&r.machine, r.token, self.now) {
                     orders.extend(self.model.stops(&r));
                     self.renews_nothing_unknown(&r, &orders);
-                    self.mail.push(Message::Reply {
+                    self.mail.push(Message::ApiResponse {
                         to: r.machine,
                         session: r.session,
                         token,
@@ -266,7 +266,7 @@
                     });
                 }
             }
-            Message::Reply {
+            Message::ApiResponse {
                 to,
                 session,
                 token,
@@ -281,7 +281,7 @@
                         return;
                     }
                     w.renewed = w.renewed.max(sent);
-                    let started = w.run(&Commands {
+                    let started = w.run(&CommandBatch {
                         token,
                         session,
                         commands: orders,
@@ -299,9 +299,9 @@
             }
             Message::CancelStored { id, term } if term == self.term => {
                 self.model.cancel_stored(id);
-                self.tell(id, Standing::Cancelled);
+                self.tell(id, JobState::Cancelled);
             }
-            Message::Write { write, term } => {
+            Message::PendingWrite { write, term } => {
                 // Guarded by the leader's key: an earlier leader's is refused.
                 let ok = term == self.term;
                 if ok {
@@ -310,7 +310,7 @@
                 self.mail.push(Message::Wrote { write, ok, term });
             }
             Message::Wrote { write, ok, term } if term == self.term => {
-                if let (true, Write::Final { id, record, .. }) = (ok, &write) {
+                if let (true, PendingWrite::Final { id, record, .. }) = (ok, &write) {
                     self.tell(*id, record.state);
                 }
                 self.model.written(&write, ok, self.now);
@@ -323,7 +323,7 @@
     pub fn repeat(&mut self, m: Message) {
         match m {
             // Its answer reaches nobody.
-            Message::Report(r, _) => {
+            Message::Heartbeat(r, _) => {
                 self.model.apply_report(&r, self.now);
                 let _ = self.model.reply(&r.machine, r.token, self.now);
             }
@@ -337,22 +337,22 @@
             }
             // A transaction's conditions hold once at the most, and what its
             // sender makes of its answer, or of one given up, it makes once.
-            Message::Reply { .. }
+            Message::ApiResponse { .. }
             | Message::Cancel { .. }
             | Message::CancelStored { .. }
-            | Message::Write { .. }
+            | Message::PendingWrite { .. }
             | Message::Wrote { .. }
             | Message::Answer { .. } => {}
         }
     }
 
-    pub fn tell(&mut self, id: JobId, s: Standing) {
+    pub fn tell(&mut self, id: JobId, s: JobState) {
         if let Some(old) = self.told.insert(id, s) {
-            if matches!(old, Standing::Done | Standing::Cancelled) {
+            if matches!(old, JobState::Done | JobState::Cancelled) {
                 assert_eq!(old, s, "{id} went back");
             }
         }
-        if s == Standing::Done {
+        if s == JobState::Done {
             let f = &self.finals[&id];
             assert_eq!(f.done, self.spec_tasks(id), "{id} is called done too early");
         }
@@ -371,7 +371,7 @@
             let state = self.finals.get(needed).map(|f| f.state);
             assert_eq!(
                 state,
-                Some(Standing::Done),
+                Some(JobState::Done),
                 "{task} starts before {needed} is done"
             );
         }
@@ -380,7 +380,7 @@
     /// An answer that renews a worker's lease lets no task live on that the leader
     /// doesn't know of, or whose job is over or cancelled: a direct command may
     /// never reach that worker.
-    pub fn renews_nothing_unknown(&self, r: &Report, orders: &[Command]) {
+    pub fn renews_nothing_unknown(&self, r: &Heartbeat, orders: &[Command]) {
         let unknown: Vec<_> = self.model.unknown_tasks(r).collect();
         assert!(unknown.is_empty(), "{unknown:?} run on {} unknown", r.machine);
         let slots = &self.model.machines[&r.machine].slots;
@@ -404,7 +404,7 @@
     /// job that it needs: the plain rule, walked anew each time.
     pub fn is_cancelled(&self, id: JobId) -> bool {
         match (self.finals.get(&id), self.jobs.get(&id)) {
-            (Some(f), _) => f.state == Standing::Cancelled,
+            (Some(f), _) => f.state == JobState::Cancelled,
             (None, Some(r)) if r.cancelled => true,
             _ => self.awaits[&id].iter().any(|needed| self.is_cancelled(*needed)),
         }
@@ -417,7 +417,7 @@
             let Some(view) = self.model.view(*id) else {
                 continue;
             };
-            let told = view.state == Standing::Cancelled;
+            let told = view.state == JobState::Cancelled;
             assert_eq!(told, self.is_cancelled(*id), "{id} is called {:?}", view.state);
         }
     }
@@ -432,7 +432,7 @@
             return;
         };
         let outcome = match record.state {
-            Standing::Cancelled => DependencyOutcome::Cancelled,
+            JobState::Cancelled => DependencyOutcome::Cancelled,
             _ => DependencyOutcome::Done(None),
         };
         self.model.resolve_dependency(id, outcome);
@@ -481,7 +481,7 @@
             let s = &r.spec;
             let here = all.iter().filter(|t| t.job == s.id).count() as u32;
             let done = self.model.jobs.get(&s.id).map_or(s.tasks, |j| j.done.count());
-            let is_done = |needed: &JobId| self.finals.get(needed).is_some_and(|f| f.state == Standing::Done);
+            let is_done = |needed: &JobId| self.finals.get(needed).is_some_and(|f| f.state == JobState::Done);
             !r.cancelled
                 && s.awaits.iter().all(is_done)
                 && here + done < s.tasks
@@ -562,13 +562,13 @@
                 let mut ended = Vec::new();
                 for (id, t) in &mut w.tasks {
                     if t.1 == TaskState::Running {
-                        *t = (t.0, TaskState::Exited, Some(Why::Done));
+                        *t = (t.0, TaskState::Exited, Some(ExitReason::Done));
                         ended.push(id.job);
                     }
                 }
                 let r = w.report();
                 if w.alive && !self.mute.contains(&r.machine) {
-                    self.mail.push(Message::Report(r, self.now));
+                    self.mail.push(Message::Heartbeat(r, self.now));
                 }
                 let open = |j: &JobId| {
                     self.model
@@ -588,11 +588,11 @@
     pub fn step_messages(&mut self, op: &Op) {
         let n = self.workers.len();
         match op.clone() {
-            Op::Report(i) => {
+            Op::Heartbeat(i) => {
                 let w = &mut self.workers[i % n];
                 if w.alive && !self.mute.contains(&w.id) {
                     let r = w.report();
-                    self.mail.push(Message::Report(r, self.now));
+                    self.mail.push(Message::Heartbeat(r, self.now));
                 }
             }
             Op::Deliver(i) if !self.mail.is_empty() => {
@@ -614,7 +614,7 @@
                             term,
                         });
                     }
-                    Message::Report(..) | Message::Reply { .. } => drop(self.mail.remove(i)),
+                    Message::Heartbeat(..) | Message::ApiResponse { .. } => drop(self.mail.remove(i)),
                     Message::Answer { from, term, .. } => {
                         self.mail[i] = Message::Answer {
                             from,
@@ -648,7 +648,7 @@
                     old.apply_report(&r, self.now);
                     if let Some((token, _)) = old.reply(&r.machine, r.token, self.now) {
                         let orders = old.stops(&r);
-                        self.mail.push(Message::Reply {
+                        self.mail.push(Message::ApiResponse {
                             to: r.machine,
                             session: r.session,
                             token,
@@ -671,8 +671,8 @@
                 for t in w.tasks.values_mut() {
                     *t = match (t.1, how % 5) {
                         (TaskState::Fetching, _) => (t.0, TaskState::Running, None),
-                        (TaskState::Running, 0..=2) => (t.0, TaskState::Exited, Some(Why::Done)),
-                        (TaskState::Running, 3) => (t.0, TaskState::Exited, Some(Why::Error)),
+                        (TaskState::Running, 0..=2) => (t.0, TaskState::Exited, Some(ExitReason::Done)),
+                        (TaskState::Running, 3) => (t.0, TaskState::Exited, Some(ExitReason::Failed)),
                         _ => *t,
                     };
                 }
@@ -680,7 +680,7 @@
             Op::Fail => {
                 for t in self.workers.iter_mut().flat_map(|w| w.tasks.values_mut()) {
                     if matches!(t.1, TaskState::Fetching | TaskState::Running) {
-                        *t = (t.0, TaskState::Exited, Some(Why::Error));
+                        *t = (t.0, TaskState::Exited, Some(ExitReason::Failed));
                     }
                 }
             }
--- a/tests/support/gap_world.rs
+++ b/tests/support/gap_world.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use bitternfold::core::evidence::authority::{Authority, AuthorityLimits, ClockReading, MARGIN};
-use bitternfold::core::storage::pending_writes::Write;
+use bitternfold::core::storage::pending_writes::PendingWrite;
 use bitternfold::core::storage::record::JobRecord;
-use bitternfold::core::Config;
-use bitternfold::core::Model;
-use bitternfold::settings::Tuning;
+use bitternfold::core::ClusterModel;
+use bitternfold::core::SchedulerConfig;
+use bitternfold::settings::OperatorSettings;
 use bitternfold::wire::*;
 use proptest::prelude::*;
 use rand::rngs::StdRng;
@@ -85,12 +85,12 @@
 
 struct Leader {
     term: u64,
-    model: Model,
+    model: ClusterModel,
     authority: Authority,
     over: bool,
     touched: Instant,
     /// Not stored yet.
-    writes: Vec<Write>,
+    writes: Vec<PendingWrite>,
     cancelled: bool,
 }
 
@@ -100,7 +100,7 @@
         to: usize,
         from: usize,
         term: u64,
-        commands: Commands,
+        commands: CommandBatch,
         /// Its sender has given it up.
         late: bool,
     },
@@ -108,12 +108,12 @@
         to: usize,
         term: u64,
         machine: MachineId,
-        report: Option<Report>,
+        report: Option<Heartbeat>,
     },
-    Reply {
+    ApiResponse {
         to: usize,
         session: u64,
-        reply: ReportReply,
+        reply: HeartbeatResponse,
         sent: Duration,
     },
 }
@@ -121,7 +121,7 @@
 pub struct World {
     times: Times,
     rng: StdRng,
-    config: Arc<Config>,
+    config: Arc<SchedulerConfig>,
     base: Instant,
     now: Duration,
     /// Error of the time of day.
@@ -160,7 +160,7 @@
             clock_error: Duration::from_secs_f64(times.clock_error),
             drift: (0..8).map(|_| rng.random_range(-0.0005..0.0005)).collect(),
             rng,
-            config: Arc::new(Config::new(&platform, Tuning::default())),
+            config: Arc::new(SchedulerConfig::new(&platform, OperatorSettings::default())),
             base,
             now: Duration::ZERO,
             leaders: [None, None, None],
@@ -219,7 +219,7 @@
         self.term += 1;
         self.held = Some((who, self.clock(7) + Duration::from_secs_f64(self.times.hold)));
         let now = self.clock(who);
-        let mut model = Model::new(self.config.clone(), self.term);
+        let mut model = ClusterModel::new(self.config.clone(), self.term);
         model.types = types();
         for r in self.jobs.values() {
             model.add_job(r.clone(), now);
@@ -286,7 +286,7 @@
         }
         if state && holds {
             for w in std::mem::take(&mut l.writes) {
-                if let Write::Log(a) = &w {
+                if let PendingWrite::WriteAheadLog(a) = &w {
                     for (n, v) in &a.segments {
                         match v {
                             Some(v) => drop(self.wal.insert(*n, v.clone())),
@@ -295,7 +295,7 @@
                     }
                 }
                 // The cancelled job is kept, so that a later leader finds it.
-                if !matches!(w, Write::Final { .. }) {
+                if !matches!(w, PendingWrite::Final { .. }) {
                     l.model.written(&w, true, now);
                 }
             }
@@ -310,7 +310,7 @@
         self.leaders[who] = Some(l);
     }
 
-    fn send(&mut self, from: usize, term: u64, id: &MachineId, commands: Commands) {
+    fn send(&mut self, from: usize, term: u64, id: &MachineId, commands: CommandBatch) {
         let to = self.workers.iter().position(|w| w.id == *id).expect("known");
         let troubled = self.now > secs(20);
         let late = troubled && self.rng.random_bool(self.times.lost);
@@ -393,13 +393,13 @@
             }
             orders.extend(l.model.stops(&r));
             let delay = Duration::from_secs_f64(self.rng.random_range(0.0..4.5f64).powi(3) / 20.0);
-            let reply = ReportReply {
+            let reply = HeartbeatResponse {
                 token,
                 commands: orders,
             };
             self.mail.push((
                 self.now + delay,
-                Mail::Reply {
+                Mail::ApiResponse {
                     to: i,
                     session: r.session,
                     reply,
@@ -450,7 +450,7 @@
                     l.model.commanded(&machine, report.as_ref(), now);
                 }
             }
-            Mail::Reply {
+            Mail::ApiResponse {
                 to,
                 session,
                 reply,
@@ -463,7 +463,7 @@
                     hangs || self.now > sent + PATIENCE || session != w.session || reply.token < w.token;
                 if !dropped {
                     w.renewed = w.renewed.max(at);
-                    w.run(&Commands {
+                    w.run(&CommandBatch {
                         token: reply.token,
                         session,
                         commands: reply.commands,
--- a/tests/support/history.rs
+++ b/tests/support/history.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
 
-use bitternfold::wire::{JobId, Standing, TaskId};
+use bitternfold::wire::{JobId, JobState, TaskId};
 
 /// A start that is carried out so long after its job's cancellation was confirmed
 /// was not on its way then.
@@ -25,7 +25,7 @@
 /// An answer to a question.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Answer {
-    Known(Standing),
+    Known(JobState),
     NotFound,
 }
 
@@ -84,7 +84,7 @@
     accepted: BTreeMap<JobId, Duration>,
     asked_to_cancel: HashSet<JobId>,
     /// Final states that somebody was told, and when first.
-    told: BTreeMap<JobId, (Standing, Duration)>,
+    told: BTreeMap<JobId, (JobState, Duration)>,
     found: Vec<Violation>,
 }
 
@@ -137,7 +137,7 @@
         let mut jobs = self.ancestors(job);
         jobs.insert(job);
         let told = jobs.iter().filter_map(|id| seen.told.get(id));
-        told.filter(|t| t.0 == Standing::Cancelled).map(|t| t.1).min()
+        told.filter(|t| t.0 == JobState::Cancelled).map(|t| t.1).min()
     }
 
     fn is_done(&self, seen: &Seen, job: JobId) -> bool {
@@ -237,17 +237,17 @@
                 );
             }
         }
-        if standing == Standing::Done && !self.is_done(seen, job) {
+        if standing == JobState::Done && !self.is_done(seen, job) {
             seen.violated("not_done", format!("{job} is called done, {at:?}"));
         }
         let mut with_ancestors = self.ancestors(job);
         with_ancestors.insert(job);
-        if standing == Standing::Cancelled
+        if standing == JobState::Cancelled
             && with_ancestors.is_disjoint(&seen.asked_to_cancel.iter().copied().collect())
         {
             seen.violated("went_back", format!("{job} is cancelled by nobody, {at:?}"));
         }
-        if matches!(standing, Standing::Queued | Standing::Running) {
+        if matches!(standing, JobState::Queued | JobState::Running) {
             if let Some(since) = self
                 .cancelled_since(seen, job)
                 .filter(|since| asked > *since + self.cancel)
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -6,11 +6,11 @@
 
 use bitternfold::core::state::job::Job;
 use bitternfold::core::storage::record::JobRecord;
-use bitternfold::core::Config;
-use bitternfold::core::Model;
-use bitternfold::settings::{Platform, Tuning};
+use bitternfold::core::ClusterModel;
+use bitternfold::core::SchedulerConfig;
+use bitternfold::settings::{DeploymentSettings, OperatorSettings};
 use bitternfold::wire::{
-    JobSpec, Kind, MachineId, MachineType, Priority, Report, ReportedTask, TaskState, Why,
+    ExitReason, Heartbeat, JobKind, JobSpec, MachineId, MachineType, Priority, ReportedTask, TaskState,
 };
 
 pub const SETTINGS: &str = r#"
@@ -64,12 +64,15 @@
 list_lag_s = 4.0
 "#;
 
-pub fn platform() -> Platform {
-    Platform::parse(SETTINGS, "test").expect("valid settings")
+pub fn platform() -> DeploymentSettings {
+    DeploymentSettings::parse(SETTINGS, "test").expect("valid settings")
 }
 
-pub fn model(term: u64) -> Model {
-    let mut m = Model::new(Arc::new(Config::new(&platform(), Tuning::default())), term);
+pub fn model(term: u64) -> ClusterModel {
+    let mut m = ClusterModel::new(
+        Arc::new(SchedulerConfig::new(&platform(), OperatorSettings::default())),
+        term,
+    );
     m.types = types();
     m
 }
@@ -97,7 +100,7 @@
         id: format!("job-{n:06}").parse().expect("an id"),
         class: "plain".into(),
         team: "blue".into(),
-        kind: Kind::Array,
+        kind: JobKind::Array,
         priority: Priority::Normal,
         tasks,
         cpus,
@@ -127,8 +130,8 @@
 }
 
 /// A report of an idle machine that has seen a token of the term.
-pub fn report(machine: &str, machine_type: &str, zone: &str, spot: bool, term: u64, seq: u64) -> Report {
-    Report {
+pub fn report(machine: &str, machine_type: &str, zone: &str, spot: bool, term: u64, seq: u64) -> Heartbeat {
+    Heartbeat {
         machine: machine.into(),
         addr: "127.0.0.1:9".into(),
         machine_type: machine_type.into(),
@@ -143,16 +146,16 @@
 }
 
 /// What a machine would report of its slots: all run.
-pub fn running(m: &Model, id: &MachineId) -> Vec<ReportedTask> {
+pub fn running(m: &ClusterModel, id: &MachineId) -> Vec<ReportedTask> {
     all_in_state(m, id, TaskState::Running)
 }
 
 /// What a machine would report of its slots: all wait for their image.
-pub fn fetching(m: &Model, id: &MachineId) -> Vec<ReportedTask> {
+pub fn fetching(m: &ClusterModel, id: &MachineId) -> Vec<ReportedTask> {
     all_in_state(m, id, TaskState::Fetching)
 }
 
-fn all_in_state(m: &Model, id: &MachineId, state: TaskState) -> Vec<ReportedTask> {
+fn all_in_state(m: &ClusterModel, id: &MachineId, state: TaskState) -> Vec<ReportedTask> {
     m.machines[id]
         .slots
         .iter()
@@ -167,10 +170,10 @@
 }
 
 /// The same, the first so many of them done.
-pub fn ended(m: &Model, id: &MachineId, first: usize) -> Vec<ReportedTask> {
+pub fn ended(m: &ClusterModel, id: &MachineId, first: usize) -> Vec<ReportedTask> {
     let mut tasks = running(m, id);
     for t in tasks.iter_mut().take(first) {
-        (t.state, t.why) = (TaskState::Exited, Some(Why::Done));
+        (t.state, t.why) = (TaskState::Exited, Some(ExitReason::Done));
     }
     tasks
 }
--- a/tests/support/site.rs
+++ b/tests/support/site.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bitternfold::leader;
-use bitternfold::settings::{Platform, Tuning};
+use bitternfold::settings::{DeploymentSettings, OperatorSettings};
 use serde_json::{json, Value};
 use tokio::time::sleep;
 
@@ -107,7 +107,7 @@
 
     /// Runs a controller on a thread of its own, as a process would.
     pub fn boot(&mut self, i: usize) {
-        let platform = Platform::parse(&self.texts[i], "test").expect("settings");
+        let platform = DeploymentSettings::parse(&self.texts[i], "test").expect("settings");
         let (tx, rx) = std::sync::mpsc::channel::<()>();
         self.stops[i] = Some(tx);
         std::thread::spawn(move || {
@@ -118,7 +118,10 @@
             rt.block_on(async move {
                 tokio::spawn(async move {
                     // A restart may find the port still closing.
-                    while leader::run(platform.clone(), Tuning::default()).await.is_err() {
+                    while leader::run(platform.clone(), OperatorSettings::default())
+                        .await
+                        .is_err()
+                    {
                         sleep(Duration::from_millis(50)).await;
                     }
                 });
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bitternfold::wire::{JobId, Standing};
+use bitternfold::wire::{JobId, JobState};
 use parking_lot::Mutex;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
@@ -35,7 +35,7 @@
     pub next: AtomicU64,
 }
 
-fn standing_of(body: &Value) -> Option<Standing> {
+fn standing_of(body: &Value) -> Option<JobState> {
     serde_json::from_value(body["standing"].clone()).ok()
 }
 
@@ -58,7 +58,7 @@
         }
     }
 
-    pub async fn poll(&self, job: JobId, at: usize) -> Option<Standing> {
+    pub async fn poll(&self, job: JobId, at: usize) -> Option<JobState> {
         let asked = self.began.elapsed();
         let answer = ask("GET", self.api[at], &format!("/v2/runs/{job}"), None).await;
         self.note_answer(job, asked, &answer);
@@ -178,7 +178,7 @@
                 self.note_answer(job, asked, &answer);
             } else if matches!(
                 self.poll(job, at).await,
-                Some(Standing::Done | Standing::Cancelled)
+                Some(JobState::Done | JobState::Cancelled)
             ) {
                 break;
             }
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -16,7 +16,7 @@
     pub session: u64,
     pub seq: u64,
     pub token: u64,
-    pub tasks: BTreeMap<TaskId, (u64, TaskState, Option<Why>)>,
+    pub tasks: BTreeMap<TaskId, (u64, TaskState, Option<ExitReason>)>,
     pub alive: bool,
     /// Its reports arrive, but answers and commands don't reach it.
     pub unreachable: bool,
@@ -54,9 +54,9 @@
     }
 
     /// Its next report.
-    pub fn report(&mut self) -> Report {
+    pub fn report(&mut self) -> Heartbeat {
         self.seq += 1;
-        Report {
+        Heartbeat {
             machine: self.id.clone(),
             addr: "127.0.0.1:9".into(),
             machine_type: "small".into(),
@@ -81,7 +81,7 @@
     }
 
     /// Runs a command; the tasks that it started.
-    pub fn run(&mut self, c: &Commands) -> Vec<TaskId> {
+    pub fn run(&mut self, c: &CommandBatch) -> Vec<TaskId> {
         if c.token < self.token || c.session != self.session {
             return Vec::new();
         }
@@ -100,11 +100,11 @@
                 Command::Stop { task, attempt, .. } => {
                     if let Some(t) = self.tasks.get_mut(&task) {
                         if t.0 == attempt && t.1 != TaskState::Exited {
-                            *t = (attempt, TaskState::Exited, Some(Why::Stopped));
+                            *t = (attempt, TaskState::Exited, Some(ExitReason::Stopped));
                         }
                     }
                 }
-                Command::Forget { task, attempt } => {
+                Command::Acknowledge { task, attempt } => {
                     if self
                         .tasks
                         .get(&task)
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -9,10 +9,10 @@
 
 use std::time::{Duration, Instant};
 
-use bitternfold::core::evidence::permission::{StartRefusal, Withheld};
-use bitternfold::core::state::machine::Phase;
-use bitternfold::core::Model;
-use bitternfold::wire::{Command, Commands, JobId, MachineId, TaskId};
+use bitternfold::core::evidence::permission::{SendRefusal, StartRefusal};
+use bitternfold::core::state::machine::MachinePhase;
+use bitternfold::core::ClusterModel;
+use bitternfold::wire::{Command, CommandBatch, JobId, MachineId, TaskId};
 use site::{job_name, on_loopback, Site, LONG};
 use tokio::time::sleep;
 
@@ -89,10 +89,10 @@
 
 /// A start that a round has decided, and that waits to be sent.
 struct Waiting {
-    model: Model,
+    model: ClusterModel,
     machine: MachineId,
     task: TaskId,
-    commands: Commands,
+    commands: CommandBatch,
     now: Instant,
 }
 
@@ -119,13 +119,13 @@
         }
     }
 
-    fn judged(&self) -> Option<Withheld> {
+    fn judged(&self) -> Option<SendRefusal> {
         let permit = self.model.permit_send(&self.machine, &self.commands, true);
         permit.err()
     }
 
     fn refused_for(&self, refusal: StartRefusal) {
-        assert_eq!(self.judged(), Some(Withheld::Start(self.task, refusal)));
+        assert_eq!(self.judged(), Some(SendRefusal::Start(self.task, refusal)));
     }
 }
 
@@ -136,7 +136,7 @@
     let lapsed = waiting
         .model
         .permit_send(&waiting.machine, &waiting.commands, false);
-    assert_eq!(lapsed.err(), Some(Withheld::NoAuthority));
+    assert_eq!(lapsed.err(), Some(SendRefusal::NoAuthority));
 
     let mut waiting = Waiting::new();
     waiting.model.cancel(waiting.task.job, waiting.now);
@@ -172,7 +172,7 @@
 
     let mut waiting = Waiting::new();
     let machine = waiting.model.machines.get_mut(&waiting.machine).expect("there");
-    machine.phase = Phase::Releasing;
+    machine.phase = MachinePhase::Releasing;
     waiting.refused_for(StartRefusal::NotPlaced);
 
     let mut waiting = Waiting::new();
