--- a/src/api.rs
+++ b/src/api.rs
@@ -32,9 +32,9 @@
 
 impl ConnectionTimeouts {
     /// Well above what users and workers need, who report and ask every few seconds.
-    pub fn new(report: Duration) -> Self {
+    pub fn new(heartbeat: Duration) -> Self {
         Self {
-            quiet: Duration::from_secs(30).max(report * 4),
+            quiet: Duration::from_secs(30).max(heartbeat * 4),
             request: Duration::from_secs(10),
         }
     }
@@ -43,12 +43,12 @@
 /// Serves users, workers and health checks for ever. Connections beyond the
 /// share of sockets wait in the listener's queue, where the load balancer and
 /// the workers pass them on to another controller.
-pub async fn serve(listener: TcpListener, node: Arc<Controller>, patience: ConnectionTimeouts) {
-    let service = warp::service(routes(node.clone()));
+pub async fn serve(listener: TcpListener, controller: Arc<Controller>, patience: ConnectionTimeouts) {
+    let service = warp::service(routes(controller.clone()));
     let mut http = http1::Builder::new();
     http.timer(TokioTimer::new()).header_read_timeout(patience.quiet);
     loop {
-        let permit = node.sockets.incoming().await;
+        let permit = controller.sockets.incoming().await;
         match listener.accept().await {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
@@ -73,22 +73,22 @@
     }
 }
 
-fn respond(reply: ApiResponse) -> Response {
-    let status = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
+fn respond(response: ApiResponse) -> Response {
+    let status = StatusCode::from_u16(response.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let mut b = warp::http::Response::builder()
         .status(status)
         .header("content-type", "application/json");
-    let retry = reply
+    let retry = response
         .retry_after
         .or((status == StatusCode::SERVICE_UNAVAILABLE).then_some(1));
     if let Some(s) = retry {
         b = b.header("retry-after", s);
     }
-    b.body(Bytes::from(reply.body)).unwrap_or_default()
+    b.body(Bytes::from(response.body)).unwrap_or_default()
 }
 
 async fn rejected(r: Rejection) -> Result<warp::reply::Response, Infallible> {
-    let reply = if r.find::<warp::reject::PayloadTooLarge>().is_some() {
+    let response = if r.find::<warp::reject::PayloadTooLarge>().is_some() {
         ApiResponse::error(413, "body too large")
     } else if r.find::<warp::reject::LengthRequired>().is_some() {
         ApiResponse::error(411, "content-length required")
@@ -99,64 +99,66 @@
     } else {
         ApiResponse::error(400, "malformed request")
     };
-    Ok(respond(reply).into_response())
+    Ok(respond(response).into_response())
 }
 
 /// All endpoints.
 pub fn routes(
-    node: Arc<Controller>,
+    controller: Arc<Controller>,
 ) -> impl Filter<Extract = (impl warp::Reply,), Error = Infallible> + Clone + Send + Sync + 'static {
-    let with = warp::any().map(move || node.clone());
+    let with = warp::any().map(move || controller.clone());
     let body = warp::body::content_length_limit(BODY_LIMIT).and(warp::body::bytes());
 
     let up = warp::get()
         .and(warp::path!("up"))
         .and(with.clone())
-        .map(|node: Arc<Controller>| {
-            respond(if node.can_serve() {
+        .map(|controller: Arc<Controller>| {
+            respond(if controller.can_serve() {
                 ApiResponse::json(200, &serde_json::json!({}))
             } else {
-                ApiResponse::later("cut off from the state service and the other controllers")
+                ApiResponse::unavailable("cut off from the state service and the other controllers")
             })
         });
     let submit = warp::post()
         .and(warp::path!("v2" / "runs"))
         .and(body)
         .and(with.clone())
-        .then(|body: Bytes, node: Arc<Controller>| async move { respond(node.submit(&body).await) });
+        .then(
+            |body: Bytes, controller: Arc<Controller>| async move { respond(controller.submit(&body).await) },
+        );
     let poll = warp::get()
         .and(warp::path!("v2" / "runs" / String))
         .and(with.clone())
-        .then(|id: String, node: Arc<Controller>| async move {
+        .then(|id: String, controller: Arc<Controller>| async move {
             // An id that can't be one was never accepted.
             match id.parse::<JobId>() {
-                Ok(id) => respond(node.poll(id).await),
+                Ok(id) => respond(controller.poll(id).await),
                 Err(_) => respond(ApiResponse::error(404, "no such job")),
             }
         });
     let cancel = warp::post()
         .and(warp::path!("v2" / "runs" / String / "cancel"))
         .and(with.clone())
-        .then(|id: String, node: Arc<Controller>| async move {
+        .then(|id: String, controller: Arc<Controller>| async move {
             match id.parse::<JobId>() {
-                Ok(id) => respond(node.cancel(id).await),
+                Ok(id) => respond(controller.cancel(id).await),
                 Err(_) => respond(ApiResponse::error(404, "no such job")),
             }
         });
-    let report = warp::post()
+    let heartbeat = warp::post()
         .and(warp::path!("v1" / "report"))
         .and(body)
         .and(with)
-        .then(|body: Bytes, node: Arc<Controller>| async move {
-            let mut r = respond(node.report(&body).await);
-            if node.sockets.crowded() {
+        .then(|body: Bytes, controller: Arc<Controller>| async move {
+            let mut r = respond(controller.heartbeat(&body).await);
+            if controller.sockets.is_overloaded() {
                 // The worker comes back on a new connection; meanwhile its socket serves another.
                 r.headers_mut()
                     .insert("connection", HeaderValue::from_static("close"));
             }
             r
         });
-    up.or(report)
+    up.or(heartbeat)
         .unify()
         .or(poll)
         .unify()
--- a/src/controller/job_lookup.rs
+++ b/src/controller/job_lookup.rs
@@ -14,7 +14,7 @@
 use crate::wire::{JobId, JobKind, JobSpec, JobState, JobStatus};
 
 /// Final states kept at hand; the rest is read from the state service.
-const MOST_FINALS: usize = 50_000;
+const MAX_FINALS: usize = 50_000;
 
 /// Final states of jobs: once known they hold for ever.
 #[derive(Debug, Default)]
@@ -35,7 +35,7 @@
             }
             Some(_) => {}
         }
-        if self.order.len() > MOST_FINALS {
+        if self.order.len() > MAX_FINALS {
             if let Some(old) = self.order.pop_front() {
                 self.records.remove(&old);
             }
@@ -48,12 +48,12 @@
     }
 
     /// What its user is told, if at hand.
-    pub fn view(&self, id: JobId) -> Option<JobStatus> {
-        self.records.get(&id).map(|record| final_view(id, record))
+    pub fn status(&self, id: JobId) -> Option<JobStatus> {
+        self.records.get(&id).map(|record| terminal_status(id, record))
     }
 }
 
-fn final_view(id: JobId, record: &FinalRecord) -> JobStatus {
+fn terminal_status(id: JobId, record: &FinalRecord) -> JobStatus {
     JobStatus {
         id,
         state: record.state,
@@ -84,7 +84,7 @@
         if let Ok(item) = self.store.get_soon(&record::final_key(id)).await? {
             let record: FinalRecord =
                 serde_json::from_value(item.value).map_err(|_| StoreError::Unanswered)?;
-            let view = final_view(id, &record);
+            let view = terminal_status(id, &record);
             self.finals.lock().keep(id, record);
             return Ok(StoredJob::Finished(view));
         }
@@ -93,7 +93,7 @@
 
     /// The state of a job that was looked up, given the jobs before it; `None`:
     /// it was never accepted. How far an unfinished one is, only the leader knows.
-    pub async fn standing(&self, found: &StoredJob) -> Result<Option<JobState>, StoreError> {
+    pub async fn stored_state(&self, found: &StoredJob) -> Result<Option<JobState>, StoreError> {
         Ok(match found {
             StoredJob::NeverAccepted => None,
             StoredJob::Finished(view) => Some(view.state),
@@ -110,7 +110,7 @@
         let mut seen: HashSet<JobId> = jobs.iter().copied().collect();
         let mut next: VecDeque<JobId> = jobs.iter().copied().collect();
         while let Some(id) = next.pop_front() {
-            let known = self.finals.lock().view(id);
+            let known = self.finals.lock().status(id);
             let found = match known {
                 Some(view) => StoredJob::Finished(view),
                 None => self.lookup(id).await?,
@@ -129,11 +129,11 @@
     }
 
     /// The answer about a job that was looked up.
-    pub async fn reply_about(&self, id: JobId, found: &StoredJob) -> ApiResponse {
+    pub async fn response_about(&self, id: JobId, found: &StoredJob) -> ApiResponse {
         if let StoredJob::Finished(view) = found {
             return ApiResponse::json(200, view);
         }
-        match self.standing(found).await {
+        match self.stored_state(found).await {
             Ok(None) => ApiResponse::error(404, "no such job"),
             Ok(Some(state)) => ApiResponse::json(
                 200,
@@ -144,7 +144,7 @@
                     running: 0,
                 },
             ),
-            Err(_) => ApiResponse::later("the state of a job that it needs can't be read now"),
+            Err(_) => ApiResponse::unavailable("the state of a job that it needs can't be read now"),
         }
     }
 
@@ -165,7 +165,11 @@
                         let reason = AdmissionError::UnknownDependency(*named);
                         return Err(ApiResponse::error(422, &reason.to_string()));
                     }
-                    Err(_) => return Err(ApiResponse::later("a job that it waits for can't be read now")),
+                    Err(_) => {
+                        return Err(ApiResponse::unavailable(
+                            "a job that it waits for can't be read now",
+                        ))
+                    }
                 };
             }
             if kind == Some(JobKind::Service) {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -49,9 +49,9 @@
 #[derive(Debug)]
 pub struct Controller {
     /// The platform's settings.
-    pub platform: DeploymentSettings,
+    pub deployment: DeploymentSettings,
     /// The operators' settings.
-    pub tuning: OperatorSettings,
+    pub operator_settings: OperatorSettings,
     /// What the model needs of both.
     pub config: Arc<SchedulerConfig>,
     /// Tells this process from its earlier self.
@@ -76,7 +76,7 @@
 }
 
 /// Milliseconds of the time of day.
-pub fn wall_ms() -> u64 {
+pub fn unix_time_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -93,23 +93,23 @@
 
 impl Controller {
     /// A controller that is not running yet.
-    pub fn new(platform: DeploymentSettings, tuning: OperatorSettings) -> Arc<Self> {
-        let limits = platform.params.state.clone();
+    pub fn new(deployment: DeploymentSettings, operator_settings: OperatorSettings) -> Arc<Self> {
+        let limits = deployment.cluster.state.clone();
         let http = Http::default();
-        let store = Store::new(http.clone(), platform.services.state.to_string(), &limits);
+        let store = Store::new(http.clone(), deployment.services.state.to_string(), &limits);
         let cloud = Cloud::new(
             http,
-            platform.services.cloud.to_string(),
-            platform.params.cloud.rps,
+            deployment.services.cloud.to_string(),
+            deployment.cluster.cloud.rps,
         );
-        let sockets = SocketBudget::new(platform.params.limits.sockets);
-        let links = platform
+        let sockets = SocketBudget::new(deployment.cluster.limits.sockets);
+        let links = deployment
             .peers
             .iter()
-            .map(|p| PeerLink::new(p.node.clone(), p.addr, sockets.most_incoming()))
+            .map(|p| PeerLink::new(p.host.clone(), p.addr, sockets.max_incoming()))
             .collect();
         Arc::new(Self {
-            config: Arc::new(SchedulerConfig::new(&platform, tuning.clone())),
+            config: Arc::new(SchedulerConfig::new(&deployment, operator_settings.clone())),
             nonce: rand::random(),
             sockets,
             stall_detector: StallDetector::new(Instant::now()),
@@ -121,14 +121,14 @@
             role: Mutex::new(Role::Unknown),
             term: Mutex::new(0),
             peers: Mutex::default(),
-            platform,
-            tuning,
+            deployment,
+            operator_settings,
         })
     }
 
     /// This controller's name.
     pub fn host(&self) -> &str {
-        &self.platform.node
+        &self.deployment.host
     }
 
     /// Who leads, as far as is known.
@@ -177,7 +177,7 @@
         };
         info!(for_s = still.as_secs_f64(), "this process stood still");
         if let Role::Leading(active_leader) = self.role() {
-            active_leader.woke(now);
+            active_leader.resumed_after_pause(now);
         }
     }
 
@@ -245,23 +245,23 @@
         all
     }
 
-    async fn ask_leader(&self, ask: PeerRequest, patience: Duration) -> Option<ApiResponse> {
+    async fn forward_to_leader(&self, request: PeerRequest, patience: Duration) -> Option<ApiResponse> {
         let Role::Following { host, .. } = self.role() else {
             return None;
         };
         let link = self.links.iter().find(|l| l.host == host)?;
-        link.ask(ask, patience).await.filter(|r| r.status != 0)
+        link.request(request, patience).await.filter(|r| r.status != 0)
     }
 
     /// Answers another controller's question.
-    pub async fn answer_peer(&self, from: &str, ask: PeerRequest) -> ApiResponse {
-        if let PeerRequest::Heartbeat(body) = ask {
-            return self.answer_report(from, &body);
+    pub async fn handle_peer_request(&self, from: &str, request: PeerRequest) -> ApiResponse {
+        if let PeerRequest::Heartbeat(body) = request {
+            return self.answer_heartbeat(from, &body);
         }
         let Some(active_leader) = self.active_leader() else {
             return ApiResponse::not_leading();
         };
-        match ask {
+        match request {
             PeerRequest::Submit(body) => active_leader.submit(&body).await,
             PeerRequest::Poll(id) => match id.parse() {
                 Ok(id) => active_leader.poll(id).await,
@@ -276,24 +276,24 @@
     }
 
     /// Answers a report that another controller passes on.
-    pub fn answer_report(&self, from: &str, body: &[u8]) -> ApiResponse {
+    pub fn answer_heartbeat(&self, from: &str, body: &[u8]) -> ApiResponse {
         self.check_for_stall();
         match self.role() {
-            Role::Leading(active_leader) => active_leader.report(body, from),
+            Role::Leading(active_leader) => active_leader.heartbeat(body, from),
             _ => ApiResponse::not_leading(),
         }
     }
 
     /// A worker's report, relayed to the leader if that is another.
-    pub async fn report(&self, body: &[u8]) -> ApiResponse {
+    pub async fn heartbeat(&self, body: &[u8]) -> ApiResponse {
         self.check_for_stall();
         match self.role() {
-            Role::Leading(active_leader) => active_leader.report(body, self.host()),
+            Role::Leading(active_leader) => active_leader.heartbeat(body, self.host()),
             Role::Following { .. } => self
-                .ask_leader(PeerRequest::Heartbeat(body.to_vec()), Duration::from_millis(2500))
+                .forward_to_leader(PeerRequest::Heartbeat(body.to_vec()), Duration::from_millis(2500))
                 .await
-                .unwrap_or_else(|| ApiResponse::later("no leader answers")),
-            Role::Unknown => ApiResponse::later("no leader known"),
+                .unwrap_or_else(|| ApiResponse::unavailable("no leader answers")),
+            Role::Unknown => ApiResponse::unavailable("no leader known"),
         }
     }
 
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -6,7 +6,7 @@
 
 use tracing::debug;
 
-use super::{wall_ms, Controller};
+use super::{unix_time_ms, Controller};
 use crate::controller::job_lookup::StoredJob;
 use crate::core::scheduling::admission::{admissible, AdmissionError};
 use crate::core::storage::record::{self, FinalRecord, JobRecord};
@@ -39,11 +39,11 @@
         if let Some(active_leader) = self.active_leader() {
             return active_leader.submit(body).await;
         }
-        if let Some(view) = id_in(body).and_then(|id| self.finals.lock().view(id)) {
+        if let Some(view) = id_in(body).and_then(|id| self.finals.lock().status(id)) {
             return ApiResponse::json(200, &view);
         }
         let asked = self
-            .ask_leader(PeerRequest::Submit(body.to_vec()), self.tuning.forward)
+            .forward_to_leader(PeerRequest::Submit(body.to_vec()), self.operator_settings.forward)
             .await;
         match asked {
             Some(r) if r.status != 503 => r,
@@ -55,19 +55,19 @@
     pub async fn poll(&self, id: JobId) -> ApiResponse {
         self.check_for_stall();
         if self.stall_detector.overloaded(Instant::now()) {
-            return match self.finals.lock().view(id) {
+            return match self.finals.lock().status(id) {
                 Some(view) => ApiResponse::json(200, &view),
-                None => ApiResponse::later("too much to do"),
+                None => ApiResponse::unavailable("too much to do"),
             };
         }
         if let Some(active_leader) = self.active_leader() {
             return active_leader.poll(id).await;
         }
-        if let Some(view) = self.finals.lock().view(id) {
+        if let Some(view) = self.finals.lock().status(id) {
             return ApiResponse::json(200, &view);
         }
         let asked = self
-            .ask_leader(PeerRequest::Poll(id.to_string()), self.tuning.forward)
+            .forward_to_leader(PeerRequest::Poll(id.to_string()), self.operator_settings.forward)
             .await;
         match asked {
             Some(r) if r.status != 503 => {
@@ -75,8 +75,8 @@
                 r
             }
             _ => match self.lookup(id).await {
-                Ok(found) => self.reply_about(id, &found).await,
-                Err(_) => ApiResponse::later("the job's state can't be read now"),
+                Ok(found) => self.response_about(id, &found).await,
+                Err(_) => ApiResponse::unavailable("the job's state can't be read now"),
             },
         }
     }
@@ -103,11 +103,11 @@
         if let Some(active_leader) = self.active_leader() {
             return active_leader.cancel(id).await;
         }
-        if let Some(view) = self.finals.lock().view(id) {
+        if let Some(view) = self.finals.lock().status(id) {
             return ApiResponse::json(200, &view);
         }
         let asked = self
-            .ask_leader(PeerRequest::Cancel(id.to_string()), Duration::from_secs(2))
+            .forward_to_leader(PeerRequest::Cancel(id.to_string()), Duration::from_secs(2))
             .await;
         match asked {
             Some(r) if r.status != 503 => {
@@ -116,13 +116,13 @@
             }
             _ => {
                 let Ok(found) = self.lookup(id).await else {
-                    return ApiResponse::later("no leader to cancel it now");
+                    return ApiResponse::unavailable("no leader to cancel it now");
                 };
-                match self.standing(&found).await {
+                match self.stored_state(&found).await {
                     Ok(None | Some(JobState::Cancelled | JobState::Done)) => {
-                        self.reply_about(id, &found).await
+                        self.response_about(id, &found).await
                     }
-                    _ => ApiResponse::later("no leader to cancel it now"),
+                    _ => ApiResponse::unavailable("no leader to cancel it now"),
                 }
             }
         }
@@ -158,7 +158,7 @@
             return Err(ApiResponse::error(422, &AdmissionError::UnknownTeam.to_string()));
         }
         if types.is_empty() {
-            return Err(ApiResponse::later("the machine types are not known yet"));
+            return Err(ApiResponse::unavailable("the machine types are not known yet"));
         }
         admissible(&spec, &self.config.teams, types).map_err(|u| ApiResponse::error(422, &u.to_string()))?;
         let mut spec = spec;
@@ -202,8 +202,8 @@
         // The id comes before the body: a repeat of an accepted job is 200.
         match self.lookup(id).await {
             Ok(StoredJob::NeverAccepted) => {}
-            Ok(found) => return self.reply_about(id, &found).await,
-            Err(_) => return ApiResponse::later("the job's state can't be read now"),
+            Ok(found) => return self.response_about(id, &found).await,
+            Err(_) => return ApiResponse::unavailable("the job's state can't be read now"),
         }
         let types = self.known_types().await;
         let spec = match self.judge(body, &types) {
@@ -212,7 +212,7 @@
         };
         let rec = JobRecord {
             spec,
-            at: wall_ms(),
+            at: unix_time_ms(),
             cancelled: false,
         };
         if !self.record_fits(&rec) {
@@ -254,8 +254,10 @@
                 accepted(id, 201)
             }
             Err(_) => match self.lookup(id).await {
-                Ok(StoredJob::NeverAccepted) | Err(_) => ApiResponse::later("the job can't be stored now"),
-                Ok(found) => self.reply_about(id, &found).await,
+                Ok(StoredJob::NeverAccepted) | Err(_) => {
+                    ApiResponse::unavailable("the job can't be stored now")
+                }
+                Ok(found) => self.response_about(id, &found).await,
             },
         }
     }
--- a/src/core/evidence/authority.rs
+++ b/src/core/evidence/authority.rs
@@ -36,7 +36,7 @@
     clock_error: Duration,
     /// When the last successful renewal was sent.
     renewal_sent: ClockReading,
-    woke: Option<Instant>,
+    resumed_at: Option<Instant>,
 }
 
 /// The spans that an authority rests on.
@@ -65,7 +65,7 @@
             grace: limits.cancel.saturating_sub(limits.worker_lease + margin),
             clock_error: limits.clock_error,
             renewal_sent: sent,
-            woke: None,
+            resumed_at: None,
         }
     }
 
@@ -74,14 +74,14 @@
         if sent.steady >= self.renewal_sent.steady {
             self.renewal_sent = sent;
         }
-        self.woke = self.woke.filter(|w| sent.steady <= *w);
+        self.resumed_at = self.resumed_at.filter(|w| sent.steady <= *w);
     }
 
     /// The process has stood still until now. The authority holds by the clock
     /// as ever, but leases are not renewed beyond it before the state service
     /// has answered anew: a newer leader's workers would be held here.
-    pub fn woke(&mut self, now: Instant) {
-        self.woke = Some(now);
+    pub fn resumed_after_pause(&mut self, now: Instant) {
+        self.resumed_at = Some(now);
     }
 
     /// Whether it may act as the leader: start, place, rent, answer from memory.
@@ -93,7 +93,7 @@
     /// through an outage. Another may have promised meanwhile that a cancelled
     /// job is gone in time, hence the bound.
     pub fn may_renew_leases(&self, now: ClockReading) -> bool {
-        self.woke.is_none() && self.since_renewal(now) < self.term_of_renewal + self.grace
+        self.resumed_at.is_none() && self.since_renewal(now) < self.term_of_renewal + self.grace
     }
 
     /// How long ago the last successful renewal was sent, by the clock that has
--- a/src/core/evidence/commands.rs
+++ b/src/core/evidence/commands.rs
@@ -4,7 +4,7 @@
 
 use crate::core::evidence::permission::check_job;
 use crate::core::state::machine::{Machine, MachinePhase, TOKEN_BITS};
-use crate::core::state::model::{ClusterModel, EPS};
+use crate::core::state::model::{ClusterModel, AMOUNT_TOLERANCE};
 use crate::core::state::slot::SlotState;
 use crate::wire::{Command, CommandBatch, Heartbeat, MachineId, TaskState};
 
@@ -14,15 +14,20 @@
     /// response runs ahead of a command that is still on its way; where it has
     /// none, or where outcomes are to be forgotten and no command is on its
     /// way, a fresh one that no command carries. `None`: a later leader has spoken.
-    pub fn reply(&mut self, machine: &MachineId, reported: u64, now: Instant) -> Option<(u64, Vec<Command>)> {
+    pub fn heartbeat_response(
+        &mut self,
+        machine: &MachineId,
+        reported: u64,
+        now: Instant,
+    ) -> Option<(u64, Vec<Command>)> {
         if reported >> TOKEN_BITS > self.term {
             return None;
         }
         let term = self.term;
-        let patience = self.config.report;
+        let patience = self.config.heartbeat_interval;
         let (log, jobs) = (&self.log, &self.jobs);
         let m = self.machines.get_mut(machine)?;
-        m.replied = Some(now);
+        m.last_response = Some(now);
         if !m.fenced(term) {
             return Some((m.fresh_token(term), Vec::new()));
         }
@@ -38,10 +43,10 @@
         if start_in_flight {
             return Some((m.fresh_token(term), Vec::new()));
         }
-        if m.commanding || m.forget_since.is_none() {
+        if m.command_in_flight || m.unacknowledged_since.is_none() {
             return Some((m.seen_token, Vec::new()));
         }
-        let orders = m.forgets(log, jobs);
+        let orders = m.acknowledgements(log, jobs);
         if orders.is_empty() {
             return Some((m.seen_token, orders));
         }
@@ -52,7 +57,7 @@
     /// response that renews a lease, also past the right to act, so that no
     /// answer of one who knows of a cancellation lets its tasks live on. A stop
     /// names an attempt and may be repeated; it is no evidence by itself.
-    pub fn stops(&self, r: &Heartbeat) -> Vec<Command> {
+    pub fn stops_for_cancelled(&self, r: &Heartbeat) -> Vec<Command> {
         let live = r.tasks.iter().filter(|t| t.state != TaskState::Exited);
         live.filter(|t| self.jobs.get(&t.task.job).is_some_and(|j| j.cancelled))
             .map(|t| Command::Stop {
@@ -65,7 +70,7 @@
 
     /// Notes that a command may be due for a machine that none is on its way to.
     pub(in crate::core) fn note_due(&mut self, id: &MachineId) {
-        let due = |m: &Machine| !m.commanding && m.wants_command();
+        let due = |m: &Machine| !m.command_in_flight && m.wants_command();
         if self.machines.get(id).is_some_and(due) {
             self.due.insert(id.clone());
         }
@@ -78,11 +83,11 @@
         let mut left = probes;
         for id in std::mem::take(&mut self.due) {
             let Some(m) = self.machines.get(&id) else { continue };
-            if left == 0 && m.probe && !m.fenced(self.term) {
+            if left == 0 && m.needs_probe && !m.fenced(self.term) {
                 self.due.insert(id);
                 continue;
             }
-            let probe = m.probe;
+            let probe = m.needs_probe;
             match self.command(&id, now) {
                 Some((addr, c)) => {
                     left -= usize::from(probe && left > 0);
@@ -99,16 +104,16 @@
         let term = self.term;
         let types = &self.types;
         let (log, jobs, dependencies) = (&self.log, &self.jobs, &self.dependencies);
-        let patience = self.config.report * 2;
+        let patience = self.config.heartbeat_interval * 2;
         let m = self.machines.get_mut(machine)?;
-        if m.commanding || m.addr.is_empty() || m.command_after.is_some_and(|t| t > now) {
+        if m.command_in_flight || m.addr.is_empty() || m.no_command_before.is_some_and(|t| t > now) {
             return None;
         }
         if m.phase == MachinePhase::Releasing {
             return None;
         }
-        let mut commands = m.forgets(log, jobs);
-        let forgets = commands.len();
+        let mut commands = m.acknowledgements(log, jobs);
+        let acknowledgements = commands.len();
         let mut used = (0.0, 0.0, 0.0);
         for (task, slot) in &mut m.slots {
             let Some(grace) = slot.stop.filter(|_| slot.takes_room()) else {
@@ -144,7 +149,7 @@
         }
         let kind = types.iter().find(|t| t.name == m.machine_type);
         let token = m.peek_token(term);
-        let session = m.newest.0.max(1);
+        let incarnation = m.newest_message.0.max(1);
         for (task, slot) in &mut m.slots {
             if slot.state != SlotState::Placed || slot.stop.is_some() || !log.is_stored(slot.logged) {
                 continue;
@@ -158,9 +163,9 @@
                 // Not before there is room for it: tasks told to stop may
                 // still be saving.
                 let Some(k) = kind else { continue };
-                if used.0 + s.cpus > k.cpus + EPS
-                    || used.1 + s.gpus > k.gpus + EPS
-                    || used.2 + s.memory_gb > k.memory_gb + EPS
+                if used.0 + s.cpus > k.cpus + AMOUNT_TOLERANCE
+                    || used.1 + s.gpus > k.gpus + AMOUNT_TOLERANCE
+                    || used.2 + s.memory_gb > k.memory_gb + AMOUNT_TOLERANCE
                 {
                     continue;
                 }
@@ -168,7 +173,7 @@
             }
             slot.start_token = token;
             // The latest session that a start went to: any later one refuses.
-            slot.start_session = slot.start_session.max(session);
+            slot.start_incarnation = slot.start_incarnation.max(incarnation);
             commands.push(Command::Start {
                 task: *task,
                 attempt: slot.attempt,
@@ -177,45 +182,45 @@
         // Outcomes are forgotten along with other orders or in the response to
         // a report; alone only if neither comes.
         let tardy = m
-            .forget_since
+            .unacknowledged_since
             .is_some_and(|t| now.saturating_duration_since(t) > patience);
-        if !m.probe && (commands.is_empty() || commands.len() == forgets && !tardy) {
+        if !m.needs_probe && (commands.is_empty() || commands.len() == acknowledgements && !tardy) {
             return None;
         }
-        m.probe = false;
-        m.commanding = true;
+        m.needs_probe = false;
+        m.command_in_flight = true;
         let token = m.fresh_token(term);
         Some((
             m.addr.clone(),
             CommandBatch {
                 token,
-                session,
+                incarnation,
                 commands,
             },
         ))
     }
 
-    /// A command was answered, or not (`report` is `None`: unknown).
-    pub fn commanded(&mut self, machine: &MachineId, report: Option<&Heartbeat>, now: Instant) {
-        if let Some(r) = report.filter(|r| r.machine == *machine) {
-            self.apply_report(r, now);
+    /// A command was answered, or not (`heartbeat` is `None`: unknown).
+    pub fn command_finished(&mut self, machine: &MachineId, heartbeat: Option<&Heartbeat>, now: Instant) {
+        if let Some(r) = heartbeat.filter(|r| r.machine == *machine) {
+            self.apply_heartbeat(r, now);
         }
         let term = self.term;
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
         self.due.insert(machine.clone());
-        m.commanding = false;
-        if report.is_some() {
-            m.unanswered = None;
-            m.answered = Some(now);
+        m.command_in_flight = false;
+        if heartbeat.is_some() {
+            m.commands_unanswered_since = None;
+            m.last_command_answer = Some(now);
         }
-        if report.is_none() {
-            m.unanswered.get_or_insert(now);
-            m.probe = true;
-            m.command_after = Some(now + Duration::from_millis(700));
+        if heartbeat.is_none() {
+            m.commands_unanswered_since.get_or_insert(now);
+            m.needs_probe = true;
+            m.no_command_before = Some(now + Duration::from_millis(700));
         } else if !m.fenced(term) {
-            m.probe = true;
+            m.needs_probe = true;
         }
     }
 }
--- a/src/core/evidence/heartbeats.rs
+++ b/src/core/evidence/heartbeats.rs
@@ -28,8 +28,8 @@
 
 impl ClusterModel {
     /// Takes in a message of a worker: a report, or the answer to a command.
-    pub fn apply_report(&mut self, r: &Heartbeat, now: Instant) -> HeartbeatOutcome {
-        if self.gone.contains(&r.machine) {
+    pub fn apply_heartbeat(&mut self, r: &Heartbeat, now: Instant) -> HeartbeatOutcome {
+        if self.released_machines.contains(&r.machine) {
             return HeartbeatOutcome::MachineReleased;
         }
         let term = self.term;
@@ -44,11 +44,11 @@
                 .insert(r.machine.clone(), Machine::new(r.machine.clone(), now));
         }
         let m = self.machines.get_mut(&r.machine).expect("just made");
-        if (r.session, r.seq) <= m.newest {
+        if (r.incarnation, r.sequence) <= m.newest_message {
             return HeartbeatOutcome::Outdated;
         }
-        m.newest = (r.session, r.seq);
-        m.heard = Some(now);
+        m.newest_message = (r.incarnation, r.sequence);
+        m.last_heartbeat = Some(now);
         if m.phase == MachinePhase::Booting {
             m.phase = MachinePhase::Up;
             m.idle_since = m.idle_since.map(|_| now);
@@ -62,16 +62,16 @@
             self.log.push(m.entry());
         }
         m.seen_token = m.seen_token.max(r.token);
-        let recall = r
+        let reclaim_at = r
             .notice_s
             .and_then(|s| Duration::try_from_secs_f64(s.max(0.0)).ok())
             .map(|d| now + d);
-        if m.recall.is_none() && recall.is_some() {
+        if m.reclaim_at.is_none() && reclaim_at.is_some() {
             debug!(machine = %r.machine, notice_s = r.notice_s, "spot notice");
         }
-        m.recall = recall;
+        m.reclaim_at = reclaim_at;
         if !m.fenced(term) {
-            m.probe = true;
+            m.needs_probe = true;
         }
 
         // Evidence of absence. A later session than the one that a start was
@@ -89,8 +89,8 @@
                 continue;
             }
             let settled = slot.start_token > 0 && r.token >= slot.start_token;
-            let new_session = slot.start_session > 0 && r.session > slot.start_session;
-            if settled || new_session {
+            let later_incarnation = slot.start_incarnation > 0 && r.incarnation > slot.start_incarnation;
+            if settled || later_incarnation {
                 absent.push(*task);
             }
         }
@@ -99,7 +99,7 @@
             self.drop_slot(&r.machine, task, now);
         }
         for t in &r.tasks {
-            self.apply_task_report(r, t, obeys, cache_gb, now);
+            self.apply_reported_task(r, t, obeys, cache_gb, now);
         }
         // A different attempt than the one that is known (`in_use` tells of
         // it) holds the task's place until it is gone, too.
@@ -112,7 +112,7 @@
         HeartbeatOutcome::Applied
     }
 
-    pub(in crate::core) fn apply_task_report(
+    pub(in crate::core) fn apply_reported_task(
         &mut self,
         r: &Heartbeat,
         t: &ReportedTask,
@@ -162,20 +162,20 @@
                 }
             }
             TaskState::Exited => {
-                let why = t.why.unwrap_or(ExitReason::Other);
-                slot.state = SlotState::Ended(why);
+                let reason = t.exit_reason.unwrap_or(ExitReason::Other);
+                slot.state = SlotState::Ended(reason);
                 let ran = slot.running_since.map(|s| now - s);
                 let attempt = slot.attempt;
                 let was_stopped = slot.stop.is_some();
-                debug!(task = %t.task, attempt, machine = %r.machine, ?why, "ended");
-                m.forget_since.get_or_insert(now);
-                if why == ExitReason::Done {
+                debug!(task = %t.task, attempt, machine = %r.machine, ?reason, "ended");
+                m.unacknowledged_since.get_or_insert(now);
+                if reason == ExitReason::Done {
                     m.failures = 0;
                     m.failed_jobs.clear();
                 }
                 if let Some(job) = job {
                     let service = job.spec.kind == JobKind::Service;
-                    if why == ExitReason::Done && !service && t.task.index < job.spec.tasks {
+                    if reason == ExitReason::Done && !service && t.task.index < job.spec.tasks {
                         job.finish(t.task.index);
                         slot.outcome = self.log.push(Logged::Done(t.task.job, vec![t.task.index]));
                         job.failures.clear();
@@ -184,7 +184,7 @@
                             job.run_count += 1;
                         }
                     }
-                    if why == ExitReason::Failed || why == ExitReason::Other {
+                    if reason == ExitReason::Failed || reason == ExitReason::Other {
                         job.failures.record(&r.machine, ran.unwrap_or_default(), now);
                         m.failures += 1;
                         m.failed_jobs.insert(t.task.job);
@@ -193,10 +193,10 @@
                         }
                         failed = true;
                     }
-                    if why == ExitReason::NoRoom && !was_stopped {
+                    if reason == ExitReason::NoRoom && !was_stopped {
                         m.full_until = Some(now + Duration::from_secs(3));
                     }
-                    if why == ExitReason::UnknownTask {
+                    if reason == ExitReason::UnknownTask {
                         job.pause_until = Some(now + Duration::from_secs(2));
                     }
                     job.vacate(t.task.index, &r.machine);
@@ -221,7 +221,7 @@
     /// it takes failures of a job that is fine elsewhere, or of more jobs than
     /// are likely to be bad at once.
     pub(in crate::core) fn judge_machine(&mut self, id: &MachineId, now: Instant) {
-        let Some(m) = self.machines.get_mut(id).filter(|m| m.cordoned.is_none()) else {
+        let Some(m) = self.machines.get_mut(id).filter(|m| m.cordoned_since.is_none()) else {
             return;
         };
         let fine = |id: &JobId| self.jobs.get(id).is_some_and(|j| j.done.count() > 0);
@@ -229,7 +229,7 @@
         let any_fine = m.failed_jobs.iter().any(fine);
         if many >= 3 || any_fine && (many >= 2 || m.failures >= 3) {
             info!(machine = %id, failures = m.failures, jobs = many, "cordoned: fails its tasks");
-            m.cordoned = Some(now);
+            m.cordoned_since = Some(now);
         }
     }
 
@@ -239,12 +239,12 @@
     /// beside its room.
     pub fn end_cordons(&mut self, now: Instant) {
         let over = |m: &&mut Machine| {
-            m.cordoned
+            m.cordoned_since
                 .is_some_and(|t| now.saturating_duration_since(t) > CORDON)
         };
         for m in self.machines.values_mut().filter(over) {
             info!(machine = %m.id, "tried again after its cordon");
-            m.cordoned = None;
+            m.cordoned_since = None;
             m.failed_jobs.clear();
             m.failures = 0;
         }
--- a/src/core/evidence/permission.rs
+++ b/src/core/evidence/permission.rs
@@ -111,7 +111,7 @@
     /// due at once.
     pub fn command_withheld(&mut self, machine: &MachineId) {
         if let Some(m) = self.machines.get_mut(machine) {
-            m.commanding = false;
+            m.command_in_flight = false;
             self.due.insert(machine.clone());
         }
     }
--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -12,7 +12,7 @@
 use crate::core::scheduling::plan::TeamUsage;
 use crate::core::state::job::Job;
 use crate::core::state::machine::{Machine, MachinePhase};
-use crate::core::state::model::{ClusterModel, EPS};
+use crate::core::state::model::{ClusterModel, AMOUNT_TOLERANCE};
 use crate::core::state::slot::SlotState;
 use crate::wire::{JobKind, MachineId, Rental};
 
@@ -48,18 +48,18 @@
 }
 
 /// Most names in one release, as the cloud takes them.
-const MOST_RELEASED: usize = 100;
+const MAX_RELEASED: usize = 100;
 /// Rentals on their way at once; more would only queue for the cloud's pace,
 /// before what turns out to be urgent.
-const MOST_PENDING: usize = 6;
+const MAX_PENDING: usize = 6;
 
 impl ClusterModel {
     /// Decides what to rent and to return.
-    pub fn fleet(&mut self, now: Instant) -> Vec<FleetAction> {
+    pub fn plan_fleet(&mut self, now: Instant) -> Vec<FleetAction> {
         if self.types.is_empty() {
             return Vec::new();
         }
-        self.clear_lapsed(now);
+        self.expire_leases(now);
         self.leave_noticed(now);
         let mut actions = Vec::new();
         let release = self.to_release(now);
@@ -72,17 +72,17 @@
             }
             actions.extend(
                 release
-                    .chunks(MOST_RELEASED)
+                    .chunks(MAX_RELEASED)
                     .map(|c| FleetAction::Release(c.to_vec())),
             );
         }
-        let wanted = if self.fleet.pending.len() < MOST_PENDING {
+        let wanted = if self.fleet.pending.len() < MAX_PENDING {
             self.to_rent(now)
         } else {
             Vec::new()
         };
         for (offer, count) in wanted {
-            if self.fleet.pending.len() >= MOST_PENDING {
+            if self.fleet.pending.len() >= MAX_PENDING {
                 break;
             }
             self.fleet.requests += 1;
@@ -111,17 +111,17 @@
     /// end go elsewhere now, as far as there is room: every second they stay
     /// is lost.
     fn leave_noticed(&mut self, now: Instant) {
-        if self.machines.values().all(|m| m.recall.is_none()) {
+        if self.machines.values().all(|m| m.reclaim_at.is_none()) {
             return;
         }
         let (mut free, _) = self.room(now);
         let waiting = self
-            .jobs_that_want_room()
+            .jobs_waiting_for_capacity()
             .map(|j| f64::from(j.waiting.count()) * j.spec.cpus);
         free -= waiting.sum::<f64>();
         let mut leave = Vec::new();
         for m in self.machines.values().filter(|m| m.phase == MachinePhase::Up) {
-            let Some(recall) = m.recall else { continue };
+            let Some(reclaim_at) = m.reclaim_at else { continue };
             for (task, s) in &m.slots {
                 let Some(spec) = s.spec.as_ref().filter(|_| s.stop.is_none()) else {
                     continue;
@@ -131,7 +131,8 @@
                 }
                 let end = self.predicted_end(s, now);
                 // Predictions are often wrong by half.
-                if end.saturating_duration_since(now) > recall.saturating_duration_since(now).mul_f64(1.5) {
+                if end.saturating_duration_since(now) > reclaim_at.saturating_duration_since(now).mul_f64(1.5)
+                {
                     free -= spec.cpus;
                     leave.push((m.id.clone(), *task, spec.grace()));
                 }
@@ -181,7 +182,7 @@
             if ok {
                 self.released(id, now);
             } else if let Some(m) = self.machines.get_mut(id) {
-                m.phase = if m.heard.is_some() {
+                m.phase = if m.last_heartbeat.is_some() {
                     MachinePhase::Up
                 } else {
                     MachinePhase::Booting
@@ -212,7 +213,7 @@
         ];
         for (limit, used, each) in limits {
             if limit > 0.0 && each > 0.0 {
-                startable = startable.min(((limit - used + EPS) / each).max(0.0) as u32);
+                startable = startable.min(((limit - used + AMOUNT_TOLERANCE) / each).max(0.0) as u32);
             }
         }
         startable
@@ -223,7 +224,7 @@
     /// that was submitted with a mistake waits until its user cancels it.
     fn work_waits_for_room(&self, now: Instant) -> bool {
         let usage = self.usage();
-        self.jobs_that_want_room().any(|job| {
+        self.jobs_waiting_for_capacity().any(|job| {
             let team_usage = usage.get(&job.spec.team).copied().unwrap_or_default();
             self.startable(job, team_usage, now) > 0
         })
@@ -243,7 +244,7 @@
                 mine += s.spec.as_ref().map_or(0.0, |s| s.cpus);
             }
             used += mine;
-            if m.phase == MachinePhase::Booting || (self.usable(m, now) && m.recall.is_none()) {
+            if m.phase == MachinePhase::Booting || (self.usable(m, now) && m.reclaim_at.is_none()) {
                 free += self.types[k].cpus - mine;
             }
         }
--- a/src/core/fleet/releases.rs
+++ b/src/core/fleet/releases.rs
@@ -18,7 +18,7 @@
         for m in self.machines.values().filter(|m| m.phase == MachinePhase::Up) {
             let z = zones.entry(&m.zone).or_default();
             z.0 += 1;
-            z.1 += usize::from(self.silence(m, now) > self.config.report);
+            z.1 += usize::from(self.silence(m, now) > self.config.heartbeat_interval);
         }
         zones
             .into_iter()
@@ -49,11 +49,11 @@
                 && self.silence(m, now) < long
                 && (m.fenced(self.term) || m.slots.is_empty())
         };
-        let cut = self.cut_from_workers(now);
+        let cut = self.is_partitioned_from_workers(now);
         let takes_none = |m: &Machine| self.ignores_commands(m, now, silent_after * 2);
         let mut idle: Vec<&Machine> = Vec::new();
         for m in self.machines.values() {
-            let why = match m.phase {
+            let reason = match m.phase {
                 MachinePhase::Releasing => continue,
                 MachinePhase::Booting => {
                     let boot = self.kind_of(m).map_or(30.0, |k| self.types[k].boot_s);
@@ -70,8 +70,8 @@
                 MachinePhase::Up if silent(m) && waits(m) => continue,
                 MachinePhase::Up if silent(m) && !deaf => "silent",
                 MachinePhase::Up if !cut && takes_none(m) => "takes no commands",
-                MachinePhase::Up if m.cordoned.is_some() && m.empty() => "failed or faulty",
-                MachinePhase::Up if m.recall.is_some() && m.empty() => "spot notice",
+                MachinePhase::Up if m.cordoned_since.is_some() && m.empty() => "failed or faulty",
+                MachinePhase::Up if m.reclaim_at.is_some() && m.empty() => "spot notice",
                 MachinePhase::Up => {
                     if m.slots.is_empty() && m.idle_since.is_some() && !silent(m) {
                         idle.push(m);
@@ -79,7 +79,7 @@
                     continue;
                 }
             };
-            debug!(machine = %m.id, why, "releasing");
+            debug!(machine = %m.id, reason, "releasing");
             out.push(m.id.clone());
         }
         // Idle ones beyond the warm room, dear ones first.
@@ -101,7 +101,7 @@
             let cpus = self.types[k].cpus;
             if long && free - cpus >= keep {
                 free -= cpus;
-                debug!(machine = %m.id, why = "idle", "releasing");
+                debug!(machine = %m.id, reason = "idle", "releasing");
                 out.push(m.id.clone());
             }
         }
@@ -117,7 +117,7 @@
             .map(|t| if t.spot_price > 0.0 { t.spot_price.min(t.price) } else { t.price } / t.cpus.max(1.0))
             .fold(f64::MAX, f64::min);
         let ratio = (cheapest / self.price(m).max(1e-9)).clamp(0.0, 1.0);
-        self.config.tuning.idle.mul_f64(ratio * ratio)
+        self.config.operator_settings.idle.mul_f64(ratio * ratio)
     }
 
     fn price(&self, m: &Machine) -> f64 {
--- a/src/core/fleet/rentals.rs
+++ b/src/core/fleet/rentals.rs
@@ -7,7 +7,7 @@
 use super::Offer;
 use crate::core::scheduling::admission::type_allowed;
 use crate::core::state::machine::MachinePhase;
-use crate::core::state::model::{ClusterModel, EPS};
+use crate::core::state::model::{ClusterModel, AMOUNT_TOLERANCE};
 use crate::core::state::slot::{Slot, SlotState};
 use crate::wire::{JobSpec, MachineType};
 
@@ -25,7 +25,7 @@
 /// Share of a boot within which running tasks are expected to make room.
 const SOON_FREE: f64 = 0.4;
 /// Most machines in one rental, as the cloud takes them.
-const MOST_RENTED: u32 = 50;
+const MAX_RENTED: u32 = 50;
 
 /// Machines about to be rented, and how many there are in each zone.
 struct RentalPlan<'a> {
@@ -64,8 +64,8 @@
         let mut requests = Vec::new();
         for (offer, mut count) in self.wanted {
             while count > 0 {
-                requests.push((offer.clone(), count.min(MOST_RENTED)));
-                count -= count.min(MOST_RENTED);
+                requests.push((offer.clone(), count.min(MAX_RENTED)));
+                count -= count.min(MAX_RENTED);
             }
         }
         requests.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
@@ -78,7 +78,7 @@
     /// load varies in proportion.
     pub(super) fn warm_share(&self) -> f64 {
         let small = (50.0 / self.machines.len().max(1) as f64).sqrt();
-        self.config.tuning.warm * small.clamp(0.5, 1.0)
+        self.config.operator_settings.warm * small.clamp(0.5, 1.0)
     }
 
     /// Packs what waits onto what there is; the rest is to be rented.
@@ -96,7 +96,7 @@
         let pending: u32 = self.fleet.pending.values().map(|(_, count)| count).sum();
         let mut total = self.machines.len() + pending as usize;
         let mut usage = self.usage();
-        let mut queue: Vec<_> = self.jobs_that_want_room().collect();
+        let mut queue: Vec<_> = self.jobs_waiting_for_capacity().collect();
         let ranks = self.ranks(now);
         queue.sort_by_key(|j| ranks.get(&j.spec.id));
         let mut cpus_waiting = 0.0;
@@ -110,8 +110,8 @@
             for open in &mut open_machines {
                 self.fill(open, s, &mut left);
             }
-            open_machines.retain(|open| open.cpus > EPS);
-            while left > 0 && total < self.config.tuning.most_machines {
+            open_machines.retain(|open| open.cpus > AMOUNT_TOLERANCE);
+            while left > 0 && total < self.config.operator_settings.max_machines {
                 let Some(offer) = self.best_offer(s, left, &rentals, now) else {
                     break;
                 };
@@ -141,7 +141,7 @@
         for m in self.machines.values() {
             let Some(kind) = self.kind_of(m) else { continue };
             let booting = m.phase == MachinePhase::Booting;
-            if !(booting || self.usable(m, now) && m.recall.is_none()) || cut.contains(&m.zone) {
+            if !(booting || self.usable(m, now) && m.reclaim_at.is_none()) || cut.contains(&m.zone) {
                 continue;
             }
             let mut open = OpenMachine::empty(kind, &self.types[kind], &m.zone, m.spot);
@@ -151,7 +151,7 @@
             for spec in specs.filter_map(|s| s.spec.as_ref()) {
                 open.claim(spec);
             }
-            if open.cpus > EPS {
+            if open.cpus > AMOUNT_TOLERANCE {
                 open_machines.push(open);
             }
         }
@@ -190,7 +190,7 @@
         else {
             return;
         };
-        while free + EPS < keep && total < self.config.tuning.most_machines {
+        while free + AMOUNT_TOLERANCE < keep && total < self.config.operator_settings.max_machines {
             let Some(offer) = self.best_offer(&like, 1, rentals, now) else {
                 break;
             };
@@ -212,9 +212,9 @@
     }
 
     fn fits_open_machine(&self, s: &JobSpec, b: &OpenMachine) -> bool {
-        b.cpus + EPS >= s.cpus
-            && b.gpus + EPS >= s.gpus
-            && b.memory + EPS >= s.memory_gb
+        b.cpus + AMOUNT_TOLERANCE >= s.cpus
+            && b.gpus + AMOUNT_TOLERANCE >= s.gpus
+            && b.memory + AMOUNT_TOLERANCE >= s.memory_gb
             && (s.spot || !b.spot)
             && s.zone.as_ref().is_none_or(|z| *z == b.zone)
             && type_allowed(s, &self.types[b.kind])
@@ -225,7 +225,13 @@
     fn best_offer(&self, s: &JobSpec, left: u32, rentals: &RentalPlan, now: Instant) -> Option<Offer> {
         let mut best: Option<((bool, f64, u32), Offer)> = None;
         for t in self.types.iter().filter(|t| type_allowed(s, t)) {
-            let per = |have: f64, need: f64| if need > 0.0 { (have + EPS) / need } else { f64::MAX };
+            let per = |have: f64, need: f64| {
+                if need > 0.0 {
+                    (have + AMOUNT_TOLERANCE) / need
+                } else {
+                    f64::MAX
+                }
+            };
             let n = per(t.cpus, s.cpus)
                 .min(per(t.gpus, s.gpus))
                 .min(per(t.memory_gb, s.memory_gb));
--- a/src/core/scheduling/admission.rs
+++ b/src/core/scheduling/admission.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::core::state::model::EPS;
+use crate::core::state::model::AMOUNT_TOLERANCE;
 use crate::settings::Team;
 use crate::wire::{JobId, JobKind, JobSpec, MachineType};
 
@@ -51,7 +51,7 @@
     } else {
         f64::from(spec.tasks)
     };
-    let over = |need: f64, most: f64| most > 0.0 && need * n > most + EPS;
+    let over = |need: f64, most: f64| most > 0.0 && need * n > most + AMOUNT_TOLERANCE;
     if over(spec.cpus, team.cpus_max) || over(spec.gpus, team.gpus_max) {
         return Err(AdmissionError::ExceedsTeamLimit);
     }
@@ -61,7 +61,7 @@
 /// Whether a task fits an empty machine of a type that its job allows.
 pub fn type_allowed(spec: &JobSpec, t: &MachineType) -> bool {
     spec.types.as_ref().is_none_or(|l| l.contains(&t.name))
-        && spec.cpus <= t.cpus + EPS
-        && spec.gpus <= t.gpus + EPS
-        && spec.memory_gb <= t.memory_gb + EPS
+        && spec.cpus <= t.cpus + AMOUNT_TOLERANCE
+        && spec.gpus <= t.gpus + AMOUNT_TOLERANCE
+        && spec.memory_gb <= t.memory_gb + AMOUNT_TOLERANCE
 }
--- a/src/core/scheduling/borrowed.rs
+++ b/src/core/scheduling/borrowed.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use crate::core::scheduling::ranking::{Rank, Tier, BEGIN_TASKS};
+use crate::core::scheduling::ranking::{Rank, Tier, STARVED_FIRST_TASKS};
 use crate::core::state::model::ClusterModel;
 use crate::core::state::slot::Slot;
 use crate::wire::{JobId, JobKind};
@@ -64,11 +64,11 @@
         let jobs = model
             .jobs
             .iter()
-            .filter(|(_, job)| job.placed > BEGIN_TASKS)
+            .filter(|(_, job)| job.placed > STARVED_FIRST_TASKS)
             .filter(|(_, job)| job.spec.kind == JobKind::Array)
             .filter(|(_, job)| model.priority(job) < head_priority)
             .filter(|(id, _)| beyond_guarantee(id))
-            .filter(|(_, job)| model.dues(job).0.is_none())
+            .filter(|(_, job)| model.deadlines(job).0.is_none())
             .map(|(id, _)| *id)
             .collect();
         Self {
@@ -95,7 +95,7 @@
             return false;
         }
         let spared = self.spared.entry(job).or_default();
-        if *spared < BEGIN_TASKS {
+        if *spared < STARVED_FIRST_TASKS {
             *spared += 1;
             return false;
         }
--- a/src/core/scheduling/capacity.rs
+++ b/src/core/scheduling/capacity.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use crate::core::scheduling::ranking::Rank;
-use crate::core::state::model::EPS;
+use crate::core::state::model::AMOUNT_TOLERANCE;
 use crate::wire::{JobSpec, MachineId, TaskId};
 
 /// Free room of a machine that may be placed on.
@@ -19,7 +19,7 @@
     pub(in crate::core) memory: f64,
     /// Not to be used in this search.
     pub(in crate::core) closed: bool,
-    pub(in crate::core) recall: Option<Instant>,
+    pub(in crate::core) reclaim_at: Option<Instant>,
     /// Room that running tasks will give back: predicted end, amounts, task.
     pub(in crate::core) load: Vec<RunningLoad>,
 }
@@ -41,13 +41,15 @@
 
 impl FreeCapacity {
     pub(in crate::core) fn fits(&self, s: &JobSpec) -> bool {
-        self.cpus + EPS >= s.cpus && self.gpus + EPS >= s.gpus && self.memory + EPS >= s.memory_gb
+        self.cpus + AMOUNT_TOLERANCE >= s.cpus
+            && self.gpus + AMOUNT_TOLERANCE >= s.gpus
+            && self.memory + AMOUNT_TOLERANCE >= s.memory_gb
     }
 
     pub(in crate::core) fn room_for(&self, s: &JobSpec) -> u32 {
         let per = |have: f64, need: f64| {
             if need > 0.0 {
-                ((have + EPS) / need).max(0.0)
+                ((have + AMOUNT_TOLERANCE) / need).max(0.0)
             } else {
                 f64::MAX
             }
--- a/src/core/scheduling/placement/mod.rs
+++ b/src/core/scheduling/placement/mod.rs
@@ -10,8 +10,8 @@
 
 use crate::core::scheduling::capacity::{FreeCapacity, RunningLoad};
 use crate::core::scheduling::plan::TeamUsage;
-use crate::core::scheduling::ranking::{Rank, Tier, BEGIN_TASKS};
-use crate::core::state::model::{ClusterModel, EPS};
+use crate::core::scheduling::ranking::{Rank, Tier, STARVED_FIRST_TASKS};
+use crate::core::state::model::{ClusterModel, AMOUNT_TOLERANCE};
 use crate::wire::{JobId, JobKind, JobSpec, MachineType, TaskId};
 
 use search::{Place, Score};
@@ -88,7 +88,7 @@
         let mut names: Vec<String> = Vec::new();
         // The least that any waiting task takes.
         let least = model
-            .jobs_that_want_room()
+            .jobs_waiting_for_capacity()
             .map(|j| j.spec.cpus)
             .fold(f64::MAX, f64::min);
         let mut rooms = Vec::new();
@@ -112,10 +112,10 @@
                 gpus: t.gpus - gpus,
                 memory: t.memory_gb - memory,
                 closed: false,
-                recall: m.recall,
+                reclaim_at: m.reclaim_at,
                 load: Vec::new(),
             };
-            if room.cpus + EPS >= least {
+            if room.cpus + AMOUNT_TOLERANCE >= least {
                 open.push(rooms.len());
             }
             rooms.push(room);
@@ -138,7 +138,7 @@
     /// How many tasks of a job go in its present place in the queue.
     pub(in crate::core) fn first_tasks(&self, id: JobId, tier: Tier) -> u32 {
         match self.model.jobs.get(&id) {
-            Some(j) if tier == Tier::Starved && j.spec.kind != JobKind::Gang => BEGIN_TASKS,
+            Some(j) if tier == Tier::Starved && j.spec.kind != JobKind::Gang => STARVED_FIRST_TASKS,
             _ => u32::MAX,
         }
     }
@@ -154,7 +154,7 @@
     /// Forgets rooms that are too small by now.
     fn tidy(&mut self) {
         let rooms = &self.rooms;
-        self.open.retain(|at| rooms[*at].cpus > EPS);
+        self.open.retain(|at| rooms[*at].cpus > AMOUNT_TOLERANCE);
     }
 
     /// Places as many of a job's waiting tasks as fit and the mode allows, a
--- a/src/core/scheduling/placement/rules.rs
+++ b/src/core/scheduling/placement/rules.rs
@@ -5,7 +5,7 @@
 use super::Planner;
 use crate::core::scheduling::admission::type_allowed;
 use crate::core::scheduling::capacity::FreeCapacity;
-use crate::core::state::model::EPS;
+use crate::core::state::model::AMOUNT_TOLERANCE;
 use crate::wire::{JobId, JobSpec};
 
 impl Planner<'_> {
@@ -16,7 +16,7 @@
             return false;
         };
         let used = self.usage.get(&spec.team).copied().unwrap_or_default();
-        let ok = |most: f64, used: f64, need: f64| most <= 0.0 || used + need * n <= most + EPS;
+        let ok = |most: f64, used: f64, need: f64| most <= 0.0 || used + need * n <= most + AMOUNT_TOLERANCE;
         ok(team.cpus_max, used.cpus, spec.cpus) && ok(team.gpus_max, used.gpus, spec.gpus)
     }
 
@@ -66,7 +66,7 @@
             && type_allowed(spec, &self.types[room.kind])
             && !room.closed
             && room
-                .recall
+                .reclaim_at
                 .is_none_or(|r| self.now + self.model.predict(spec) < r)
     }
 }
--- a/src/core/scheduling/plan.rs
+++ b/src/core/scheduling/plan.rs
@@ -48,13 +48,13 @@
     pub fn usable(&self, m: &Machine, now: Instant) -> bool {
         m.phase == MachinePhase::Up
             && m.fenced(self.term)
-            && m.cordoned.is_none()
+            && m.cordoned_since.is_none()
             && !m.addr.is_empty()
             && m.full_until.is_none_or(|t| t <= now)
             // It may hang, or hear nothing of what it is told.
-            && m.unanswered.is_none()
-            && m.heard.is_some()
-            && self.silence(m, now) < self.config.report * 2
+            && m.commands_unanswered_since.is_none()
+            && m.last_heartbeat.is_some()
+            && self.silence(m, now) < self.config.heartbeat_interval * 2
     }
 
     /// One scheduling round.
@@ -70,14 +70,14 @@
 
     fn round(&mut self, now: Instant, plainly: bool) -> RoundSummary {
         let mut round = RoundSummary::default();
-        if self.jobs_that_want_room().next().is_none() {
+        if self.jobs_waiting_for_capacity().next().is_none() {
             self.all_sunny();
             return round;
         }
         self.end_cordons(now);
         let ranks = self.ranks(now);
         let mut queue: Vec<(Rank, JobId)> = self
-            .jobs_that_want_room()
+            .jobs_waiting_for_capacity()
             .filter_map(|j| Some((*ranks.get(&j.spec.id)?, j.spec.id)))
             .collect();
         queue.sort_unstable();
@@ -169,7 +169,7 @@
             return;
         }
         let top = self
-            .jobs_that_want_room()
+            .jobs_waiting_for_capacity()
             .filter(|j| j.pause_until.is_none_or(|t| t <= now))
             .filter_map(|j| ranks.get(&j.spec.id))
             .min();
--- a/src/core/scheduling/ranking.rs
+++ b/src/core/scheduling/ranking.rs
@@ -5,14 +5,14 @@
 
 use crate::core::scheduling::plan::TeamUsage;
 use crate::core::state::job::Job;
-use crate::core::state::model::{ClusterModel, EPS};
+use crate::core::state::model::{ClusterModel, AMOUNT_TOLERANCE};
 use crate::core::state::slot::Slot;
 use crate::wire::{JobId, JobKind, JobSpec, Priority};
 
 /// Place of a job in the queue; the smaller comes first: by priority, then by
 /// [`Tier`], then by arrival or, where something is due, by the work that is
 /// left, the least first: where there isn't room for all, most are served in
-/// time so. A job that has waited for [`LIFT_AFTER`] without a start has the highest
+/// time so. A job that has waited for [`STARVED_ACROSS_PRIORITIES_AFTER`] without a start has the highest
 /// priority until it begins.
 pub type Rank = (std::cmp::Reverse<Priority>, Tier, i64, JobId);
 
@@ -41,10 +41,10 @@
 pub const STARVED_AFTER: Duration = Duration::from_secs(100);
 /// ...and after so long in all: the users expect even the largest job to begin
 /// within four minutes.
-pub const LIFT_AFTER: Duration = Duration::from_secs(150);
+pub const STARVED_ACROSS_PRIORITIES_AFTER: Duration = Duration::from_secs(150);
 /// So many of a starved job's tasks go first; the rest waits in the job's
 /// ordinary place, so that all who starve begin soon.
-pub(in crate::core) const BEGIN_TASKS: u32 = 2;
+pub(in crate::core) const STARVED_FIRST_TASKS: u32 = 2;
 
 impl ClusterModel {
     /// Run time predicted for a task of a job: the estimate times the ratio of
@@ -85,7 +85,7 @@
             let sum = sums.entry(&j.spec.team).or_default();
             sum.cpus += n * j.spec.cpus;
             sum.gpus += n * j.spec.gpus;
-            if sum.cpus <= team.cpus + EPS && sum.gpus <= team.gpus + EPS {
+            if sum.cpus <= team.cpus + AMOUNT_TOLERANCE && sum.gpus <= team.gpus + AMOUNT_TOLERANCE {
                 within.insert(j.spec.id);
             }
         }
@@ -94,8 +94,8 @@
 
     /// When a job is due, in seconds from its arrival, by the strictest and by
     /// the laxest of what its users were told of it and of the jobs that need it.
-    pub(in crate::core) fn dues(&self, job: &Job) -> (Option<f64>, Option<f64>) {
-        let (own, own_latest) = self.own_dues(job);
+    pub(in crate::core) fn deadlines(&self, job: &Job) -> (Option<f64>, Option<f64>) {
+        let (own, own_latest) = self.own_deadlines(job);
         let Some(inherited) = self.dependencies.inherited(job.spec.id) else {
             return (own, own_latest);
         };
@@ -111,7 +111,7 @@
     }
 
     /// The same by what its users were told of the job itself.
-    pub(in crate::core) fn own_dues(&self, job: &Job) -> (Option<f64>, Option<f64>) {
+    pub(in crate::core) fn own_deadlines(&self, job: &Job) -> (Option<f64>, Option<f64>) {
         let class = Some(&job.spec.class);
         let objectives = self
             .config
@@ -137,7 +137,7 @@
 
     /// How late a job is by what its users were told.
     fn tier(&self, job: &Job, now: Instant) -> Tier {
-        let (Some(due), Some(last)) = self.dues(job) else {
+        let (Some(due), Some(last)) = self.deadlines(job) else {
             return Tier::InTime;
         };
         let age = now.saturating_duration_since(job.arrival);
@@ -158,8 +158,8 @@
             .map(|j| {
                 let id = &j.spec.id;
                 let age = now.saturating_duration_since(self.ready_since(j));
-                let starved = age > STARVED_AFTER && !j.begun();
-                let priority = if starved && age > LIFT_AFTER {
+                let starved = age > STARVED_AFTER && !j.has_started();
+                let priority = if starved && age > STARVED_ACROSS_PRIORITIES_AFTER {
                     Priority::Production
                 } else {
                     self.priority(j)
@@ -172,7 +172,7 @@
                     self.tier(j, now)
                 };
                 let by = match tier {
-                    Tier::InTime | Tier::Late if self.dues(j).0.is_some() => {
+                    Tier::InTime | Tier::Late if self.deadlines(j).0.is_some() => {
                         let each = self.predict(&j.spec).as_secs_f64() * j.spec.cpus;
                         (each * f64::from(j.spec.tasks - j.done.count()) * 1e3) as i64
                     }
--- a/src/core/state/config.rs
+++ b/src/core/state/config.rs
@@ -15,7 +15,7 @@
     /// Zones of the cluster.
     pub zones: Vec<String>,
     /// Interval of reports.
-    pub report: Duration,
+    pub heartbeat_interval: Duration,
     /// Life of a worker's lease.
     pub lease: Duration,
     /// Time for a cancellation.
@@ -31,35 +31,40 @@
     /// Largest value of the state service in bytes, likewise.
     pub value_bytes: usize,
     /// Operators' settings.
-    pub tuning: crate::settings::OperatorSettings,
+    pub operator_settings: crate::settings::OperatorSettings,
 }
 
 impl SchedulerConfig {
     /// Takes what it needs from the settings.
-    pub fn new(p: &crate::settings::DeploymentSettings, tuning: crate::settings::OperatorSettings) -> Self {
+    pub fn new(
+        p: &crate::settings::DeploymentSettings,
+        operator_settings: crate::settings::OperatorSettings,
+    ) -> Self {
         Self {
             teams: p
-                .params
+                .cluster
                 .teams
                 .iter()
                 .map(|t| (t.name.clone(), t.clone()))
                 .collect(),
-            objectives: p.params.objectives.clone(),
-            zones: p.params.zones.clone(),
-            report: p.params.workers.report,
-            lease: p.params.workers.lease,
-            cancel: p.params.workers.cancel,
-            silent: tuning.silent.unwrap_or_else(|| {
+            objectives: p.cluster.objectives.clone(),
+            zones: p.cluster.zones.clone(),
+            heartbeat_interval: p.cluster.workers.heartbeat_interval,
+            lease: p.cluster.workers.lease,
+            cancel: p.cluster.workers.cancel,
+            silent: operator_settings.silent.unwrap_or_else(|| {
                 // Two reports may be late or lost on the way to a node that
                 // doesn't answer; and no healthy machine is silent for longer.
-                let w = &p.params.workers;
-                (w.report * 9 / 4).max(Duration::from_secs(9)).min(w.lease)
+                let w = &p.cluster.workers;
+                (w.heartbeat_interval * 9 / 4)
+                    .max(Duration::from_secs(9))
+                    .min(w.lease)
             }),
-            list_lag: p.params.cloud.list_lag,
-            log_pause: Duration::from_secs_f64(2.0 / p.params.state.write_rps),
-            txn_ops: p.params.state.least_txn_ops(),
-            value_bytes: p.params.state.value_bytes(),
-            tuning,
+            list_lag: p.cluster.cloud.list_lag,
+            log_pause: Duration::from_secs_f64(2.0 / p.cluster.state.write_rps),
+            txn_ops: p.cluster.state.min_txn_ops(),
+            value_bytes: p.cluster.state.value_bytes(),
+            operator_settings,
         }
     }
 }
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -33,7 +33,7 @@
     /// Places of all its tasks together.
     pub placed: u32,
     /// Its final state is being written.
-    pub writing: bool,
+    pub final_write_pending: bool,
     /// Failures since the last success.
     pub failures: FailureHistory,
     /// Not to be tried before.
@@ -59,7 +59,7 @@
             places: HashMap::new(),
             running: HashSet::new(),
             placed: 0,
-            writing: false,
+            final_write_pending: false,
             failures: FailureHistory::default(),
             pause_until: None,
             run_sum: Duration::ZERO,
@@ -74,7 +74,7 @@
     }
 
     /// Whether some task was ever started, as far as is known.
-    pub fn begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         self.placed > 0 || self.done.count() > 0
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Its cancellation is stored, so that anybody may be told of it.
-    pub fn cancel_is_sure(&self) -> bool {
+    pub fn cancellation_is_stored(&self) -> bool {
         self.cancelled && self.cancel_stored
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// All its tasks are done.
-    pub fn complete(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.spec.kind != JobKind::Service && self.done.count() == self.spec.tasks
     }
 
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -40,39 +40,39 @@
     /// Known since (rental or first word of it).
     pub since: Instant,
     /// Session and sequence of the newest message.
-    pub newest: (u64, u64),
+    pub newest_message: (u64, u64),
     /// Highest token it said it has seen.
     pub seen_token: u64,
     /// Last token given out for it, below the term's bits.
     pub token_seq: u64,
     /// Last message of the worker.
-    pub heard: Option<Instant>,
+    pub last_heartbeat: Option<Instant>,
     /// Its last report was answered then: its lease runs from there at the latest.
-    pub replied: Option<Instant>,
+    pub last_response: Option<Instant>,
     /// When the cloud takes it.
-    pub recall: Option<Instant>,
+    pub reclaim_at: Option<Instant>,
     /// What is or may be on it.
     pub slots: BTreeMap<TaskId, Slot>,
     /// Images, most recently used last.
     pub images: Vec<(String, f64)>,
     /// Outcomes wait to be forgotten since.
-    pub forget_since: Option<Instant>,
+    pub unacknowledged_since: Option<Instant>,
     /// A command is under way.
-    pub commanding: bool,
+    pub command_in_flight: bool,
     /// Not to be sent commands before.
-    pub command_after: Option<Instant>,
+    pub no_command_before: Option<Instant>,
     /// Commands to it have gone unanswered since.
-    pub unanswered: Option<Instant>,
+    pub commands_unanswered_since: Option<Instant>,
     /// When it last answered a command.
-    pub answered: Option<Instant>,
+    pub last_command_answer: Option<Instant>,
     /// Something is to be settled by a command though no order is due.
-    pub probe: bool,
+    pub needs_probe: bool,
     /// Jobs that failed on it since its last success.
     pub failed_jobs: BTreeSet<JobId>,
     /// Failures since its last success.
     pub failures: u32,
     /// Takes no more tasks, since then.
-    pub cordoned: Option<Instant>,
+    pub cordoned_since: Option<Instant>,
     /// Refused a start for want of room; not to be placed on before.
     pub full_until: Option<Instant>,
     /// Empty since.
@@ -89,23 +89,23 @@
             spot: false,
             phase: MachinePhase::Booting,
             since: now,
-            newest: (0, 0),
+            newest_message: (0, 0),
             seen_token: 0,
             token_seq: 0,
-            heard: None,
-            replied: None,
-            recall: None,
+            last_heartbeat: None,
+            last_response: None,
+            reclaim_at: None,
             slots: BTreeMap::new(),
             images: Vec::new(),
-            forget_since: None,
-            commanding: false,
-            command_after: None,
-            unanswered: None,
-            answered: None,
-            probe: false,
+            unacknowledged_since: None,
+            command_in_flight: false,
+            no_command_before: None,
+            commands_unanswered_since: None,
+            last_command_answer: None,
+            needs_probe: false,
             failed_jobs: BTreeSet::new(),
             failures: 0,
-            cordoned: None,
+            cordoned_since: None,
             full_until: None,
             idle_since: Some(now),
         }
@@ -124,16 +124,16 @@
 
     /// Something is to be said to its worker.
     pub(in crate::core) fn wants_command(&self) -> bool {
-        self.probe
+        self.needs_probe
             || self
                 .slots
                 .values()
                 .any(|s| s.stop.is_some() || matches!(s.state, SlotState::Placed | SlotState::Ended(_)))
     }
 
-    /// Whether a session is over by its lease, see [`crate::core::ClusterModel::clear_lapsed`].
-    pub fn session_over(&self, session: u64) -> bool {
-        self.newest == (session, u64::MAX)
+    /// Whether a session is over by its lease, see [`crate::core::ClusterModel::expire_leases`].
+    pub fn incarnation_ended(&self, incarnation: u64) -> bool {
+        self.newest_message == (incarnation, u64::MAX)
     }
 
     /// Whether the worker obeys this term.
@@ -176,7 +176,11 @@
 
 impl Machine {
     /// Orders to forget what has ended and is stored.
-    pub(in crate::core) fn forgets(&self, log: &WriteAheadLog, jobs: &BTreeMap<JobId, Job>) -> Vec<Command> {
+    pub(in crate::core) fn acknowledgements(
+        &self,
+        log: &WriteAheadLog,
+        jobs: &BTreeMap<JobId, Job>,
+    ) -> Vec<Command> {
         let kept = |task: &TaskId, slot: &Slot| match slot.state {
             SlotState::Ended(ExitReason::Done) => {
                 log.is_stored(slot.outcome) || !jobs.contains_key(&task.job)
--- a/src/core/state/model.rs
+++ b/src/core/state/model.rs
@@ -24,9 +24,9 @@
 
 /// Ratios of the Last Model are kept above this, so that a team's job of no
 /// length doesn't make its long ones look like nothing.
-pub const LEAST_RATIO: f64 = 0.1;
+pub const MIN_RUN_TIME_RATIO: f64 = 0.1;
 /// Slack in comparisons of amounts.
-pub const EPS: f64 = 1e-6;
+pub const AMOUNT_TOLERANCE: f64 = 1e-6;
 
 /// The cluster as the leader of one term knows it.
 #[derive(Debug)]
@@ -56,11 +56,11 @@
     /// Machines that a command may be due for.
     pub due: BTreeSet<MachineId>,
     /// Machines that are gone; late words of them mean nothing.
-    pub gone: Tombstones,
+    pub released_machines: Tombstones,
     /// Some task may have been started by backfilling.
     pub shadows: bool,
     /// This process has listened since then without a pause of its own.
-    pub listening: Option<Instant>,
+    pub listening_since: Option<Instant>,
     /// Attempts given out.
     attempts: u64,
     /// Rentals under way and pauses, see [`crate::core::fleet`].
@@ -83,9 +83,9 @@
             ratios: BTreeMap::new(),
             ratios_dirty: false,
             ratios_written: None,
-            gone: Tombstones::default(),
+            released_machines: Tombstones::default(),
             shadows: false,
-            listening: None,
+            listening_since: None,
             attempts: 0,
             fleet: crate::core::fleet::FleetState::default(),
         }
@@ -109,7 +109,7 @@
         }
         self.add_dependencies(&job);
         self.jobs.insert(id, job);
-        let cancelled = |named: &&JobId| self.jobs.get(named).is_some_and(Job::cancel_is_sure);
+        let cancelled = |named: &&JobId| self.jobs.get(named).is_some_and(Job::cancellation_is_stored);
         let cancelled: Vec<JobId> = spec
             .awaits
             .iter()
@@ -123,7 +123,7 @@
     }
 
     fn add_dependencies(&mut self, job: &Job) {
-        let (due, latest_due) = self.own_dues(job);
+        let (due, latest_due) = self.own_deadlines(job);
         let at = |due: Option<f64>| {
             let due = Duration::try_from_secs_f64(due?).ok()?;
             job.arrival.checked_add(due)
@@ -140,7 +140,7 @@
         };
         let jobs = &self.jobs;
         self.dependencies.add(&dependent, |named| {
-            jobs.get(&named).is_some_and(|j| !j.cancel_is_sure())
+            jobs.get(&named).is_some_and(|j| !j.cancellation_is_stored())
         });
     }
 
@@ -167,13 +167,13 @@
 
     /// Whether a job has tasks that may be placed as far as the job goes: it is
     /// neither cancelled nor waiting for others.
-    pub fn wants_room(&self, job: &Job) -> bool {
+    pub fn is_waiting_for_capacity(&self, job: &Job) -> bool {
         !job.cancelled && job.waiting.count() > 0 && self.dependencies.is_ready(job.spec.id)
     }
 
-    /// The jobs that want room, see [`ClusterModel::wants_room`].
-    pub fn jobs_that_want_room(&self) -> impl Iterator<Item = &Job> {
-        self.jobs.values().filter(|job| self.wants_room(job))
+    /// The jobs that want room, see [`ClusterModel::is_waiting_for_capacity`].
+    pub fn jobs_waiting_for_capacity(&self) -> impl Iterator<Item = &Job> {
+        self.jobs.values().filter(|job| self.is_waiting_for_capacity(job))
     }
 
     /// When a job began to wait for room: when it arrived, or when the last job
@@ -220,10 +220,10 @@
     /// its own or of a job that it needs, is on its way to be stored. It may be
     /// stored already though no answer says so, and another controller that read
     /// it may have told the user: only what is stored is sure then.
-    pub fn view(&self, id: JobId) -> Option<JobStatus> {
+    pub fn status(&self, id: JobId) -> Option<JobStatus> {
         let job = self.jobs.get(&id)?;
-        let cancelled = job.cancel_is_sure();
-        if !cancelled && (job.writing || job.cancelled || self.dependencies.in_doubt(id)) {
+        let cancelled = job.cancellation_is_stored();
+        if !cancelled && (job.final_write_pending || job.cancelled || self.dependencies.in_doubt(id)) {
             return None;
         }
         let running = job.running.len() as u32;
@@ -269,7 +269,7 @@
                 state: SlotState::Placed,
                 spec: Some(job.spec.clone()),
                 start_token: 0,
-                start_session: 0,
+                start_incarnation: 0,
                 logged,
                 outcome: 0,
                 backfilled,
@@ -284,7 +284,7 @@
     }
 
     /// Asks for a task to be stopped. One that was never started goes at once.
-    pub fn stop(&mut self, machine: &MachineId, task: TaskId, grace: Duration, now: Instant, why: &str) {
+    pub fn stop(&mut self, machine: &MachineId, task: TaskId, grace: Duration, now: Instant, reason: &str) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
@@ -292,14 +292,14 @@
             return;
         };
         if slot.state == SlotState::Placed && slot.start_token == 0 {
-            debug!(%task, attempt = slot.attempt, machine = %machine, why, "taken back before its start");
+            debug!(%task, attempt = slot.attempt, machine = %machine, reason, "taken back before its start");
             self.drop_slot(machine, task, now);
             return;
         }
         if !slot.takes_room() || slot.stop.is_some_and(|g| g <= grace) {
             return;
         }
-        debug!(%task, attempt = slot.attempt, machine = %machine, why, "stopping");
+        debug!(%task, attempt = slot.attempt, machine = %machine, reason, "stopping");
         slot.order_stop(grace, now);
         self.due.insert(machine.clone());
     }
@@ -311,7 +311,7 @@
         };
         if m.slots.remove(&task).is_some() {
             if !m.slots.values().any(|s| matches!(s.state, SlotState::Ended(_))) {
-                m.forget_since = None;
+                m.unacknowledged_since = None;
             }
             if m.empty() && m.idle_since.is_none() {
                 m.idle_since = Some(now);
@@ -332,8 +332,8 @@
                 }
             }
         }
-        for id in &replay.gone {
-            self.gone.insert(id.clone());
+        for id in &replay.released_machines {
+            self.released_machines.insert(id.clone());
         }
         let LogReplay {
             machines, mut starts, ..
@@ -368,8 +368,8 @@
         m.machine_type = kind;
         m.zone = zone;
         m.spot = spot;
-        m.probe = !m.addr.is_empty();
-        if m.probe {
+        m.needs_probe = !m.addr.is_empty();
+        if m.needs_probe {
             // It was up: silence from now on counts as silence, not as boot.
             m.phase = MachinePhase::Up;
             self.due.insert(id.clone());
@@ -395,7 +395,7 @@
 
     /// A machine that was just rented.
     pub fn rented(&mut self, id: MachineId, machine_type: &str, zone: &str, spot: bool, now: Instant) {
-        if self.gone.contains(&id) {
+        if self.released_machines.contains(&id) {
             return;
         }
         let m = self
@@ -413,7 +413,7 @@
     pub fn listed(&mut self, list: &[ListedMachine], now: Instant) {
         let mut found = 0;
         for l in list {
-            if self.gone.contains(&l.id) {
+            if self.released_machines.contains(&l.id) {
                 continue;
             }
             let known = self.machines.contains_key(&l.id);
@@ -437,7 +437,7 @@
                 if l.state == CloudState::Running {
                     m.phase = MachinePhase::Up;
                     m.since = now;
-                    m.probe = true;
+                    m.needs_probe = true;
                 }
             }
             if m.addr.is_empty() && !l.addr.is_empty() {
@@ -446,13 +446,13 @@
                 self.log.push(entry);
             }
             if l.state == CloudState::Running && m.phase == MachinePhase::Booting {
-                m.probe = true;
+                m.needs_probe = true;
             }
-            if m.probe {
+            if m.needs_probe {
                 self.due.insert(l.id.clone());
             }
             if l.state == CloudState::Failed {
-                m.cordoned.get_or_insert(now);
+                m.cordoned_since.get_or_insert(now);
                 // Stopped on its own: nothing on it runs any more.
                 self.clear_machine(&l.id, now, "listed as failed");
             }
@@ -466,17 +466,17 @@
     pub fn released(&mut self, id: &MachineId, now: Instant) {
         self.clear_machine(id, now, "machine released");
         if self.machines.remove(id).is_some() {
-            self.log.push(Logged::Gone(id.clone()));
+            self.log.push(Logged::Released(id.clone()));
         }
         self.due.remove(id);
-        self.gone.insert(id.clone());
+        self.released_machines.insert(id.clone());
     }
 
-    pub(in crate::core) fn clear_machine(&mut self, id: &MachineId, now: Instant, why: &str) {
+    pub(in crate::core) fn clear_machine(&mut self, id: &MachineId, now: Instant, reason: &str) {
         let Some(m) = self.machines.get(id) else { return };
         let tasks: Vec<TaskId> = m.slots.keys().copied().collect();
         if !tasks.is_empty() {
-            debug!(machine = %id, tasks = tasks.len(), why, "gone with its tasks");
+            debug!(machine = %id, tasks = tasks.len(), reason, "gone with its tasks");
         }
         for task in tasks {
             self.drop_slot(id, task, now);
--- a/src/core/state/slot.rs
+++ b/src/core/state/slot.rs
@@ -35,7 +35,7 @@
     /// Highest token that carried its start; 0: never sent.
     pub start_token: u64,
     /// Session that the last start was sent to; 0: never sent in this term.
-    pub start_session: u64,
+    pub start_incarnation: u64,
     /// Mark of the log's entry that names it.
     pub logged: u64,
     /// For ended tasks: mark of the log's entry that holds the outcome.
@@ -67,7 +67,7 @@
             state: SlotState::Unknown,
             spec,
             start_token: term << TOKEN_BITS,
-            start_session: 0,
+            start_incarnation: 0,
             logged: 0,
             outcome: 0,
             backfilled: false,
--- a/src/core/state/tombstones.rs
+++ b/src/core/state/tombstones.rs
@@ -13,14 +13,14 @@
 }
 
 /// Names kept; a machine's reports come late by minutes, not by days.
-const MOST_TOMBSTONES: usize = 65_536;
+const MAX_TOMBSTONES: usize = 65_536;
 
 impl Tombstones {
     /// Adds a machine.
     pub fn insert(&mut self, id: MachineId) {
         if self.set.insert(id.clone()) {
             self.order.push_back(id);
-            if self.order.len() > MOST_TOMBSTONES {
+            if self.order.len() > MAX_TOMBSTONES {
                 if let Some(old) = self.order.pop_front() {
                     self.set.remove(&old);
                 }
--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -7,7 +7,7 @@
 
 use crate::core::state::dependencies::DependencyOutcome;
 use crate::core::state::job::Job;
-use crate::core::state::model::{ClusterModel, LEAST_RATIO};
+use crate::core::state::model::{ClusterModel, MIN_RUN_TIME_RATIO};
 use crate::core::storage::record::{self, FinalRecord};
 use crate::core::storage::wal::{LogAppend, LogEntry};
 use crate::store::writer::AtomicWrite;
@@ -16,7 +16,7 @@
 /// Entries of the log that no start waits for are written at most so often.
 const LOG_PAUSE: Duration = Duration::from_millis(800);
 /// Bytes of the log in one transaction, below the protocol's 64 KiB.
-const MOST_BYTES: usize = 44 * 1024;
+const MAX_BYTES: usize = 44 * 1024;
 
 /// A write that is due.
 #[derive(Debug, Clone)]
@@ -71,13 +71,17 @@
         }
         let mut learned = Vec::new();
         self.stop_cancelled(now);
-        let cancelled_on_their_way = self.jobs.values().filter(|j| j.writing && j.cancelled).count();
+        let cancelled_on_their_way = self
+            .jobs
+            .values()
+            .filter(|j| j.final_write_pending && j.cancelled)
+            .count();
         let mut cancelled_left = self.config.txn_ops.max(2).saturating_sub(cancelled_on_their_way);
         for (id, job) in &mut self.jobs {
-            if job.writing || !job.places.is_empty() {
+            if job.final_write_pending || !job.places.is_empty() {
                 continue;
             }
-            let state = if job.cancel_is_sure() {
+            let state = if job.cancellation_is_stored() {
                 // A long chain is cancelled at once; its many final states must
                 // not hold up the log.
                 if cancelled_left == 0 {
@@ -85,13 +89,13 @@
                 }
                 cancelled_left -= 1;
                 JobState::Cancelled
-            } else if job.complete() && !job.cancelled {
+            } else if job.is_complete() && !job.cancelled {
                 learned.extend(ratio(job).map(|r| (job.spec.team.clone(), r)));
                 JobState::Done
             } else {
                 continue;
             };
-            job.writing = true;
+            job.final_write_pending = true;
             out.push(PendingWrite::Final {
                 id: *id,
                 record: FinalRecord {
@@ -134,7 +138,7 @@
     /// They have no tasks, unless a version that knows of no dependencies led
     /// meanwhile.
     fn stop_cancelled(&mut self, now: Instant) {
-        let left = |j: &&Job| j.cancel_is_sure() && !j.places.is_empty();
+        let left = |j: &&Job| j.cancellation_is_stored() && !j.places.is_empty();
         let ids: Vec<JobId> = self.jobs.values().filter(left).map(|j| j.spec.id).collect();
         for id in ids {
             self.cancel(id, now);
@@ -143,7 +147,7 @@
 
     fn take_log(&mut self, now: Instant) -> Option<LogAppend> {
         let per = self.config.value_bytes.max(1);
-        let most = (MOST_BYTES / per).min(self.config.txn_ops).max(1);
+        let most = (MAX_BYTES / per).min(self.config.txn_ops).max(1);
         let slots: usize = self.machines.values().map(|m| m.slots.len()).sum();
         let done: usize = self.jobs.values().map(|j| j.done.count() as usize).sum();
         let live_bytes = self.machines.len() * 90 + slots * 50 + done * 6;
@@ -153,7 +157,7 @@
                 .get(id)
                 .is_some_and(|m| m.addr == *addr)
                 .then(|| e.clone()),
-            LogEntry::Gone(_) => None,
+            LogEntry::Released(_) => None,
             LogEntry::Start(id, job, attempt, tasks) => {
                 let m = machines.get(id)?;
                 let still: Vec<u32> = tasks
@@ -177,7 +181,7 @@
     }
 
     /// A write is stored, or was not.
-    pub fn written(&mut self, w: &PendingWrite, ok: bool, now: Instant) {
+    pub fn write_finished(&mut self, w: &PendingWrite, ok: bool, now: Instant) {
         match w {
             PendingWrite::WriteAheadLog(a) if ok => self.log.appended(a),
             PendingWrite::Final { id, record, .. } => {
@@ -189,7 +193,7 @@
                     self.resolve_dependency(*id, outcome);
                     self.remove_job(*id);
                 } else if let Some(job) = self.jobs.get_mut(id) {
-                    job.writing = false;
+                    job.final_write_pending = false;
                     info!(job = %id, state = ?record.state, "its final state is not stored yet");
                 }
             }
@@ -205,5 +209,5 @@
         return None;
     }
     let mean = job.run_sum.as_secs_f64() / f64::from(job.run_count);
-    Some((mean / job.spec.estimate_s).max(LEAST_RATIO))
+    Some((mean / job.spec.estimate_s).max(MIN_RUN_TIME_RATIO))
 }
--- a/src/core/storage/wal.rs
+++ b/src/core/storage/wal.rs
@@ -22,7 +22,7 @@
     Machine(MachineId, String, String, String, bool),
     /// A machine that is gone for good, and all on it.
     #[serde(rename = "g")]
-    Gone(MachineId),
+    Released(MachineId),
     /// Tasks that may be on a machine from now on, under one attempt.
     #[serde(rename = "s")]
     Start(MachineId, JobId, u64, Vec<u32>),
@@ -57,7 +57,7 @@
 }
 
 /// Most task numbers in an entry, where a segment holds as many.
-const MOST_INDICES: usize = 200;
+const MAX_INDICES: usize = 200;
 /// Bytes of a task number in an entry: five digits, as many as the largest job
 /// has, a comma, and one to spare.
 const INDEX_BYTES: usize = 7;
@@ -66,7 +66,7 @@
 /// Bytes of a value that a segment leaves free.
 const VALUE_MARGIN: usize = 256;
 /// Least bytes of a segment.
-const LEAST_SEGMENT: usize = 512;
+const MIN_SEGMENT: usize = 512;
 /// A transaction of so few changes has no room for both new entries and a whole
 /// step of a compaction.
 const SMALL_TRANSACTION: usize = 2;
@@ -107,7 +107,7 @@
     /// Done tasks.
     pub done: BTreeMap<JobId, BTreeSet<u32>>,
     /// Machines that are gone.
-    pub gone: BTreeSet<MachineId>,
+    pub released_machines: BTreeSet<MachineId>,
 }
 
 impl LogReplay {
@@ -117,10 +117,10 @@
                 self.machines
                     .insert(id.clone(), (addr.clone(), kind.clone(), zone.clone(), *spot));
             }
-            LogEntry::Gone(id) => {
+            LogEntry::Released(id) => {
                 self.machines.remove(id);
                 self.starts.remove(id);
-                self.gone.insert(id.clone());
+                self.released_machines.insert(id.clone());
             }
             LogEntry::Start(id, job, attempt, tasks) => {
                 let on = self.starts.entry(id.clone()).or_default();
@@ -138,7 +138,7 @@
     /// Most bytes of a segment.
     limit: usize,
     /// Most task numbers in an entry, so that none outgrows a segment.
-    most_indices: usize,
+    max_indices: usize,
     compaction: Option<Compaction>,
     /// The last append took a step of a compaction.
     compacted: bool,
@@ -158,10 +158,10 @@
 impl WriteAheadLog {
     /// An empty log whose segments hold at most `value_bytes`.
     pub fn new(value_bytes: usize) -> Self {
-        let limit = value_bytes.saturating_sub(VALUE_MARGIN).max(LEAST_SEGMENT);
+        let limit = value_bytes.saturating_sub(VALUE_MARGIN).max(MIN_SEGMENT);
         Self {
             limit,
-            most_indices: (limit.saturating_sub(ENTRY_BYTES) / INDEX_BYTES).clamp(1, MOST_INDICES),
+            max_indices: (limit.saturating_sub(ENTRY_BYTES) / INDEX_BYTES).clamp(1, MAX_INDICES),
             compaction: None,
             compacted: false,
             segments: BTreeMap::new(),
@@ -205,14 +205,14 @@
         self.pushed += 1;
         let joined = match (self.pending.last_mut(), &e) {
             (Some((LogEntry::Start(m, j, a, list), mark)), LogEntry::Start(m2, j2, a2, more))
-                if m == m2 && j == j2 && a == a2 && list.len() < self.most_indices =>
+                if m == m2 && j == j2 && a == a2 && list.len() < self.max_indices =>
             {
                 list.extend(more);
                 *mark = self.pushed;
                 true
             }
             (Some((LogEntry::Done(j, list), mark)), LogEntry::Done(j2, more))
-                if j == j2 && list.len() < self.most_indices =>
+                if j == j2 && list.len() < self.max_indices =>
             {
                 list.extend(more);
                 *mark = self.pushed;
@@ -313,7 +313,7 @@
         self.compacted = true;
         // One change is kept for the deletion, one for what is new.
         let most_changed = most.saturating_sub(2).max(1);
-        let entries = merged(compaction.left.iter().filter_map(live), self.most_indices);
+        let entries = merged(compaction.left.iter().filter_map(live), self.max_indices);
         let mut left = Vec::new();
         for entry in entries {
             if !left.is_empty() || !self.write(&entry, changed, most_changed) {
@@ -355,14 +355,14 @@
 ///
 /// No entry holds more than so many task numbers: earlier ones may be larger than
 /// the limits allow by now.
-fn merged(entries: impl Iterator<Item = LogEntry>, most_indices: usize) -> Vec<LogEntry> {
+fn merged(entries: impl Iterator<Item = LogEntry>, max_indices: usize) -> Vec<LogEntry> {
     let mut out = Vec::new();
     let mut done: BTreeMap<JobId, Vec<u32>> = BTreeMap::new();
     for e in entries {
         match e {
             LogEntry::Done(job, tasks) => done.entry(job).or_default().extend(tasks),
             LogEntry::Start(machine, job, attempt, tasks) => {
-                let parts = tasks.chunks(most_indices);
+                let parts = tasks.chunks(max_indices);
                 out.extend(parts.map(|part| LogEntry::Start(machine.clone(), job, attempt, part.to_vec())));
             }
             other => out.push(other),
@@ -371,7 +371,7 @@
     for (job, tasks) in done {
         out.extend(
             tasks
-                .chunks(most_indices)
+                .chunks(max_indices)
                 .map(|part| LogEntry::Done(job, part.to_vec())),
         );
     }
--- a/src/http.rs
+++ b/src/http.rs
@@ -36,7 +36,7 @@
 impl Response {
     async fn of(response: hyper::Response<Incoming>) -> Result<Self, HttpError> {
         let status = response.status().as_u16();
-        let body = Limited::new(response.into_body(), MOST_BYTES)
+        let body = Limited::new(response.into_body(), MAX_BYTES)
             .collect()
             .await
             .map_err(|_| HttpError::Unanswered)?
@@ -46,7 +46,7 @@
 }
 
 /// Largest response taken.
-const MOST_BYTES: usize = 64 * 1024 * 1024;
+const MAX_BYTES: usize = 64 * 1024 * 1024;
 /// How long a connection may take.
 const CONNECT: Duration = Duration::from_millis(800);
 
--- a/src/leader/active_leader/dependency_lookup.rs
+++ b/src/leader/active_leader/dependency_lookup.rs
@@ -8,7 +8,7 @@
 use tracing::info;
 
 use crate::controller::job_lookup::StoredJob;
-use crate::controller::wall_ms;
+use crate::controller::unix_time_ms;
 use crate::core::state::dependencies::DependencyOutcome;
 use crate::core::storage::record::FinalRecord;
 use crate::store::StoreError;
@@ -25,7 +25,7 @@
 impl ActiveLeader {
     /// Looks up unresolved jobs, one after the other, as long as the term lasts.
     pub(super) async fn look_up_dependencies(self: Arc<Self>) {
-        let rps = self.node.platform.params.state.rps;
+        let rps = self.controller.deployment.cluster.state.rps;
         let spacing = Duration::from_secs_f64(1.0 / (rps * LOOKUP_SHARE));
         loop {
             let unresolved: Vec<JobId> = {
@@ -46,7 +46,7 @@
     }
 
     async fn look_up_dependency(&self, id: JobId) -> Result<(), StoreError> {
-        match self.node.lookup(id).await? {
+        match self.controller.lookup(id).await? {
             StoredJob::Unfinished(record, version) => self.admit(*record, version),
             StoredJob::Finished(_) => self.resolve(id),
             StoredJob::NeverAccepted => {
@@ -59,9 +59,9 @@
 
     /// Resolves what final states at hand tell; the rest is looked up soon.
     pub(super) fn resolve_from_memory(&self) {
-        let (now, wall) = (Instant::now(), wall_ms());
+        let (now, wall) = (Instant::now(), unix_time_ms());
         let mut model = self.model.lock();
-        let finals = self.node.finals.lock();
+        let finals = self.controller.finals.lock();
         let unresolved: Vec<JobId> = model.dependencies.unresolved().iter().copied().collect();
         let mut resolved = 0;
         for id in &unresolved {
@@ -83,9 +83,9 @@
 
     /// Resolves a job whose final record has just been read.
     fn resolve(&self, id: JobId) {
-        let (now, wall) = (Instant::now(), wall_ms());
+        let (now, wall) = (Instant::now(), unix_time_ms());
         let mut model = self.model.lock();
-        if let Some(record) = self.node.finals.lock().record(id) {
+        if let Some(record) = self.controller.finals.lock().record(id) {
             model.resolve_dependency(id, outcome_of(record, now, wall));
         }
         drop(model);
@@ -94,14 +94,14 @@
 }
 
 /// What a final record tells of a job that others wait for.
-fn outcome_of(record: &FinalRecord, now: Instant, wall_ms: u64) -> DependencyOutcome {
+fn outcome_of(record: &FinalRecord, now: Instant, unix_time_ms: u64) -> DependencyOutcome {
     if record.state == JobState::Cancelled {
         return DependencyOutcome::Cancelled;
     }
     // Earlier versions store no time; what they ended is older than any job
     // that could wait for it.
     let since = record.ended_at.and_then(|ended_at| {
-        let age = Duration::from_millis(wall_ms.saturating_sub(ended_at));
+        let age = Duration::from_millis(unix_time_ms.saturating_sub(ended_at));
         now.checked_sub(age)
     });
     DependencyOutcome::Done(since)
--- a/src/leader/active_leader/fleet_loop.rs
+++ b/src/leader/active_leader/fleet_loop.rs
@@ -17,7 +17,7 @@
 impl ActiveLeader {
     pub(super) async fn refresh_machine_types(self: Arc<Self>) {
         loop {
-            let wait = match self.node.cloud.machine_types().await {
+            let wait = match self.controller.cloud.machine_types().await {
                 Ok(types) if !types.is_empty() => {
                     let known = self.model.lock().types.clone();
                     if known != types {
@@ -28,11 +28,11 @@
                         };
                         let new = shape(&known) != shape(&types);
                         self.model.lock().types = types.clone();
-                        *self.node.types.lock() = Arc::new(types.clone());
+                        *self.controller.types.lock() = Arc::new(types.clone());
                         if new {
                             info!(types = types.len(), "machine types read");
                             let value = serde_json::to_value(&types).unwrap_or(Value::Null);
-                            if value.to_string().len() < self.node.config.value_bytes {
+                            if value.to_string().len() < self.controller.config.value_bytes {
                                 let changes = vec![(record::TYPES.to_owned(), Some(value))];
                                 let _ = self
                                     .writer
@@ -57,7 +57,7 @@
     pub(super) async fn list_machines(self: Arc<Self>) {
         loop {
             let mut pages = 1;
-            if let Ok(list) = self.node.cloud.machines().await {
+            if let Ok(list) = self.controller.cloud.machines().await {
                 pages += list.len() as u32 / 500;
                 self.model.lock().listed(&list, Instant::now());
                 self.wake.notify_one();
@@ -71,16 +71,17 @@
     pub(super) async fn keep_fleet(self: Arc<Self>) {
         loop {
             sleep(Duration::from_millis(1000)).await;
-            self.node.check_for_stall();
+            self.controller.check_for_stall();
             if !self.may_act() {
                 continue;
             }
-            if self.node.links.iter().any(|l| l.alive()) && self.model.lock().cut_from_workers(Instant::now())
+            if self.controller.links.iter().any(|l| l.alive())
+                && self.model.lock().is_partitioned_from_workers(Instant::now())
             {
                 info!(term = self.term, "resigning: workers take no commands from here");
                 return self.end();
             }
-            let actions = self.model.lock().fleet(Instant::now());
+            let actions = self.model.lock().plan_fleet(Instant::now());
             for action in actions {
                 let active_leader = self.clone();
                 tokio::spawn(async move { active_leader.grant(action).await });
@@ -89,7 +90,7 @@
     }
 
     pub(super) async fn grant(&self, action: FleetAction) {
-        let cloud = &self.node.cloud;
+        let cloud = &self.controller.cloud;
         match action {
             FleetAction::Rent(rental) => {
                 let mut tries = 0;
--- a/src/leader/active_leader/report_routing.rs
+++ b/src/leader/active_leader/heartbeat_routing.rs
@@ -25,18 +25,18 @@
             (machine, host).hash(&mut hasher);
             hasher.finish()
         };
-        self.node
+        self.controller
             .connected()
             .into_iter()
             .filter(|host| redirects.may_reach(machine, host, now))
             .max_by_key(weight)
-            .unwrap_or_else(|| self.node.host().to_owned())
+            .unwrap_or_else(|| self.controller.host().to_owned())
     }
 
     /// A report that reached the controller `via`.
-    pub fn report(&self, body: &[u8], via: &str) -> ApiResponse {
+    pub fn heartbeat(&self, body: &[u8], via: &str) -> ApiResponse {
         if !self.may_renew_leases() {
-            return ApiResponse::later("leadership is in doubt");
+            return ApiResponse::unavailable("leadership is in doubt");
         }
         let r: Heartbeat = match serde_json::from_slice(body) {
             Ok(r) => r,
@@ -44,30 +44,38 @@
         };
         let now = Instant::now();
         let may_act = self.may_act();
-        let (heard, answer, stops) = {
+        let (outcome, answer, stops) = {
             let mut m = self.model.lock();
-            let heard = m.apply_report(&r, now);
+            let outcome = m.apply_heartbeat(&r, now);
             let known = m.machines.get(&r.machine);
             if known.is_some_and(|m| m.phase == MachinePhase::Releasing) {
-                return ApiResponse::later("this machine is being returned");
+                return ApiResponse::unavailable("this machine is being returned");
             }
-            match heard {
-                HeartbeatOutcome::MachineReleased => return ApiResponse::later("this machine was returned"),
+            match outcome {
+                HeartbeatOutcome::MachineReleased => {
+                    return ApiResponse::unavailable("this machine was returned")
+                }
                 // A command's answer has overtaken it, or it is a late copy,
                 // whose answer reaches nobody.
                 HeartbeatOutcome::Outdated
-                    if known.is_none_or(|m| m.newest.0 != r.session || m.session_over(r.session)) =>
+                    if known.is_none_or(|m| {
+                        m.newest_message.0 != r.incarnation || m.incarnation_ended(r.incarnation)
+                    }) =>
                 {
-                    return ApiResponse::later("an older report")
+                    return ApiResponse::unavailable("an older report")
                 }
                 HeartbeatOutcome::Outdated | HeartbeatOutcome::Applied => {}
             }
-            if heard == HeartbeatOutcome::Applied {
+            if outcome == HeartbeatOutcome::Applied {
                 self.log_unknown_tasks(&m, &r);
             }
-            (heard, m.reply(&r.machine, r.token, now), m.stops(&r))
+            (
+                outcome,
+                m.heartbeat_response(&r.machine, r.token, now),
+                m.stops_for_cancelled(&r),
+            )
         };
-        if heard == HeartbeatOutcome::Applied {
+        if outcome == HeartbeatOutcome::Applied {
             self.wake.notify_one();
         }
         let Some((token, commands)) = answer else {
@@ -78,10 +86,10 @@
                 "a newer leader has spoken to a worker"
             );
             self.end();
-            return ApiResponse::later("a newer leader has spoken to this worker");
+            return ApiResponse::unavailable("a newer leader has spoken to this worker");
         };
         // Late copies tell nothing of where the worker reports now.
-        if heard == HeartbeatOutcome::Applied {
+        if outcome == HeartbeatOutcome::Applied {
             if let Some(to) = self.redirect(&r.machine, via, now) {
                 return Controller::elsewhere(&to);
             }
@@ -98,8 +106,8 @@
                 machine = %r.machine,
                 task = %unknown.task,
                 attempt = unknown.attempt,
-                session = r.session,
-                seq = r.seq,
+                incarnation = r.incarnation,
+                sequence = r.sequence,
                 token = r.token,
                 "invariant violated: a task runs that is not known"
             );
@@ -108,7 +116,7 @@
 
     /// The controller that a worker is to report to instead of `via`, if any.
     fn redirect(&self, machine: &MachineId, via: &str, now: Instant) -> Option<String> {
-        if !self.redirects.lock().report_arrived(machine, via, now) {
+        if !self.redirects.lock().heartbeat_arrived(machine, via, now) {
             return None;
         }
         let owner = self.owner(machine, now);
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -8,7 +8,7 @@
 use tracing::info;
 
 use crate::controller::job_lookup::StoredJob;
-use crate::controller::wall_ms;
+use crate::controller::unix_time_ms;
 use crate::core::storage::record::{self, JobRecord};
 use crate::store::writer::AtomicWrite;
 use crate::store::StoreError;
@@ -23,7 +23,7 @@
     /// Picks up the jobs that followers stored.
     pub(super) async fn watch_inbox(self: Arc<Self>) {
         loop {
-            let Ok((items, revision)) = self.node.store.list(record::INBOX).await else {
+            let Ok((items, revision)) = self.controller.store.list(record::INBOX).await else {
                 sleep(Duration::from_millis(300)).await;
                 continue;
             };
@@ -35,7 +35,7 @@
             // What couldn't be picked up is listed again soon.
             while all {
                 match self
-                    .node
+                    .controller
                     .store
                     .watch(record::INBOX, since, Duration::from_secs(20))
                     .await
@@ -63,7 +63,7 @@
         loop {
             sleep(RECONCILE_INTERVAL).await;
             self.forget_gone_workers();
-            let Ok((items, _)) = self.node.store.list(record::JOBS).await else {
+            let Ok((items, _)) = self.controller.store.list(record::JOBS).await else {
                 continue;
             };
             for i in items {
@@ -72,7 +72,8 @@
                     .trim_start_matches(record::JOBS)
                     .parse::<JobId>()
                     .is_ok_and(|id| {
-                        self.model.lock().jobs.contains_key(&id) || self.node.finals.lock().view(id).is_some()
+                        self.model.lock().jobs.contains_key(&id)
+                            || self.controller.finals.lock().status(id).is_some()
                     });
                 if known {
                     continue;
@@ -117,10 +118,10 @@
 
     /// Reads a job that is not known here. False: it could not be read.
     pub(super) async fn load_job(&self, id: JobId) -> bool {
-        if self.model.lock().jobs.contains_key(&id) || self.node.finals.lock().view(id).is_some() {
+        if self.model.lock().jobs.contains_key(&id) || self.controller.finals.lock().status(id).is_some() {
             return true;
         }
-        match self.node.lookup(id).await {
+        match self.controller.lookup(id).await {
             Ok(StoredJob::Unfinished(r, version)) => {
                 self.admit(*r, version);
                 true
@@ -133,10 +134,10 @@
     pub(super) fn admit(&self, r: JobRecord, version: u64) {
         let id = r.spec.id;
         let now = Instant::now();
-        let age = Duration::from_millis(wall_ms().saturating_sub(r.at));
+        let age = Duration::from_millis(unix_time_ms().saturating_sub(r.at));
         let mut m = self.model.lock();
         // Between the reading and now it may have become known or finished.
-        if m.jobs.contains_key(&id) || self.node.finals.lock().view(id).is_some() {
+        if m.jobs.contains_key(&id) || self.controller.finals.lock().status(id).is_some() {
             return;
         }
         self.writer.know(&record::job_key(id), version);
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -2,8 +2,8 @@
 
 mod dependency_lookup;
 mod fleet_loop;
+mod heartbeat_routing;
 mod job_intake;
-mod report_routing;
 mod scheduling_loop;
 mod takeover;
 mod user_requests;
@@ -36,7 +36,7 @@
 pub struct ActiveLeader {
     /// The term.
     pub term: u64,
-    node: Arc<Controller>,
+    controller: Arc<Controller>,
     lease: u64,
     model: Mutex<ClusterModel>,
     writer: Arc<Writer>,
@@ -59,16 +59,16 @@
 
 impl ActiveLeader {
     /// A term that was just won by a request sent at `sent`.
-    pub fn new(node: Arc<Controller>, term: u64, lease: u64, sent: ClockReading) -> Arc<Self> {
-        let most = node.config.txn_ops;
-        let writer = Writer::new(node.store.clone(), record::LEADER, term, most);
-        let model = ClusterModel::new(node.config.clone(), term);
-        let workers = &node.platform.params.workers;
+    pub fn new(controller: Arc<Controller>, term: u64, lease: u64, sent: ClockReading) -> Arc<Self> {
+        let most = controller.config.txn_ops;
+        let writer = Writer::new(controller.store.clone(), record::LEADER, term, most);
+        let model = ClusterModel::new(controller.config.clone(), term);
+        let workers = &controller.deployment.cluster.workers;
         let limits = AuthorityLimits {
-            lease: node.tuning.leader_lease,
+            lease: controller.operator_settings.leader_lease,
             worker_lease: workers.lease,
             cancel: workers.cancel,
-            clock_error: node.platform.params.clock_error,
+            clock_error: controller.deployment.cluster.clock_error,
         };
         Arc::new(Self {
             term,
@@ -86,14 +86,14 @@
             wake: Notify::new(),
             unresolved: Notify::new(),
             redirects: Mutex::default(),
-            node,
+            controller,
         })
     }
 
     /// The process has stood still: what it did not hear meanwhile is no silence.
-    pub fn woke(&self, now: Instant) {
-        self.authority.lock().woke(now);
-        self.model.lock().listen_from(now);
+    pub fn resumed_after_pause(&self, now: Instant) {
+        self.authority.lock().resumed_after_pause(now);
+        self.model.lock().ignore_silence_before(now);
     }
 
     /// Whether this controller may act as the leader now.
@@ -137,7 +137,7 @@
             }
             *loading.load_ended.lock() = Some(Instant::now());
             loading.loaded.store(true, Ordering::Relaxed);
-            loading.node.set_role(Role::Leading(loading.clone()));
+            loading.controller.set_role(Role::Leading(loading.clone()));
             {
                 let m = loading.model.lock();
                 info!(
@@ -164,20 +164,21 @@
         }
         self.end();
         tasks.abort_all();
-        let node = self.node.clone();
+        let controller = self.controller.clone();
         let lease = self.lease;
         tokio::spawn(async move {
-            let _ = node.store.revoke_lease(lease).await;
+            let _ = controller.store.revoke_lease(lease).await;
         });
     }
 
     async fn keep_lease(self: Arc<Self>) {
-        let life = self.node.tuning.leader_lease;
-        let spacing = Duration::from_secs_f64(1.0 / (self.node.platform.params.state.rps * CONFIRMING));
+        let life = self.controller.operator_settings.leader_lease;
+        let spacing =
+            Duration::from_secs_f64(1.0 / (self.controller.deployment.cluster.state.rps * CONFIRMING));
         loop {
             let sent = read_clocks();
             let number = self.renewals.fetch_add(1, Ordering::Relaxed) + 1;
-            let wait = match self.node.store.renew_lease(self.lease, life / 3).await {
+            let wait = match self.controller.store.renew_lease(self.lease, life / 3).await {
                 Ok(()) => {
                     self.authority.lock().renewed(sent);
                     self.renewed.send_replace((number, true));
--- a/src/leader/active_leader/scheduling_loop.rs
+++ b/src/leader/active_leader/scheduling_loop.rs
@@ -26,7 +26,7 @@
         let mut acted = true;
         loop {
             let _ = timeout(Duration::from_millis(500), self.wake.notified()).await;
-            self.node.check_for_stall();
+            self.controller.check_for_stall();
             let began = Instant::now();
             let acts = self.may_act();
             if acts {
@@ -38,7 +38,7 @@
             }
             // A round that took long is followed by a longer pause, so that
             // users and workers are answered meanwhile.
-            let pause = self.node.tuning.plan_pause;
+            let pause = self.controller.operator_settings.plan_pause;
             sleep(pause.max((began.elapsed() * 4).min(pause * 10))).await;
         }
     }
@@ -60,7 +60,7 @@
         }
         drop(load_ended);
         let writes = m.take_writes(now);
-        let commands = m.commands(now, PROBES.min(self.node.sockets.commands_free() / 2));
+        let commands = m.commands(now, PROBES.min(self.controller.sockets.commands_free() / 2));
         drop(m);
         for w in writes {
             let active_leader = self.clone();
@@ -89,17 +89,17 @@
             let may_act = self.may_act();
             self.model.lock().permit_send(id, commands, may_act)
         };
-        let outcome = worker::command(&self.node.sockets, addr, commands, permit).await;
-        let report = match &outcome {
+        let outcome = worker::command(&self.controller.sockets, addr, commands, permit).await;
+        let heartbeat = match &outcome {
             CommandOutcome::Executed(r) | CommandOutcome::Refused(r) => Some(r),
             CommandOutcome::Unanswered | CommandOutcome::SendRefusal(_) => None,
         };
         match &outcome {
             CommandOutcome::Refused(r) => {
-                debug!(machine = %id, token = commands.token, seen = r.token, session = r.session, "command refused");
+                debug!(machine = %id, token = commands.token, seen = r.token, incarnation = r.incarnation, "command refused");
             }
-            CommandOutcome::SendRefusal(why) => {
-                info!(machine = %id, token = commands.token, %why, "command withheld");
+            CommandOutcome::SendRefusal(reason) => {
+                info!(machine = %id, token = commands.token, %reason, "command withheld");
             }
             CommandOutcome::Executed(_) | CommandOutcome::Unanswered => {}
         }
@@ -107,7 +107,7 @@
         if matches!(outcome, CommandOutcome::SendRefusal(_)) {
             model.command_withheld(id);
         } else {
-            model.commanded(id, report, Instant::now());
+            model.command_finished(id, heartbeat, Instant::now());
         }
         drop(model);
         self.wake.notify_one();
@@ -144,10 +144,10 @@
         let ok = result.is_ok();
         if let (true, PendingWrite::Final { id, record, .. }) = (ok, &w) {
             // Before the job leaves the model, so that no answer falls between.
-            self.node.finals.lock().keep(*id, record.clone());
+            self.controller.finals.lock().keep(*id, record.clone());
             debug!(job = %id, state = ?record.state, "finished");
         }
-        self.model.lock().written(&w, ok, Instant::now());
+        self.model.lock().write_finished(&w, ok, Instant::now());
         self.wake.notify_one();
     }
 }
--- a/src/leader/active_leader/takeover.rs
+++ b/src/leader/active_leader/takeover.rs
@@ -5,7 +5,7 @@
 
 use tracing::info;
 
-use crate::controller::wall_ms;
+use crate::controller::unix_time_ms;
 use crate::core::storage::record::{self, JobRecord};
 use crate::store::StoreError;
 
@@ -13,13 +13,13 @@
 
 impl ActiveLeader {
     pub(super) async fn load(&self) -> Result<(), StoreError> {
-        let store = &self.node.store;
+        let store = &self.controller.store;
         let (jobs, _) = store.list(record::JOBS).await?;
         let (segments, _) = store.list(record::WAL).await?;
         let ratios = store.get(record::RATIOS).await?;
         let types = store.get(record::TYPES).await?;
         let now = Instant::now();
-        let wall = wall_ms();
+        let wall = unix_time_ms();
         let mut m = self.model.lock();
         for item in jobs {
             self.writer.know(&item.key, item.version);
@@ -51,7 +51,7 @@
             self.writer.know(record::TYPES, item.version);
             if let Ok(t) = serde_json::from_value(item.value) {
                 m.types = t;
-                *self.node.types.lock() = Arc::new(m.types.clone());
+                *self.controller.types.lock() = Arc::new(m.types.clone());
             }
         }
         Ok(())
--- a/src/leader/active_leader/user_requests.rs
+++ b/src/leader/active_leader/user_requests.rs
@@ -8,7 +8,7 @@
 use tracing::{debug, info};
 
 use crate::controller::job_lookup::StoredJob;
-use crate::controller::{accepted, wall_ms};
+use crate::controller::{accepted, unix_time_ms};
 use crate::core::storage::record::{self, JobRecord};
 use crate::peer::ApiResponse;
 use crate::store::writer::{AtomicWrite, CommitError};
@@ -22,46 +22,46 @@
 impl ActiveLeader {
     /// A submission.
     pub async fn submit(self: &Arc<Self>, body: &[u8]) -> ApiResponse {
-        let id = match self.node.id_of(body) {
+        let id = match self.controller.id_of(body) {
             Ok(id) => id,
             Err(r) => return r,
         };
         if let Some(r) = self.known_for_sure(id).await {
             return r;
         }
-        let types = self.node.types.lock().clone();
-        let spec = match self.node.judge(body, &types) {
+        let types = self.controller.types.lock().clone();
+        let spec = match self.controller.judge(body, &types) {
             Ok(s) => s,
             // Only an unknown job is judged: a follower may have stored it.
             Err(bad) => return self.unless_known(id, bad).await,
         };
         let rec = JobRecord {
             spec,
-            at: wall_ms(),
+            at: unix_time_ms(),
             cancelled: false,
         };
-        if !self.node.record_fits(&rec) {
+        if !self.controller.record_fits(&rec) {
             let bad = ApiResponse::error(400, "the job's description is too long");
             return self.unless_known(id, bad).await;
         }
         let in_memory = |named| self.model.lock().jobs.get(&named).map(|j| j.spec.kind);
-        if let Err(bad) = self.node.check_awaits(&rec.spec, in_memory).await {
+        if let Err(bad) = self.controller.check_awaits(&rec.spec, in_memory).await {
             return self.unless_known(id, bad).await;
         }
         // What can't be stored in time is refused at once.
-        let within = self.node.store.changes_within(STORED_WITHIN);
+        let within = self.controller.store.changes_within(STORED_WITHIN);
         if self.writer.urgent_waiting() as f64 > within {
-            return ApiResponse::later("too many jobs are being stored");
+            return ApiResponse::unavailable("too many jobs are being stored");
         }
         let active_leader = self.clone();
         let stored = tokio::spawn(async move { active_leader.accept(rec).await });
         match timeout(STORED_WITHIN, stored).await {
             Ok(Ok(Ok(()))) => accepted(id, 201),
             Ok(Ok(Err(CommitError::Conflict(_) | CommitError::Refused))) => {
-                let other = ApiResponse::later("the job's state can't be read now");
+                let other = ApiResponse::unavailable("the job's state can't be read now");
                 self.unless_known(id, other).await
             }
-            _ => ApiResponse::later("the job can't be stored now"),
+            _ => ApiResponse::unavailable("the job can't be stored now"),
         }
     }
 
@@ -86,37 +86,37 @@
     /// The answer for a job known here.
     pub(super) fn known(&self, id: JobId) -> Option<ApiResponse> {
         if !self.may_act() {
-            return Some(ApiResponse::later("leadership is in doubt"));
+            return Some(ApiResponse::unavailable("leadership is in doubt"));
         }
-        let active = self.model.lock().view(id);
-        let view = active.or_else(|| self.node.finals.lock().view(id))?;
+        let active = self.model.lock().status(id);
+        let view = active.or_else(|| self.controller.finals.lock().status(id))?;
         Some(ApiResponse::json(200, &view))
     }
 
     /// The same, if it can't be older than what another leader has told since:
     /// final states never are.
     pub(super) async fn known_for_sure(&self, id: JobId) -> Option<ApiResponse> {
-        if let Some(view) = self.node.finals.lock().view(id) {
+        if let Some(view) = self.controller.finals.lock().status(id) {
             return Some(ApiResponse::json(200, &view));
         }
-        let reply = self.known(id)?;
-        if reply.status == 200 && !self.confirm().await {
-            return Some(ApiResponse::later("leadership can't be confirmed now"));
+        let response = self.known(id)?;
+        if response.status == 200 && !self.confirm().await {
+            return Some(ApiResponse::unavailable("leadership can't be confirmed now"));
         }
-        Some(reply)
+        Some(response)
     }
 
     pub(super) async fn unless_known(&self, id: JobId, otherwise: ApiResponse) -> ApiResponse {
-        match self.node.lookup(id).await {
+        match self.controller.lookup(id).await {
             Ok(StoredJob::NeverAccepted) => otherwise,
             Ok(found) => {
-                let reply = self.node.reply_about(id, &found).await;
+                let response = self.controller.response_about(id, &found).await;
                 if let StoredJob::Unfinished(record, version) = found {
                     self.admit(*record, version);
                 }
-                reply
+                response
             }
-            Err(_) => ApiResponse::later("the job's state can't be read now"),
+            Err(_) => ApiResponse::unavailable("the job's state can't be read now"),
         }
     }
 
@@ -134,16 +134,16 @@
     /// A cancellation.
     pub async fn cancel(self: &Arc<Self>, id: JobId) -> ApiResponse {
         if !self.may_act() {
-            return ApiResponse::later("leadership is in doubt");
+            return ApiResponse::unavailable("leadership is in doubt");
         }
         if !self.load_job(id).await {
-            return ApiResponse::later("the job's state can't be read now");
+            return ApiResponse::unavailable("the job's state can't be read now");
         }
         let active_leader = self.clone();
         let work = tokio::spawn(async move { active_leader.cancel_stored(id).await });
         match timeout(STORED_WITHIN, work).await {
-            Ok(Ok(reply)) => reply,
-            _ => ApiResponse::later("the cancellation can't be stored now"),
+            Ok(Ok(response)) => response,
+            _ => ApiResponse::unavailable("the cancellation can't be stored now"),
         }
     }
 
@@ -155,7 +155,7 @@
                 .lock()
                 .jobs
                 .get(&id)
-                .is_some_and(|j| j.complete() && !j.cancelled);
+                .is_some_and(|j| j.is_complete() && !j.cancelled);
             if !finishing {
                 break;
             }
@@ -166,13 +166,15 @@
             match m.jobs.get(&id) {
                 None => {
                     drop(m);
-                    return match self.node.finals.lock().view(id) {
+                    return match self.controller.finals.lock().status(id) {
                         Some(v) => ApiResponse::json(200, &v),
                         None => ApiResponse::error(404, "no such job"),
                     };
                 }
-                Some(j) if j.complete() && !j.cancelled => return ApiResponse::later("the job is ending"),
-                Some(j) if j.cancel_is_sure() => None,
+                Some(j) if j.is_complete() && !j.cancelled => {
+                    return ApiResponse::unavailable("the job is ending")
+                }
+                Some(j) if j.cancellation_is_stored() => None,
                 Some(_) => {
                     m.cancel(id, Instant::now());
                     m.jobs.get(&id).map(|j| j.record())
@@ -182,7 +184,7 @@
         self.wake.notify_one();
         if let Some(record) = record {
             if !self.store_cancellation(id, &record).await {
-                return ApiResponse::later("the cancellation can't be stored now");
+                return ApiResponse::unavailable("the cancellation can't be stored now");
             }
             info!(job = %id, "cancelled");
             self.model.lock().cancel_stored(id);
@@ -190,7 +192,7 @@
         }
         match self.known(id) {
             Some(r) => r,
-            None => ApiResponse::later("the job's state can't be told now"),
+            None => ApiResponse::unavailable("the job's state can't be told now"),
         }
     }
 
@@ -211,16 +213,18 @@
                 Ok(()) => return true,
                 Err(CommitError::Deposed) => return false,
                 // Told apart from a changed key only by reading it.
-                Err(CommitError::Conflict(_) | CommitError::Refused) => match self.node.lookup(id).await {
-                    Ok(StoredJob::Unfinished(r, _)) if r.cancelled => return true,
-                    Ok(StoredJob::Unfinished(_, version)) => self.writer.know(&key, version),
-                    Ok(_) => {
-                        info!(job = %id, "cancelled here, yet not unfinished in the state service");
-                        self.end();
-                        return false;
+                Err(CommitError::Conflict(_) | CommitError::Refused) => {
+                    match self.controller.lookup(id).await {
+                        Ok(StoredJob::Unfinished(r, _)) if r.cancelled => return true,
+                        Ok(StoredJob::Unfinished(_, version)) => self.writer.know(&key, version),
+                        Ok(_) => {
+                            info!(job = %id, "cancelled here, yet not unfinished in the state service");
+                            self.end();
+                            return false;
+                        }
+                        Err(_) => {}
                     }
-                    Err(_) => {}
-                },
+                }
             }
             sleep(Duration::from_millis(150)).await;
         }
--- a/src/leader/mod.rs
+++ b/src/leader/mod.rs
@@ -26,36 +26,40 @@
 use active_leader::ActiveLeader;
 
 /// Runs one controller for ever.
-pub async fn run(platform: DeploymentSettings, tuning: OperatorSettings) -> io::Result<()> {
-    let node = Controller::new(platform, tuning);
+pub async fn run(deployment: DeploymentSettings, operator_settings: OperatorSettings) -> io::Result<()> {
+    let controller = Controller::new(deployment, operator_settings);
     let name = |what: &str, addr| {
         let what = what.to_owned();
         move |e: io::Error| io::Error::new(e.kind(), format!("can't listen on {what} {addr}: {e}"))
     };
-    let api = TcpListener::bind(node.platform.listen)
+    let api = TcpListener::bind(controller.deployment.listen)
         .await
-        .map_err(name("api_addr", node.platform.listen))?;
-    let back = TcpListener::bind(node.platform.peer_listen)
+        .map_err(name("api_addr", controller.deployment.listen))?;
+    let back = TcpListener::bind(controller.deployment.peer_listen)
         .await
-        .map_err(name("back", node.platform.peer_listen))?;
-    info!(host = node.host(), zone = node.platform.zone, "started");
-    for link in &node.links {
-        tokio::spawn(link.clone().run(node.clone()));
+        .map_err(name("back", controller.deployment.peer_listen))?;
+    info!(
+        host = controller.host(),
+        zone = controller.deployment.zone,
+        "started"
+    );
+    for link in &controller.links {
+        tokio::spawn(link.clone().run(controller.clone()));
     }
-    tokio::spawn(crate::peer::listen(back, node.clone()));
-    tokio::spawn(run_elections(node.clone()));
-    tokio::spawn(watch_for_stalls(node.clone()));
-    let patience = ConnectionTimeouts::new(node.platform.params.workers.report);
-    crate::api::serve(api, node, patience).await;
+    tokio::spawn(crate::peer::listen(back, controller.clone()));
+    tokio::spawn(run_elections(controller.clone()));
+    tokio::spawn(watch_for_stalls(controller.clone()));
+    let patience = ConnectionTimeouts::new(controller.deployment.cluster.workers.heartbeat_interval);
+    crate::api::serve(api, controller, patience).await;
     Ok(())
 }
 
 /// Measures how late the process's own timer fires.
-async fn watch_for_stalls(node: Arc<Controller>) {
+async fn watch_for_stalls(controller: Arc<Controller>) {
     loop {
         sleep(TICK).await;
-        node.check_for_stall();
-        node.stall_detector.tick(Instant::now());
+        controller.check_for_stall();
+        controller.stall_detector.tick(Instant::now());
     }
 }
 
@@ -64,16 +68,16 @@
 }
 
 /// Follows the leader's key; leads when it can.
-async fn run_elections(node: Arc<Controller>) {
+async fn run_elections(controller: Arc<Controller>) {
     loop {
-        match node.store.get(LEADER).await {
+        match controller.store.get(LEADER).await {
             Ok(Ok(item)) => match record_of(&item) {
                 // Our earlier self is dead: its key may be replaced at once.
-                Some(r) if r.host == node.host() => run_for_leader(&node, item.version).await,
-                Some(r) => follow(&node, &r, item.version).await,
-                None => run_for_leader(&node, item.version).await,
+                Some(r) if r.host == controller.host() => run_for_leader(&controller, item.version).await,
+                Some(r) => follow(&controller, &r, item.version).await,
+                None => run_for_leader(&controller, item.version).await,
             },
-            Ok(Err(_)) => run_for_leader(&node, 0).await,
+            Ok(Err(_)) => run_for_leader(&controller, 0).await,
             Err(e) => {
                 debug!(error = %e, "can't read who leads");
                 sleep(Duration::from_millis(300)).await;
@@ -83,17 +87,21 @@
 }
 
 /// Follows a leader until its key changes or can't be watched.
-async fn follow(node: &Arc<Controller>, leader: &LeaderRecord, version: u64) {
+async fn follow(controller: &Arc<Controller>, leader: &LeaderRecord, version: u64) {
     info!(leader = leader.host, term = version, "following");
-    node.observe_term(version);
-    node.set_role(Role::Following {
+    controller.observe_term(version);
+    controller.set_role(Role::Following {
         host: leader.host.clone(),
         term: version,
     });
-    node.known_types().await;
+    controller.known_types().await;
     let mut since = version;
     loop {
-        match node.store.watch(LEADER, since, Duration::from_secs(10)).await {
+        match controller
+            .store
+            .watch(LEADER, since, Duration::from_secs(10))
+            .await
+        {
             Ok(w) if w.events.is_empty() => since = since.max(w.revision),
             Ok(_) | Err(StoreError::TooOld) => return,
             Err(e) => {
@@ -101,7 +109,7 @@
                 // afresh as soon as that works.
                 debug!(error = %e, "can't watch the leader");
                 sleep(Duration::from_millis(400)).await;
-                match node.store.get(LEADER).await {
+                match controller.store.get(LEADER).await {
                     Ok(Ok(item)) if item.version == version => since = version,
                     Ok(_) => return,
                     Err(_) => {}
@@ -112,10 +120,10 @@
 }
 
 /// Stands for election, and leads if elected.
-async fn run_for_leader(node: &Arc<Controller>, version: u64) {
-    let life = node.tuning.leader_lease;
+async fn run_for_leader(controller: &Arc<Controller>, version: u64) {
+    let life = controller.operator_settings.leader_lease;
     let sent = read_clocks();
-    let lease = match node.store.grant_lease(life).await {
+    let lease = match controller.store.grant_lease(life).await {
         Ok(l) => l,
         Err(e) => {
             debug!(error = %e, "no lease granted");
@@ -123,8 +131,8 @@
         }
     };
     let record = LeaderRecord {
-        host: node.host().to_owned(),
-        nonce: node.nonce,
+        host: controller.host().to_owned(),
+        nonce: controller.nonce,
     };
     let Ok(value) = serde_json::to_value(&record) else {
         return;
@@ -140,33 +148,33 @@
             lease: Some(lease),
         }],
     };
-    let mut term = match node.store.transact(&t, Duration::from_millis(1200)).await {
+    let mut term = match controller.store.transact(&t, Duration::from_millis(1200)).await {
         Ok(revision) => Some(revision),
         Err(StoreError::Unanswered) => None,
         Err(e) => {
             debug!(error = %e, "not elected");
-            let _ = node.store.revoke_lease(lease).await;
+            let _ = controller.store.revoke_lease(lease).await;
             return sleep(Duration::from_millis(100)).await;
         }
     };
     if term.is_none() {
         // It may have applied, or still may: the key tells. A late copy puts
         // a key of ours attached to a lease that ends soon.
-        if let Ok(Ok(item)) = node.store.get(LEADER).await {
+        if let Ok(Ok(item)) = controller.store.get(LEADER).await {
             if record_of(&item).as_ref() == Some(&record) && item.version > version {
                 term = Some(item.version);
             }
         }
     }
     let Some(term) = term else {
-        let _ = node.store.revoke_lease(lease).await;
+        let _ = controller.store.revoke_lease(lease).await;
         return sleep(Duration::from_millis(100)).await;
     };
     info!(term, "elected");
-    node.observe_term(term);
-    let active_leader = ActiveLeader::new(node.clone(), term, lease, sent);
+    controller.observe_term(term);
+    let active_leader = ActiveLeader::new(controller.clone(), term, lease, sent);
     active_leader.clone().lead().await;
-    node.set_role(Role::Unknown);
+    controller.set_role(Role::Unknown);
     info!(term, "no longer leading");
     // Another is to have the first try: this one may have given up for want
     // of connections.
--- a/src/leader/redirects.rs
+++ b/src/leader/redirects.rs
@@ -31,7 +31,7 @@
 impl RedirectHistory {
     /// Notes that a report came through a controller. Whether the worker may be
     /// redirected now: its report before was answered there.
-    pub fn report_arrived(&mut self, machine: &MachineId, via: &str, now: Instant) -> bool {
+    pub fn heartbeat_arrived(&mut self, machine: &MachineId, via: &str, now: Instant) -> bool {
         let before = self.latest.insert(machine.clone(), via.to_owned());
         if let Some((target, at)) = self.pending.remove(machine) {
             if target != via && now.saturating_duration_since(at) < FOLLOWED_WITHIN {
--- a/src/main.rs
+++ b/src/main.rs
@@ -47,7 +47,7 @@
                 .map_or_else(|| Ok(OperatorSettings::default()), OperatorSettings::load)?,
         ))
     });
-    let (platform, tuning) = match settings {
+    let (deployment, operator_settings) = match settings {
         Ok(s) => s,
         Err(e) => {
             eprintln!("bitternfold: {e}");
@@ -65,7 +65,7 @@
             return ExitCode::FAILURE;
         }
     };
-    match runtime.block_on(bitternfold::leader::run(platform, tuning)) {
+    match runtime.block_on(bitternfold::leader::run(deployment, operator_settings)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("bitternfold: {e}");
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -18,9 +18,9 @@
 use crate::controller::Controller;
 
 /// Largest frame.
-const MOST_FRAME: usize = 256 * 1024;
+const MAX_FRAME_BYTES: usize = 256 * 1024;
 /// Bytes of frames sent together.
-pub const MOST_BATCH: usize = 64 * 1024;
+pub const MAX_BATCH_BYTES: usize = 64 * 1024;
 /// Pause between two pings.
 const PING: Duration = Duration::from_millis(500);
 /// A link that says nothing for so long is cut.
@@ -71,7 +71,7 @@
     }
 
     /// It can't be known or done now; come back in a second.
-    pub fn later(reason: &str) -> Self {
+    pub fn unavailable(reason: &str) -> Self {
         Self {
             retry_after: Some(1),
             ..Self::error(503, reason)
@@ -103,7 +103,7 @@
         /// Its number on this link.
         id: u64,
         /// The question.
-        ask: PeerRequest,
+        request: PeerRequest,
     },
     /// The answer to a question.
     Response {
@@ -112,7 +112,7 @@
         /// The highest term known to the one who answers.
         term: u64,
         /// The answer.
-        reply: ApiResponse,
+        response: ApiResponse,
     },
     /// I am here; the highest term that I know of, and the latest leader.
     Pong {
@@ -136,7 +136,7 @@
 /// The next that is ready for a batch of so many bytes, up to 64 KiB. Where the batch is full it
 /// stays in the queue: what is taken out and not sent is lost.
 pub fn next_for<T>(queue: &mut mpsc::Receiver<T>, bytes: usize) -> Option<T> {
-    if bytes < MOST_BATCH {
+    if bytes < MAX_BATCH_BYTES {
         queue.try_recv().ok()
     } else {
         None
@@ -148,7 +148,7 @@
 pub async fn read_frame(r: &mut (impl AsyncRead + Unpin)) -> io::Result<Frame> {
     loop {
         let len = r.read_u32().await? as usize;
-        if len > MOST_FRAME {
+        if len > MAX_FRAME_BYTES {
             return Err(io::Error::new(io::ErrorKind::InvalidData, "frame too long"));
         }
         let mut buf = vec![0; len];
@@ -160,7 +160,7 @@
     }
 }
 
-type Question = (PeerRequest, oneshot::Sender<ApiResponse>);
+type QueuedRequest = (PeerRequest, oneshot::Sender<ApiResponse>);
 
 /// The link to another controller, for questions of ours.
 #[derive(Debug)]
@@ -168,52 +168,52 @@
     /// Its name.
     pub host: String,
     addr: SocketAddr,
-    questions: mpsc::Sender<Question>,
-    inbox: Mutex<Option<mpsc::Receiver<Question>>>,
-    heard: Mutex<Option<Instant>>,
+    requests: mpsc::Sender<QueuedRequest>,
+    inbox: Mutex<Option<mpsc::Receiver<QueuedRequest>>>,
+    last_heartbeat: Mutex<Option<Instant>>,
 }
 
 impl PeerLink {
     /// A link that is not connected yet, with room for so many questions that wait
     /// to be sent: as many as there are requests that may ask one.
-    pub fn new(host: String, addr: SocketAddr, most_waiting: usize) -> Arc<Self> {
-        let (questions, inbox) = mpsc::channel(most_waiting);
+    pub fn new(host: String, addr: SocketAddr, max_waiting: usize) -> Arc<Self> {
+        let (requests, inbox) = mpsc::channel(max_waiting);
         Arc::new(Self {
             host,
             addr,
-            questions,
+            requests,
             inbox: Mutex::new(Some(inbox)),
-            heard: Mutex::new(None),
+            last_heartbeat: Mutex::new(None),
         })
     }
 
     /// Whether the other side was heard of late.
     pub fn alive(&self) -> bool {
-        self.heard.lock().is_some_and(|t| t.elapsed() < SILENCE)
+        self.last_heartbeat.lock().is_some_and(|t| t.elapsed() < SILENCE)
     }
 
     /// Asks; `None`: no answer in time.
-    pub async fn ask(&self, ask: PeerRequest, patience: Duration) -> Option<ApiResponse> {
+    pub async fn request(&self, request: PeerRequest, patience: Duration) -> Option<ApiResponse> {
         if !self.alive() {
             return None;
         }
         let (tx, rx) = oneshot::channel();
-        self.questions.try_send((ask, tx)).ok()?;
+        self.requests.try_send((request, tx)).ok()?;
         timeout(patience, rx).await.ok()?.ok()
     }
 
     /// Keeps the link connected for ever.
-    pub async fn run(self: Arc<Self>, node: Arc<Controller>) {
+    pub async fn run(self: Arc<Self>, controller: Arc<Controller>) {
         let Some(mut inbox) = self.inbox.lock().take() else {
             return;
         };
         loop {
             if let Ok(Ok(stream)) = timeout(Duration::from_secs(1), TcpStream::connect(self.addr)).await {
                 let _ = stream.set_nodelay(true);
-                let end = self.serve(stream, &mut inbox, &node).await;
+                let end = self.serve(stream, &mut inbox, &controller).await;
                 debug!(peer = %self.host, ?end, "link ended");
             }
-            *self.heard.lock() = None;
+            *self.last_heartbeat.lock() = None;
             sleep(Duration::from_millis(300)).await;
         }
     }
@@ -221,14 +221,14 @@
     async fn serve(
         &self,
         stream: TcpStream,
-        inbox: &mut mpsc::Receiver<Question>,
-        node: &Arc<Controller>,
+        inbox: &mut mpsc::Receiver<QueuedRequest>,
+        controller: &Arc<Controller>,
     ) -> io::Result<()> {
         let (read, mut write) = stream.into_split();
         let mut read = BufReader::new(read);
         let mut out = Vec::new();
         let hello = Frame::Hello {
-            host: node.host().to_owned(),
+            host: controller.host().to_owned(),
         };
         encode(&hello, &mut out)?;
         let pending: Arc<Mutex<HashMap<u64, oneshot::Sender<ApiResponse>>>> = Arc::default();
@@ -238,17 +238,17 @@
                 let frame = timeout(SILENCE, read_frame(&mut read))
                     .await
                     .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-                *self.heard.lock() = Some(Instant::now());
+                *self.last_heartbeat.lock() = Some(Instant::now());
                 match frame {
-                    Frame::Response { id, term, reply } => {
-                        node.observe_term(term);
+                    Frame::Response { id, term, response } => {
+                        controller.observe_term(term);
                         if let Some(tx) = pending.lock().remove(&id) {
-                            let _ = tx.send(reply);
+                            let _ = tx.send(response);
                         }
                     }
                     Frame::Pong { term, leader } => {
-                        node.observe_term(term);
-                        node.observe_leader(leader);
+                        controller.observe_term(term);
+                        controller.observe_leader(leader);
                     }
                     Frame::Hello { .. } | Frame::PeerRequest { .. } => {}
                 }
@@ -265,19 +265,19 @@
                 };
                 if first.is_none() {
                     pending.lock().retain(|_, t| !t.is_closed());
-                    let ask = PeerRequest::Ping {
-                        term: node.known_term(),
+                    let request = PeerRequest::Ping {
+                        term: controller.known_term(),
                     };
-                    encode(&Frame::PeerRequest { id: next, ask }, &mut out)?;
+                    encode(&Frame::PeerRequest { id: next, request }, &mut out)?;
                     next += 1;
                 }
                 // All that is ready goes in one packet.
-                let mut question = first;
-                while let Some((ask, tx)) = question {
+                let mut queued = first;
+                while let Some((request, tx)) = queued {
                     pending.lock().insert(next, tx);
-                    encode(&Frame::PeerRequest { id: next, ask }, &mut out)?;
+                    encode(&Frame::PeerRequest { id: next, request }, &mut out)?;
                     next += 1;
-                    question = next_for(inbox, out.len());
+                    queued = next_for(inbox, out.len());
                 }
                 write.write_all(&out).await?;
                 out.clear();
@@ -291,14 +291,14 @@
 }
 
 /// Accepts the links of other controllers for ever.
-pub async fn listen(listener: TcpListener, node: Arc<Controller>) {
+pub async fn listen(listener: TcpListener, controller: Arc<Controller>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let node = node.clone();
+                let controller = controller.clone();
                 tokio::spawn(async move {
                     let _ = stream.set_nodelay(true);
-                    let _ = answer(stream, node).await;
+                    let _ = answer(stream, controller).await;
                 });
             }
             Err(e) => {
@@ -309,7 +309,7 @@
     }
 }
 
-async fn answer(stream: TcpStream, node: Arc<Controller>) -> io::Result<()> {
+async fn answer(stream: TcpStream, controller: Arc<Controller>) -> io::Result<()> {
     let (read, mut write) = stream.into_split();
     let mut read = BufReader::new(read);
     let Frame::Hello { host } = timeout(SILENCE, read_frame(&mut read))
@@ -318,39 +318,39 @@
     else {
         return Err(io::Error::new(io::ErrorKind::InvalidData, "no greeting"));
     };
-    let (tx, mut rx) = mpsc::channel::<Frame>(node.sockets.most_incoming());
+    let (tx, mut rx) = mpsc::channel::<Frame>(controller.sockets.max_incoming());
     let reader = async {
         loop {
             let frame = timeout(SILENCE, read_frame(&mut read))
                 .await
                 .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-            node.peer_alive(&host);
-            let Frame::PeerRequest { id, ask } = frame else {
+            controller.peer_alive(&host);
+            let Frame::PeerRequest { id, request } = frame else {
                 continue;
             };
-            if let PeerRequest::Ping { term } = ask {
-                node.observe_term(term);
-                let (term, leader) = (node.known_term(), node.known_leader());
+            if let PeerRequest::Ping { term } = request {
+                controller.observe_term(term);
+                let (term, leader) = (controller.known_term(), controller.known_leader());
                 let _ = tx.try_send(Frame::Pong { term, leader });
                 continue;
             }
-            if let PeerRequest::Heartbeat(body) = ask {
+            if let PeerRequest::Heartbeat(body) = request {
                 // Answered on the spot; most questions are of this kind.
-                let reply = node.answer_report(&host, &body);
+                let response = controller.answer_heartbeat(&host, &body);
                 let _ = tx.try_send(Frame::Response {
                     id,
-                    term: node.known_term(),
-                    reply,
+                    term: controller.known_term(),
+                    response,
                 });
                 continue;
             }
-            let (node, tx, host) = (node.clone(), tx.clone(), host.clone());
+            let (controller, tx, host) = (controller.clone(), tx.clone(), host.clone());
             tokio::spawn(async move {
-                let reply = node.answer_peer(&host, ask).await;
+                let response = controller.handle_peer_request(&host, request).await;
                 let _ = tx.try_send(Frame::Response {
                     id,
-                    term: node.known_term(),
-                    reply,
+                    term: controller.known_term(),
+                    response,
                 });
             });
         }
@@ -372,6 +372,6 @@
         r = reader => r,
         r = writer => r,
     };
-    node.lost_peer(&host);
+    controller.lost_peer(&host);
     end
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -15,7 +15,7 @@
 pub use state_limits::{NextStateLimits, StateLimits};
 
 /// A controller without work takes less; below it none can start.
-const LEAST_MEMORY_MB: f64 = 8.0;
+const MIN_MEMORY_MB: f64 = 8.0;
 
 /// Why the settings can't be used; one line, naming the field.
 #[derive(Debug, thiserror::Error)]
@@ -61,7 +61,7 @@
 pub struct DeploymentSettings {
     /// This controller's name.
     #[serde(rename = "host_name")]
-    pub node: String,
+    pub host: String,
     /// The zone it stands in.
     #[serde(default)]
     pub zone: String,
@@ -78,7 +78,7 @@
     pub services: ServiceAddresses,
     /// What is common to the cluster.
     #[serde(rename = "cluster")]
-    pub params: ClusterSettings,
+    pub cluster: ClusterSettings,
 }
 
 /// Another controller.
@@ -86,7 +86,7 @@
 pub struct PeerAddress {
     /// Its name.
     #[serde(rename = "host_name")]
-    pub node: String,
+    pub host: String,
     /// Its address for controllers.
     #[serde(rename = "endpoint")]
     pub addr: SocketAddr,
@@ -172,7 +172,7 @@
 pub struct Workers {
     /// Interval of reports.
     #[serde(rename = "report_s", deserialize_with = "seconds")]
-    pub report: Duration,
+    pub heartbeat_interval: Duration,
     /// Life of a worker's lease.
     #[serde(rename = "lease_s", deserialize_with = "seconds")]
     pub lease: Duration,
@@ -251,11 +251,11 @@
 
     fn check(&self) -> Result<(), (String, String)> {
         let bad = |f: &str, r: &str| Err((f.to_owned(), r.to_owned()));
-        if self.node.is_empty() {
+        if self.host.is_empty() {
             return bad("host_name", "must not be empty");
         }
         for (i, p) in self.peers.iter().enumerate() {
-            if p.node.is_empty() || p.node == self.node {
+            if p.host.is_empty() || p.host == self.host {
                 return bad(&format!("seeds[{i}].host_name"), "must name another controller");
             }
         }
@@ -266,8 +266,11 @@
                 Err((f.to_owned(), "must be above 0".to_owned()))
             }
         };
-        let p = &self.params;
-        positive("cluster.workers.report_s", p.workers.report.as_secs_f64())?;
+        let p = &self.cluster;
+        positive(
+            "cluster.workers.report_s",
+            p.workers.heartbeat_interval.as_secs_f64(),
+        )?;
         positive("cluster.workers.lease_s", p.workers.lease.as_secs_f64())?;
         positive("cluster.workers.cancel_s", p.workers.cancel.as_secs_f64())?;
         if p.workers.cancel <= p.workers.lease {
@@ -294,12 +297,12 @@
         }
         positive("cluster.cloud.rps", p.cloud.rps)?;
         positive("cluster.machine_limits.core_share", p.limits.core_share)?;
-        if !p.limits.memory_mb.is_finite() || p.limits.memory_mb < LEAST_MEMORY_MB {
-            let least = format!("must be at least {LEAST_MEMORY_MB}");
+        if !p.limits.memory_mb.is_finite() || p.limits.memory_mb < MIN_MEMORY_MB {
+            let least = format!("must be at least {MIN_MEMORY_MB}");
             return bad("cluster.machine_limits.memory_mb", &least);
         }
-        if p.limits.sockets < sockets::LEAST {
-            let least = format!("must be at least {}", sockets::LEAST);
+        if p.limits.sockets < sockets::MIN_SOCKETS {
+            let least = format!("must be at least {}", sockets::MIN_SOCKETS);
             return bad("cluster.machine_limits.fd_limit", &least);
         }
         let mut seen = std::collections::HashSet::new();
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -20,7 +20,7 @@
     /// Unset: derived from the workers' report interval.
     pub silent: Option<Duration>,
     /// `fleet.most`: most machines rented at once.
-    pub most_machines: usize,
+    pub max_machines: usize,
     /// `fleet.warm`: free room kept, as a share of the CPUs in use; half of it in a large fleet.
     pub warm: f64,
     /// `users.forward_ms`: how long a follower waits for the leader's answer.
@@ -34,7 +34,7 @@
             plan_pause: Duration::from_millis(50),
             idle: Duration::from_secs(90),
             silent: None,
-            most_machines: 10_000,
+            max_machines: 10_000,
             warm: 0.15,
             forward: Duration::from_millis(200),
         }
@@ -75,7 +75,7 @@
                 "plan.pause_ms" => t.plan_pause = Duration::from_secs_f64(number(1.0, 5_000.0)? / 1e3),
                 "fleet.idle_s" => t.idle = Duration::from_secs_f64(number(0.0, 86_400.0)?),
                 "fleet.silent_s" => t.silent = Some(Duration::from_secs_f64(number(1.0, 600.0)?)),
-                "fleet.most" => t.most_machines = number(1.0, 100_000.0)? as usize,
+                "fleet.most" => t.max_machines = number(1.0, 100_000.0)? as usize,
                 "fleet.warm" => t.warm = number(0.0, 10.0)?,
                 "users.forward_ms" => t.forward = Duration::from_secs_f64(number(10.0, 5_000.0)? / 1e3),
                 _ => return Err(fail(key, "is not a known key".into())),
--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -43,18 +43,18 @@
     }
 
     /// Most puts and deletes in a transaction that is taken now and later.
-    pub fn least_txn_ops(&self) -> usize {
+    pub fn min_txn_ops(&self) -> usize {
         let ops = self.next.txn_ops.unwrap_or(self.txn_ops);
         ops.min(self.txn_ops)
     }
 
     /// Requests a second that are taken now and later.
-    pub fn least_rps(&self) -> f64 {
+    pub fn min_rps(&self) -> f64 {
         self.next.rps.map_or(self.rps, |rps| rps.min(self.rps))
     }
 
     /// Changes a second that are taken now and later.
-    pub fn least_write_rps(&self) -> f64 {
+    pub fn min_write_rps(&self) -> f64 {
         let rps = self.next.write_rps.unwrap_or(self.write_rps);
         rps.min(self.write_rps)
     }
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -12,13 +12,13 @@
     /// Connections of users, workers and health checks.
     incoming: Arc<Semaphore>,
     /// Most of them.
-    most_incoming: usize,
+    max_incoming: usize,
     /// Connections to workers, for commands.
     commands: Arc<Semaphore>,
 }
 
 /// The least limit that leaves room for every share.
-pub const LEAST: usize = 64;
+pub const MIN_SOCKETS: usize = 64;
 
 impl SocketBudget {
     /// Shares out so many sockets. A sixteenth, within bounds, is left to the
@@ -26,10 +26,10 @@
     pub fn new(limit: usize) -> Self {
         let own = (limit / 16).clamp(24, 256);
         let commands = (limit.saturating_sub(own) / 4).max(4);
-        let most_incoming = limit.saturating_sub(own + commands).max(8);
+        let max_incoming = limit.saturating_sub(own + commands).max(8);
         Self {
-            incoming: Arc::new(Semaphore::new(most_incoming)),
-            most_incoming,
+            incoming: Arc::new(Semaphore::new(max_incoming)),
+            max_incoming,
             commands: Arc::new(Semaphore::new(commands)),
         }
     }
@@ -50,13 +50,13 @@
     }
 
     /// Most incoming connections, and so most requests that wait for an answer.
-    pub fn most_incoming(&self) -> usize {
-        self.most_incoming
+    pub fn max_incoming(&self) -> usize {
+        self.max_incoming
     }
 
     /// More than half of the incoming share is taken: workers are asked to
     /// close after each report, and are served in turn.
-    pub fn crowded(&self) -> bool {
-        self.incoming.available_permits() * 2 < self.most_incoming
+    pub fn is_overloaded(&self) -> bool {
+        self.incoming.available_permits() * 2 < self.max_incoming
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -141,8 +141,8 @@
     /// hold by now. They don't come with a notice, so this is how they show.
     fn slow_down(&self) {
         let now = Instant::now();
-        let requests = self.limits.least_rps() * REQUEST_SHARE;
-        let writes = self.limits.least_write_rps() * WRITE_SHARE;
+        let requests = self.limits.min_rps() * REQUEST_SHARE;
+        let writes = self.limits.min_write_rps() * WRITE_SHARE;
         let slower = [
             self.requests.slow_to(requests, now),
             self.writes.slow_to(writes, now),
@@ -160,7 +160,7 @@
             Change::Put { value, .. } => serde_json::to_vec(value).map_or(true, |v| v.len() > largest),
             Change::Delete { .. } => false,
         };
-        if t.changes.len() > self.limits.least_txn_ops() || t.changes.iter().any(too_large) {
+        if t.changes.len() > self.limits.min_txn_ops() || t.changes.iter().any(too_large) {
             return Err(StoreError::TooLarge);
         }
         Ok(())
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -82,7 +82,7 @@
 /// Share of the budget of changes that the log and final states leave to users.
 pub const RESERVE: f64 = 0.3;
 /// Bytes of values in one transaction, below the protocol's 64 KiB.
-const MOST_BYTES: usize = 48 * 1024;
+const MAX_BYTES: usize = 48 * 1024;
 
 impl Writer {
     /// A writer of a term.
@@ -190,7 +190,7 @@
             let fits = (batch.is_empty() || batch[0].0.urgent == unit.urgent)
                 && (batch.is_empty() || ops + unit.changes.len() <= s.most)
                 && guards + unit.changes.len() + unit.absent.len() <= s.most * 4
-                && (batch.is_empty() || bytes + size <= MOST_BYTES);
+                && (batch.is_empty() || bytes + size <= MAX_BYTES);
             if !fits || unit.names(&s.busy) || unit.names(&held) {
                 held.extend(unit.keys().cloned());
                 at += 1;
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -108,7 +108,7 @@
 }
 
 /// Most tasks of a job.
-pub const MOST_TASKS: u32 = 100_000;
+pub const MAX_TASKS: u32 = 100_000;
 
 impl JobSpec {
     /// Time to save that a task is given when it is stopped: none if it never saves.
@@ -136,7 +136,7 @@
         if !(self.cpus.is_finite() && self.cpus > 0.0 && self.cpus <= 1e9) {
             return Err("cpus");
         }
-        if self.tasks == 0 || self.tasks > MOST_TASKS {
+        if self.tasks == 0 || self.tasks > MAX_TASKS {
             return Err("lots");
         }
         for (name, s) in [
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -70,7 +70,7 @@
     pub state: TaskState,
     /// Why it ended.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<ExitReason>,
+    pub exit_reason: Option<ExitReason>,
     /// Whether it saved its progress.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -96,10 +96,10 @@
     pub spot: bool,
     /// Session of the worker.
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Sequence in the session.
     #[serde(rename = "tick")]
-    pub seq: u64,
+    pub sequence: u64,
     /// Highest token seen.
     #[serde(rename = "gavel")]
     pub token: u64,
@@ -176,7 +176,7 @@
     pub token: u64,
     /// Session they are meant for.
     #[serde(rename = "tenure")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Commands, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -42,19 +42,19 @@
             permit.spend();
             true
         }
-        Err(why) => {
-            let _ = withheld.set(why);
+        Err(reason) => {
+            let _ = withheld.set(reason);
             false
         }
     };
     let answer = post_once(addr, "/commands", body, PATIENCE, go).await;
-    if let Some(why) = withheld.into_inner() {
-        return CommandOutcome::SendRefusal(why);
+    if let Some(reason) = withheld.into_inner() {
+        return CommandOutcome::SendRefusal(reason);
     }
-    let report = |r: &bytes::Bytes| serde_json::from_slice::<Heartbeat>(r);
-    match answer.map(|r| (r.status, report(&r.body))) {
-        Ok((200, Ok(report))) => CommandOutcome::Executed(report),
-        Ok((409, Ok(report))) => CommandOutcome::Refused(report),
+    let heartbeat = |r: &bytes::Bytes| serde_json::from_slice::<Heartbeat>(r);
+    match answer.map(|r| (r.status, heartbeat(&r.body))) {
+        Ok((200, Ok(heartbeat))) => CommandOutcome::Executed(heartbeat),
+        Ok((409, Ok(heartbeat))) => CommandOutcome::Refused(heartbeat),
         Ok(_) | Err(HttpError::Unsent | HttpError::Unanswered) => CommandOutcome::Unanswered,
     }
 }
--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -55,13 +55,13 @@
         (json!([job_name(first)]), "itself"),
         (json!([job_name(3)]), "service"),
     ];
-    for (awaits, why) in impossible {
+    for (awaits, expected) in impossible {
         let (status, v) = site
             .insist("POST", at, "/v2/runs", Some(with(awaits.clone())))
             .await;
         let reason = v["error"].as_str().unwrap_or_default().to_owned();
         assert!(
-            status == 422 && reason.contains(why),
+            status == 422 && reason.contains(expected),
             "{awaits} at {at}: {status} {v}"
         );
     }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -102,7 +102,7 @@
     assert_eq!(replay.machines.len(), 1);
     assert_eq!(replay.starts["i-000231"].len(), 3);
     assert_eq!(replay.done[&job].len(), 2);
-    assert!(replay.gone.contains("i-000007"));
+    assert!(replay.released_machines.contains("i-000007"));
 }
 
 /// Everything of a replay that counts, whatever stands twice in the log.
@@ -144,9 +144,9 @@
             appends += 1;
             assert!(appends < 500, "segments are never rewritten with {most} changes");
             for _ in 0..40 {
-                log.push(LogEntry::Gone(format!("i-9{appends:05}").as_str().into()));
+                log.push(LogEntry::Released(format!("i-9{appends:05}").as_str().into()));
             }
-            let live = |e: &LogEntry| (!matches!(e, LogEntry::Gone(_))).then(|| e.clone());
+            let live = |e: &LogEntry| (!matches!(e, LogEntry::Released(_))).then(|| e.clone());
             let append = log.take(most, 0, live).expect("something is pending");
             assert!(append.segments.len() <= most, "{} changes", append.segments.len());
             for (number, value) in &append.segments {
@@ -186,7 +186,7 @@
     for number in 2..8 {
         assert!(log.load(number, json!([])));
     }
-    log.push(LogEntry::Gone("i-000008".into()));
+    log.push(LogEntry::Released("i-000008".into()));
     let append = log.take(4, 0, |e| Some(e.clone())).expect("something is pending");
     assert!(append.segments.contains(&(1, None)), "the oldest is compacted");
     let written = format!("{:?}", append.segments);
@@ -238,7 +238,7 @@
 
 #[test]
 fn settings_without_announced_limits_work_as_ever() {
-    let limits = platform().params.state;
-    assert_eq!((limits.value_bytes(), limits.least_txn_ops()), (4096, 12));
-    assert_eq!((limits.least_rps(), limits.least_write_rps()), (200.0, 100.0));
+    let limits = deployment().cluster.state;
+    assert_eq!((limits.value_bytes(), limits.min_txn_ops()), (4096, 12));
+    assert_eq!((limits.min_rps(), limits.min_write_rps()), (200.0, 100.0));
 }
--- a/tests/dependencies.rs
+++ b/tests/dependencies.rs
@@ -283,7 +283,7 @@
 /// A model with an idle machine that obeys it.
 fn with_machine(now: Instant) -> (ClusterModel, MachineId) {
     let mut m = model(7);
-    m.apply_report(&report("i-1", "large", "north", false, 7, 1), now);
+    m.apply_heartbeat(&heartbeat("i-1", "large", "north", false, 7, 1), now);
     (m, "i-1".into())
 }
 
@@ -291,7 +291,7 @@
 fn store_all(m: &mut ClusterModel, now: Instant) -> Vec<(JobId, JobState)> {
     let mut finals = Vec::new();
     for write in m.take_writes(now) {
-        m.written(&write, true, now);
+        m.write_finished(&write, true, now);
         if let PendingWrite::Final { id, record, .. } = write {
             finals.push((id, record.state));
         }
@@ -300,11 +300,11 @@
 }
 
 /// Lets the tasks on a machine end.
-fn end_tasks(m: &mut ClusterModel, machine: &MachineId, seq: u64, now: Instant) {
-    let mut r = report(machine, "large", "north", false, 7, seq);
+fn end_tasks(m: &mut ClusterModel, machine: &MachineId, sequence: u64, now: Instant) {
+    let mut r = heartbeat(machine, "large", "north", false, 7, sequence);
     r.token = m.machines[machine].seen_token.max((7 << 20) + 1000);
     r.tasks = ended(m, machine, usize::MAX);
-    m.apply_report(&r, now);
+    m.apply_heartbeat(&r, now);
 }
 
 #[test]
@@ -381,7 +381,7 @@
     }
     let ranks = m.ranks(now);
     assert!(!ranks.contains_key(&id(2)), "it has no place in the queue");
-    let wanted: Vec<JobId> = m.jobs_that_want_room().map(|j| j.spec.id).collect();
+    let wanted: Vec<JobId> = m.jobs_waiting_for_capacity().map(|j| j.spec.id).collect();
     assert_eq!(wanted, [id(1), id(3)]);
     use bitternfold::core::scheduling::ranking::Tier;
     assert_eq!(ranks[&id(3)].1, Tier::Starved, "it waits since it arrived");
@@ -405,9 +405,12 @@
     let now = start();
     let mut m = model(7);
     m.add_job(chained(1, &[9]), now);
-    assert!(m.fleet(now).is_empty(), "nothing is rented for a job that waits");
+    assert!(
+        m.plan_fleet(now).is_empty(),
+        "nothing is rented for a job that waits"
+    );
     m.resolve_dependency(id(9), DependencyOutcome::Done(None));
-    assert!(!m.fleet(now).is_empty(), "it is once the job is ready");
+    assert!(!m.plan_fleet(now).is_empty(), "it is once the job is ready");
 }
 
 #[test]
@@ -435,7 +438,7 @@
 }
 
 fn standing(m: &ClusterModel, n: usize) -> Option<JobState> {
-    m.view(id(n)).map(|v| v.state)
+    m.status(id(n)).map(|v| v.state)
 }
 
 #[test]
@@ -493,7 +496,7 @@
     m.plan(now);
     end_tasks(&mut m, &machine, 2, now);
     // Its last task is done before the cancellation arrives.
-    assert!(m.jobs[&id(1)].complete());
+    assert!(m.jobs[&id(1)].is_complete());
     store_all(&mut m, now);
     m.cancel(id(1), now);
     assert_eq!(standing(&m, 2), Some(JobState::Queued));
@@ -527,10 +530,10 @@
     let attempt = m.new_attempt();
     let task = TaskId { job: id(2), index: 0 };
     m.place(&machine, task, attempt, false, now);
-    let mut r = report(&machine, "large", "north", false, 7, 2);
+    let mut r = heartbeat(&machine, "large", "north", false, 7, 2);
     r.token = (7 << 20) + 1000;
     r.tasks = running(&m, &machine);
-    m.apply_report(&r, now);
+    m.apply_heartbeat(&r, now);
     m.cancel(id(1), now);
     m.cancel_stored(id(1));
     store_all(&mut m, now);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -15,7 +15,7 @@
 use support::*;
 
 fn released(m: &mut ClusterModel, now: Instant) -> Vec<String> {
-    m.fleet(now)
+    m.plan_fleet(now)
         .into_iter()
         .filter_map(|w| match w {
             FleetAction::Release(ids) => Some(ids),
@@ -32,23 +32,26 @@
     m.add_job(record(job(1, 2 * per_zone as u32, 8.0)), now);
     for zone in ["north", "south"] {
         for i in 0..per_zone {
-            m.apply_report(&report(&format!("i-{zone}-{i}"), "small", zone, false, 7, 1), now);
+            m.apply_heartbeat(
+                &heartbeat(&format!("i-{zone}-{i}"), "small", zone, false, 7, 1),
+                now,
+            );
         }
     }
     m.plan(now);
     let w = m.take_writes(now);
-    w.iter().for_each(|w| m.written(w, true, now));
+    w.iter().for_each(|w| m.write_finished(w, true, now));
     for (id, _, c) in m.commands(now, 0) {
-        let mut r = report(&id, "small", &m.machines[&id].zone.clone(), false, 7, 2);
+        let mut r = heartbeat(&id, "small", &m.machines[&id].zone.clone(), false, 7, 2);
         r.token = c.token;
         r.tasks = running(&m, &id);
-        m.commanded(&id, Some(&r), now);
+        m.command_finished(&id, Some(&r), now);
     }
     m
 }
 
 /// Each machine of a zone reports what it holds, and is answered.
-fn speak(m: &mut ClusterModel, zone: &str, seq: u64, now: Instant) {
+fn speak(m: &mut ClusterModel, zone: &str, sequence: u64, now: Instant) {
     let ids: Vec<MachineId> = m
         .machines
         .keys()
@@ -56,11 +59,11 @@
         .cloned()
         .collect();
     for id in ids {
-        let mut r = report(&id, "small", zone, false, 7, seq);
+        let mut r = heartbeat(&id, "small", zone, false, 7, sequence);
         r.token = m.machines[&id].seen_token;
         r.tasks = running(m, &id);
-        m.apply_report(&r, now);
-        m.reply(&id, r.token, now);
+        m.apply_heartbeat(&r, now);
+        m.heartbeat_response(&id, r.token, now);
     }
 }
 
@@ -90,13 +93,19 @@
     assert_eq!(m.jobs.values().next().expect("the job").waiting.count(), 5);
     // Words of the session that is over come late and change nothing.
     let id = MachineId::from("i-south-0");
-    let mut late = report(&id, "small", "south", false, 7, 30);
+    let mut late = heartbeat(&id, "small", "south", false, 7, 30);
     late.token = m.machines[&id].seen_token;
-    assert_eq!(m.apply_report(&late, now + secs(23)), HeartbeatOutcome::Outdated);
-    assert!(m.machines[&id].session_over(1));
-    late.session = 2;
-    late.seq = 1;
-    assert_eq!(m.apply_report(&late, now + secs(24)), HeartbeatOutcome::Applied);
+    assert_eq!(
+        m.apply_heartbeat(&late, now + secs(23)),
+        HeartbeatOutcome::Outdated
+    );
+    assert!(m.machines[&id].incarnation_ended(1));
+    late.incarnation = 2;
+    late.sequence = 1;
+    assert_eq!(
+        m.apply_heartbeat(&late, now + secs(24)),
+        HeartbeatOutcome::Applied
+    );
     // One that is still silent long after is given up.
     speak(&mut m, "north", 50, now + secs(75));
     let gone = released(&mut m, now + secs(75));
@@ -113,10 +122,10 @@
         speak(&mut m, "north", 10 + s, now + secs(s));
         speak(&mut m, "south", 10 + s, now + secs(s));
         let x = m.machines.get_mut(&odd).expect("known");
-        x.heard = Some(now);
+        x.last_heartbeat = Some(now);
     }
     assert_eq!(released(&mut m, now + secs(9)), Vec::<String>::new());
-    m.machines.get_mut(&odd).expect("known").heard = Some(now - secs(1));
+    m.machines.get_mut(&odd).expect("known").last_heartbeat = Some(now - secs(1));
     assert_eq!(released(&mut m, now + secs(9)), ["i-north-3"]);
 }
 
@@ -137,7 +146,7 @@
         m.types = types();
         let now = start();
         for i in 0..4 {
-            m.apply_report(&report(&format!("i-{i}"), "small", "north", true, 7, 1), now);
+            m.apply_heartbeat(&heartbeat(&format!("i-{i}"), "small", "north", true, 7, 1), now);
         }
         // They are warm room for a job that needs them soon.
         m.add_job(record(job(1, 40, 8.0)), now);
@@ -150,18 +159,21 @@
     let now = start();
     let mut m = cluster(2, now);
     let id = MachineId::from("i-north-0");
-    let noticed = |m: &mut ClusterModel, seq: u64, recall: f64, now: Instant| {
-        let mut r = report(&id, "small", "north", false, 7, seq);
+    let noticed = |m: &mut ClusterModel, sequence: u64, reclaim_at: f64, now: Instant| {
+        let mut r = heartbeat(&id, "small", "north", false, 7, sequence);
         r.token = m.machines[&id].seen_token;
         r.tasks = running(m, &id);
-        r.notice_s = Some(recall);
-        m.apply_report(&r, now);
-        m.fleet(now);
+        r.notice_s = Some(reclaim_at);
+        m.apply_heartbeat(&r, now);
+        m.plan_fleet(now);
         m.machines[&id].slots.values().any(|s| s.stop.is_some())
     };
     // No room elsewhere: it may still end in time.
     assert!(!noticed(&mut m, 10, 15.0, now + secs(1)));
-    m.apply_report(&report("i-spare", "small", "north", false, 7, 1), now + secs(1));
+    m.apply_heartbeat(
+        &heartbeat("i-spare", "small", "north", false, 7, 1),
+        now + secs(1),
+    );
     // Predicted to run 60 s: 50 s may do, 15 s will not.
     assert!(!noticed(&mut m, 11, 50.0, now + secs(1)));
     assert!(noticed(&mut m, 12, 15.0, now + secs(1)));
@@ -174,20 +186,20 @@
     let now = start();
     let mut m = cluster(3, now);
     let id = MachineId::from("i-south-1");
-    m.machines.get_mut(&id).expect("known").probe = true;
+    m.machines.get_mut(&id).expect("known").needs_probe = true;
     m.due.insert(id.clone());
     let sent = m.commands(now, 5);
     assert!(sent.iter().any(|(i, ..)| *i == id));
-    m.commanded(&id, None, now);
+    m.command_finished(&id, None, now);
     assert!(!m.usable(&m.machines[&id], now + secs(1)));
     // A later session than its start was sent to: the task is gone.
-    let mut r = report(&id, "small", "south", false, 7, 1);
-    r.session = 2;
-    m.apply_report(&r, now + secs(12));
+    let mut r = heartbeat(&id, "small", "south", false, 7, 1);
+    r.incarnation = 2;
+    m.apply_heartbeat(&r, now + secs(12));
     assert!(m.machines[&id].slots.is_empty());
     for s in 13..30 {
-        r.seq += 1;
-        m.apply_report(&r, now + secs(s));
+        r.sequence += 1;
+        m.apply_heartbeat(&r, now + secs(s));
         speak(&mut m, "north", s * 10, now + secs(s));
         speak(&mut m, "south", s * 10, now + secs(s));
     }
@@ -204,29 +216,29 @@
     speak(&mut m, "north", 10, now);
     speak(&mut m, "south", 10, now);
     let id = MachineId::from("i-north-0");
-    m.commanded(&id, None, now);
+    m.command_finished(&id, None, now);
     let woke = now + secs(15);
-    m.listen_from(woke);
+    m.ignore_silence_before(woke);
     // Most report within a second, a few only when their interval is over.
     speak(&mut m, "south", 20, woke);
     speak(&mut m, "north-1", 20, woke);
     speak(&mut m, "north-2", 20, woke);
     assert_eq!(released(&mut m, woke + secs(1)), Vec::<String>::new());
-    assert!(!m.cut_from_workers(woke + secs(1)));
+    assert!(!m.is_partitioned_from_workers(woke + secs(1)));
     assert!(m
         .machines
         .values()
-        .all(|x| x.cordoned.is_none() && x.slots.len() == 1));
+        .all(|x| x.cordoned_since.is_none() && x.slots.len() == 1));
     // One that stays silent from then on is released as ever.
     for s in 1..=12 {
         speak(&mut m, "south", 30 + s, woke + secs(s));
         let ids: Vec<MachineId> = m.machines.keys().cloned().collect();
         for id in ids.iter().filter(|i| i.contains("north") && ***i != *"i-north-0") {
-            let mut r = report(id, "small", "north", false, 7, 30 + s);
+            let mut r = heartbeat(id, "small", "north", false, 7, 30 + s);
             r.token = m.machines[id].seen_token;
             r.tasks = running(&m, id);
-            m.apply_report(&r, woke + secs(s));
-            m.reply(id, r.token, woke + secs(s));
+            m.apply_heartbeat(&r, woke + secs(s));
+            m.heartbeat_response(id, r.token, woke + secs(s));
         }
     }
     assert_eq!(released(&mut m, woke + secs(12)), ["i-north-0"]);
@@ -239,7 +251,7 @@
     let mut m = cluster(1, now);
     let id = MachineId::from("i-north-0");
     m.machines.get_mut(&id).expect("known").seen_token = 6 << 20;
-    m.clear_lapsed(now + secs(90));
+    m.expire_leases(now + secs(90));
     assert_eq!(m.machines[&id].slots.len(), 1);
     let other = MachineId::from("i-south-0");
     assert!(m.machines[&other].slots.is_empty(), "this one obeys: it is over");
@@ -255,11 +267,14 @@
     let idle_fleet = || {
         let mut m = model(7);
         for i in 0..20 {
-            m.apply_report(&report(&format!("i-{i:02}"), "small", "north", false, 7, 1), now);
+            m.apply_heartbeat(
+                &heartbeat(&format!("i-{i:02}"), "small", "north", false, 7, 1),
+                now,
+            );
         }
         for i in 0..20 {
-            m.apply_report(
-                &report(&format!("i-{i:02}"), "small", "north", false, 7, 2),
+            m.apply_heartbeat(
+                &heartbeat(&format!("i-{i:02}"), "small", "north", false, 7, 2),
                 later,
             );
         }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -20,7 +20,7 @@
             "[a-z]{1,9}",
             0..3u8,
             0..4u8,
-            1..=MOST_TASKS,
+            1..=MAX_TASKS,
         ),
         (1..64u32, 0..8u32, 0..512u32, any::<[bool; 3]>()),
         (
@@ -130,9 +130,9 @@
                 {"lot":"job-000398/1","try":1,"standing":"ended","cause":"a_new_reason"}]}"#,
     )
     .expect("a report");
-    assert_eq!(report.tasks[1].why, Some(ExitReason::Done));
+    assert_eq!(report.tasks[1].exit_reason, Some(ExitReason::Done));
     assert_eq!(
-        report.tasks[2].why,
+        report.tasks[2].exit_reason,
         Some(ExitReason::Other),
         "an unknown reason is no reason to drop a report"
     );
@@ -151,7 +151,7 @@
 fn values_out_of_range_are_named() {
     let good = support::job(1, 4, 2.0);
     let mut bad = good.clone();
-    bad.tasks = MOST_TASKS + 1;
+    bad.tasks = MAX_TASKS + 1;
     assert_eq!(bad.check(), Err("lots"));
     let mut bad = good.clone();
     bad.cpus = 0.0;
@@ -163,9 +163,9 @@
 
 #[test]
 fn settings_ignore_the_unknown_and_name_the_wrong() {
-    let p = support::platform();
-    assert_eq!(p.params.workers.lease, std::time::Duration::from_secs(20));
-    assert_eq!(p.params.teams[1].cpus_max, 0.0, "0 means none");
+    let p = support::deployment();
+    assert_eq!(p.cluster.workers.lease, std::time::Duration::from_secs(20));
+    assert_eq!(p.cluster.teams[1].cpus_max, 0.0, "0 means none");
     for (from, to, field) in [
         ("lease_s = 20.0", "lease_s = -1.0", "cluster.workers.lease_s"),
         ("lease_s = 20.0", "", "lease_s"),
@@ -230,7 +230,7 @@
             support::SETTINGS
         );
         let p = DeploymentSettings::parse(&text, "test").expect("either way");
-        assert_eq!(p.params.limits.sockets, 3000);
+        assert_eq!(p.cluster.limits.sockets, 3000);
     }
     // The smaller of both limits counts, whichever is announced.
     let text = support::SETTINGS.replace(
@@ -239,9 +239,9 @@
     );
     let limits = DeploymentSettings::parse(&text, "test")
         .expect("valid")
-        .params
+        .cluster
         .state;
-    assert_eq!((limits.value_bytes(), limits.least_txn_ops()), (4096, 5));
+    assert_eq!((limits.value_bytes(), limits.min_txn_ops()), (4096, 5));
     // Optional tables may be missing.
     let text = support::SETTINGS.split("[cluster.state]").next().expect("text");
     assert!(DeploymentSettings::parse(text, "test").is_ok());
--- a/tests/gap.rs
+++ b/tests/gap.rs
@@ -87,7 +87,7 @@
             let steady = if millis < 0 { running.steady - by } else { running.steady + by };
             ClockReading { steady, ..running }
         };
-        a.woke(running.steady);
+        a.resumed_after_pause(running.steady);
         prop_assert!(!a.may_renew_leases(running));
         a.renewed(later(-1));
         prop_assert!(!a.may_renew_leases(running));
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -111,14 +111,14 @@
 
 #[test]
 fn what_is_malformed_is_named() {
-    let node = Controller::new(support::platform(), Default::default());
+    let controller = Controller::new(support::deployment(), Default::default());
     let types = types();
-    assert!(node
+    assert!(controller
         .judge(&serde_json::to_vec(&good()).expect("json"), &types)
         .is_ok());
     for (name, value) in malformed() {
         let body = with(name, value.clone()).to_string();
-        let reply = node.judge(body.as_bytes(), &types).expect_err("refused");
+        let reply = controller.judge(body.as_bytes(), &types).expect_err("refused");
         assert_eq!(reply.status, 400, "{name} {value:?}");
         let said = String::from_utf8_lossy(&reply.body).into_owned();
         assert!(said.contains(name), "{name} {value:?}: {said}");
@@ -138,18 +138,21 @@
         &Value::from(list).to_string(),
     ] {
         assert_eq!(
-            node.judge(body.as_bytes(), &types).expect_err("refused").status,
+            controller
+                .judge(body.as_bytes(), &types)
+                .expect_err("refused")
+                .status,
             400,
             "{body}"
         );
         assert_eq!(
-            node.id_of(body.as_bytes()).expect_err("refused").status,
+            controller.id_of(body.as_bytes()).expect_err("refused").status,
             400,
             "{body}"
         );
     }
     for body in impossible() {
-        let reply = node
+        let reply = controller
             .judge(body.to_string().as_bytes(), &types)
             .expect_err("refused");
         assert_eq!(reply.status, 422, "{body}");
@@ -178,8 +181,8 @@
         v.insert("desk".into(), json!(if red { "red" } else { "blue" }));
         let only_small = rig == json!(["small"]);
         v.insert("rigs".into(), rig);
-        let node = Controller::new(support::platform(), Default::default());
-        let judged = node.judge(Value::Object(v).to_string().as_bytes(), &types());
+        let controller = Controller::new(support::deployment(), Default::default());
+        let judged = controller.judge(Value::Object(v).to_string().as_bytes(), &types());
         let sane = cpus.is_finite() && cpus > 0.0 && memory.is_finite() && memory >= 0.0 && (1..=100_000).contains(&lots);
         let (most_cpus, most_memory) = if only_small { (8.0, 16.0) } else { (32.0, 64.0) };
         let all = if service { lots as f64 } else { 1.0 };
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -77,7 +77,7 @@
         let live_bytes = self.slots.len() * 60 + self.slots.values().map(BTreeMap::len).sum::<usize>() * 50;
         log.take(6, live_bytes + self.done.len() * 6, |e| match e {
             LogEntry::Machine(id, ..) => self.slots.contains_key(id).then(|| e.clone()),
-            LogEntry::Gone(_) => None,
+            LogEntry::Released(_) => None,
             LogEntry::Start(id, job, attempt, tasks) => {
                 let on = self.slots.get(id)?;
                 let live = |i: &u32| {
@@ -128,7 +128,7 @@
                 Op::Gone(m) => {
                     let id = machine(u64::from(m % 8) + w.generation * 8);
                     if w.slots.remove(&id).is_some() {
-                        log.push(LogEntry::Gone(id));
+                        log.push(LogEntry::Released(id));
                         // Names are never used again.
                         w.generation += 1;
                     }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -25,8 +25,8 @@
 
 /// A report sent over a connection that stays open; whether the answer asks
 /// for it to be closed, or nothing if it was not answered.
-async fn report_over(stream: &mut TcpStream, name: &str, seq: u64) -> Option<bool> {
-    let body = serde_json::to_string(&support::report(name, "small", "north", false, 0, seq)).ok()?;
+async fn report_over(stream: &mut TcpStream, name: &str, sequence: u64) -> Option<bool> {
+    let body = serde_json::to_string(&support::heartbeat(name, "small", "north", false, 0, sequence)).ok()?;
     let text = format!(
         "POST /v1/report HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
@@ -63,14 +63,14 @@
             );
             tokio::spawn(async move {
                 let mut first = true;
-                let mut seq = 0;
+                let mut sequence = 0;
                 while !over.load(Ordering::Relaxed) {
                     let Ok(mut stream) = TcpStream::connect(addr).await else {
                         continue;
                     };
                     loop {
-                        seq += 1;
-                        let Some(close) = report_over(&mut stream, &format!("x-{w}"), seq).await else {
+                        sequence += 1;
+                        let Some(close) = report_over(&mut stream, &format!("x-{w}"), sequence).await else {
                             break;
                         };
                         if std::mem::take(&mut first) {
@@ -109,14 +109,14 @@
     // A machine that loses power closes nothing, before a request or within one.
     // Hundreds of them a day would use up the sockets.
     on_loopback(async {
-        let node = bitternfold::controller::Controller::new(support::platform(), Default::default());
+        let controller = bitternfold::controller::Controller::new(support::deployment(), Default::default());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
         let patience = ConnectionTimeouts {
             quiet: Duration::from_millis(200),
             request: Duration::from_millis(200),
         };
-        tokio::spawn(bitternfold::api::serve(listener, node, patience));
+        tokio::spawn(bitternfold::api::serve(listener, controller, patience));
         for said in [
             "",
             "GET /up HT",
@@ -134,16 +134,16 @@
 
 #[test]
 fn the_shares_of_the_sockets_leave_something_for_each() {
-    for limit in [bitternfold::sockets::LEAST, 256, 1024, 3312, 65_536] {
+    for limit in [bitternfold::sockets::MIN_SOCKETS, 256, 1024, 3312, 65_536] {
         let s = SocketBudget::new(limit);
         let commands = s.commands_free();
-        assert!(commands >= 8 && !s.crowded());
+        assert!(commands >= 8 && !s.is_overloaded());
         on_loopback(async {
             let mut held = Vec::new();
             while let Ok(Some(p)) = tokio::time::timeout(Duration::from_millis(10), s.incoming()).await {
                 held.push(p);
             }
-            assert!(s.crowded());
+            assert!(s.is_overloaded());
             assert!(held.len() >= 16);
             // What is left is for the state service, the cloud and the others.
             assert!(
--- a/tests/planner.rs
+++ b/tests/planner.rs
@@ -17,7 +17,7 @@
 
 /// Adds a machine that may be placed on.
 fn add(m: &mut ClusterModel, id: &str, kind: &str, zone: &str, spot: bool, now: Instant) {
-    m.apply_report(&report(id, kind, zone, spot, m.term, 1), now);
+    m.apply_heartbeat(&heartbeat(id, kind, zone, spot, m.term, 1), now);
 }
 
 fn tasks_on(m: &ClusterModel, id: &str) -> Vec<String> {
@@ -134,7 +134,7 @@
 /// done, what fits is placed.
 fn turn(m: &mut ClusterModel, s: u64, t: Instant, run: u64) {
     for i in 0..4 {
-        let mut r = report(&format!("i-{i}"), "small", "north", false, 5, s + 10);
+        let mut r = heartbeat(&format!("i-{i}"), "small", "north", false, 5, s + 10);
         r.token = (5 << 20) + 900;
         let id = MachineId::from(format!("i-{i}").as_str());
         r.tasks = m.machines[&id]
@@ -151,12 +151,12 @@
                     } else {
                         TaskState::Running
                     },
-                    why: over.then_some(ExitReason::Done),
+                    exit_reason: over.then_some(ExitReason::Done),
                     saved: None,
                 }
             })
             .collect();
-        m.apply_report(&r, t);
+        m.apply_heartbeat(&r, t);
     }
     m.plan(t);
     for x in m.machines.values_mut().flat_map(|x| x.slots.values_mut()) {
@@ -177,7 +177,7 @@
     let mut arrived: HashMap<JobId, (u64, u32)> = HashMap::new();
     let mut n = 0;
     let mut s = 0;
-    while s < 600 || m.jobs.values().any(|j| !j.complete()) {
+    while s < 600 || m.jobs.values().any(|j| !j.is_complete()) {
         let t = now + secs(s);
         let mut come = |m: &mut ClusterModel, every: u64, tasks: u32, priority: Priority| {
             if s < 600 && s % every == 0 {
@@ -196,7 +196,7 @@
         come(&mut m, 40, 8, Priority::Normal);
         come(&mut m, 120, 24, Priority::Low);
         turn(&mut m, s, t, 20);
-        for j in m.jobs.values().filter(|j| !j.begun()) {
+        for j in m.jobs.values().filter(|j| !j.has_started()) {
             let waited = s - arrived[&j.spec.id].0;
             assert!(
                 waited < 220,
@@ -348,7 +348,7 @@
             }
             turn(&mut m, s, t, run);
             for id in &low {
-                if m.jobs.get(id).is_none_or(|j| j.begun()) {
+                if m.jobs.get(id).is_none_or(|j| j.has_started()) {
                     begun.entry(*id).or_insert(s);
                 }
             }
@@ -449,7 +449,7 @@
     let id = MachineId::from("i-1");
     let task = "job-000001/0".parse().expect("a task");
     let attempt = m.machines[&id].slots[&task].attempt;
-    let mut r = report("i-1", "large", "north", false, 1, 2);
+    let mut r = heartbeat("i-1", "large", "north", false, 1, 2);
     for (t, s) in &m.machines[&id].slots {
         r.tasks.push(ReportedTask {
             task: *t,
@@ -459,16 +459,16 @@
             } else {
                 TaskState::Running
             },
-            why: (*t == task).then_some(ExitReason::Done),
+            exit_reason: (*t == task).then_some(ExitReason::Done),
             saved: None,
         });
     }
-    m.apply_report(&r, now + secs(2));
+    m.apply_heartbeat(&r, now + secs(2));
     let round = m.plan(now + secs(2));
     assert_eq!((round.preempted, round.in_order), (1, 1));
     // The stop goes out before the start, in one command.
     let w = m.take_writes(now + secs(2));
-    w.iter().for_each(|w| m.written(w, true, now + secs(2)));
+    w.iter().for_each(|w| m.write_finished(w, true, now + secs(2)));
     let (_, c) = m.command(&id, now + secs(2)).expect("a command");
     let stop = c
         .commands
@@ -503,9 +503,9 @@
     m.add_job(record(job(1, 1, 1.0)), now);
     m.plan(now);
     let id = MachineId::from("i-1");
-    let mut seq = 2;
+    let mut sequence = 2;
     run_all(&mut m, now);
-    for (why, ran, expect) in [
+    for (reason, ran, expect) in [
         (ExitReason::Failed, 0, None),
         (ExitReason::Done, 30, Some(33.0 / 60.0)),
     ] {
@@ -515,27 +515,27 @@
             .next()
             .map(|(t, s)| (*t, s.attempt))
             .expect("placed");
-        let mut r = report("i-1", "small", "north", false, 1, seq);
-        let base = now + secs(seq);
+        let mut r = heartbeat("i-1", "small", "north", false, 1, sequence);
+        let base = now + secs(sequence);
         r.tasks = vec![ReportedTask {
             task,
             attempt: slot,
             state: TaskState::Running,
-            why: None,
+            exit_reason: None,
             saved: None,
         }];
-        m.apply_report(&r, base);
-        r.seq += 1;
+        m.apply_heartbeat(&r, base);
+        r.sequence += 1;
         r.tasks[0].state = TaskState::Exited;
-        r.tasks[0].why = Some(why);
-        m.apply_report(&r, base + secs(ran));
-        r.seq += 1;
+        r.tasks[0].exit_reason = Some(reason);
+        m.apply_heartbeat(&r, base + secs(ran));
+        r.sequence += 1;
         r.tasks.clear();
         r.token = (1 << 20) + 900;
-        m.apply_report(&r, base + secs(ran));
-        seq = r.seq + 1;
+        m.apply_heartbeat(&r, base + secs(ran));
+        sequence = r.sequence + 1;
         let w = m.take_writes(base + secs(ran));
-        w.iter().for_each(|w| m.written(w, true, base));
+        w.iter().for_each(|w| m.write_finished(w, true, base));
         assert_eq!(m.ratios.get("blue").copied(), expect);
         m.plan(base + secs(ran));
         run_all(&mut m, base + secs(ran));
@@ -592,19 +592,19 @@
 }
 
 /// Tells the model that all tasks on a machine ended so.
-fn all_ended(m: &mut ClusterModel, machine: &str, why: ExitReason, seq: u64, now: Instant) {
+fn all_ended(m: &mut ClusterModel, machine: &str, reason: ExitReason, sequence: u64, now: Instant) {
     let id = MachineId::from(machine);
     run_all(m, now);
-    let mut r = report(machine, "small", "north", false, 1, seq);
+    let mut r = heartbeat(machine, "small", "north", false, 1, sequence);
     r.tasks = running(m, &id);
     for t in &mut r.tasks {
-        (t.state, t.why) = (TaskState::Exited, Some(why));
+        (t.state, t.exit_reason) = (TaskState::Exited, Some(reason));
     }
-    m.apply_report(&r, now);
+    m.apply_heartbeat(&r, now);
     // Forgotten by the worker, too.
-    let mut r = report(machine, "small", "north", false, 1, seq + 1);
+    let mut r = heartbeat(machine, "small", "north", false, 1, sequence + 1);
     r.token = (1 << 20) + 500_000;
-    m.apply_report(&r, now);
+    m.apply_heartbeat(&r, now);
 }
 
 #[test]
@@ -625,7 +625,7 @@
         m.plan(now);
         let id = MachineId::from("i-1");
         all_ended(&mut m, "i-1", ExitReason::Failed, 2, now + secs(1));
-        assert!(m.machines[&id].cordoned.is_some(), "{jobs} jobs");
+        assert!(m.machines[&id].cordoned_since.is_some(), "{jobs} jobs");
         add(&mut m, "i-2", "small", "north", false, now + secs(1));
         m.plan(now + secs(1));
         assert!(!tasks_on(&m, "i-2").is_empty() && tasks_on(&m, "i-1").is_empty());
@@ -654,7 +654,7 @@
             all_ended(&mut m, id, ExitReason::Failed, 10 + i * 2, now);
         }
     }
-    assert!(m.machines.values().all(|x| x.cordoned.is_none()));
+    assert!(m.machines.values().all(|x| x.cordoned_since.is_none()));
     assert!((18..80).contains(&tries), "{tries} tries in 300 s");
     let longest = m
         .jobs
@@ -688,9 +688,9 @@
         .for_each(|id| add(&mut m, id, "small", "north", false, now));
     m.add_job(record(job(1, 4, 8.0)), now);
     m.plan(now);
-    let mut r = report("i-1", "small", "north", false, 1, 2);
+    let mut r = heartbeat("i-1", "small", "north", false, 1, 2);
     r.tasks = running(&m, &"i-1".into());
-    m.apply_report(&r, now + secs(1));
+    m.apply_heartbeat(&r, now + secs(1));
     for id in &ids[1..] {
         all_ended(&mut m, id, ExitReason::Failed, 2, now + secs(2));
     }
@@ -724,13 +724,13 @@
             m.plan(now);
         }
         let id = MachineId::from("i-1");
-        m.machines.get_mut(&id).expect("known").cordoned = Some(now);
+        m.machines.get_mut(&id).expect("known").cordoned_since = Some(now);
         m.add_job(record(job(2, 1, 4.0)), now);
         m.plan(now + secs(30));
         assert_eq!(tasks_on(&m, "i-1").len(), usize::from(busy), "still cordoned");
-        let mut r = report("i-1", "small", "north", false, 1, 9);
+        let mut r = heartbeat("i-1", "small", "north", false, 1, 9);
         r.tasks = running(&m, &id);
-        m.apply_report(&r, now + secs(60));
+        m.apply_heartbeat(&r, now + secs(60));
         m.plan(now + secs(60));
         assert_eq!(tasks_on(&m, "i-1").len(), 1 + usize::from(busy));
     }
@@ -759,9 +759,9 @@
     let later = now + run;
     for i in 0..4 {
         let id = format!("i-{i}");
-        let mut r = report(&id, "small", "north", false, 5, 2);
+        let mut r = heartbeat(&id, "small", "north", false, 5, 2);
         r.tasks = running(&m, &id.as_str().into());
-        m.apply_report(&r, later);
+        m.apply_heartbeat(&r, later);
     }
     let mut spec = job(2, 3, 4.0);
     spec.deadline_s = Some(120.0);
@@ -819,9 +819,9 @@
     let at = end - secs(1);
     for i in 0..4 {
         let id = format!("i-{i}");
-        let mut r = report(&id, "small", "north", false, 5, 3);
+        let mut r = heartbeat(&id, "small", "north", false, 5, 3);
         r.tasks = running(&m, &id.as_str().into());
-        m.apply_report(&r, at);
+        m.apply_heartbeat(&r, at);
     }
     m.add_job(record(again), at);
     m.plan(at);
@@ -856,14 +856,14 @@
         let at = now + secs(i);
         for n in 1..=8 {
             let id = format!("i-{n}");
-            let mut r = report(&id, "small", "north", false, 1, 1 + i);
+            let mut r = heartbeat(&id, "small", "north", false, 1, 1 + i);
             let here = id.as_str().into();
             r.tasks = if runs {
                 running(m, &here)
             } else {
                 fetching(m, &here)
             };
-            m.apply_report(&r, at);
+            m.apply_heartbeat(&r, at);
         }
         m.plan(at);
         placed.push(m.jobs.values().next().expect("the job").placed);
