--- a/tests/redirects.rs
+++ b/tests/redirects.rs
@@ -15,13 +15,16 @@
     let now = start();
     let mut history = RedirectHistory::default();
     let worker = MachineId::from("i-1");
-    assert!(!history.report_arrived(&worker, "heron-1", now), "first contact");
-    assert!(history.report_arrived(&worker, "heron-1", now + secs(3)));
+    assert!(
+        !history.heartbeat_arrived(&worker, "heron-1", now),
+        "first contact"
+    );
+    assert!(history.heartbeat_arrived(&worker, "heron-1", now + secs(3)));
     history.redirected(&worker, "heron-0", now + secs(3));
     // It can't reach that one, and is back: answered first, and not sent there again.
-    assert!(!history.report_arrived(&worker, "heron-1", now + secs(9)));
+    assert!(!history.heartbeat_arrived(&worker, "heron-1", now + secs(9)));
     assert!(!history.may_reach(&worker, "heron-0", now + secs(9)));
-    assert!(history.report_arrived(&worker, "heron-1", now + secs(12)));
+    assert!(history.heartbeat_arrived(&worker, "heron-1", now + secs(12)));
     assert!(
         history.may_reach(&worker, "heron-0", now + secs(60)),
         "tried again"
@@ -33,14 +36,14 @@
     let now = start();
     let mut history = RedirectHistory::default();
     let worker = MachineId::from("i-1");
-    history.report_arrived(&worker, "heron-0", now);
-    assert!(!history.report_arrived(&worker, "heron-1", now + secs(8)));
+    history.heartbeat_arrived(&worker, "heron-0", now);
+    assert!(!history.heartbeat_arrived(&worker, "heron-1", now + secs(8)));
     assert!(!history.may_reach(&worker, "heron-0", now + secs(8)));
     assert!(history.may_reach(&worker, "heron-2", now + secs(8)));
     // One that follows a redirect has not left on its own.
-    history.report_arrived(&worker, "heron-1", now + secs(11));
+    history.heartbeat_arrived(&worker, "heron-1", now + secs(11));
     history.redirected(&worker, "heron-2", now + secs(11));
-    assert!(!history.report_arrived(&worker, "heron-2", now + secs(12)));
+    assert!(!history.heartbeat_arrived(&worker, "heron-2", now + secs(12)));
     assert!(history.may_reach(&worker, "heron-1", now + secs(12)));
     // Gone machines are forgotten, or names would add up for ever.
     history.retain(|_| false);
@@ -61,7 +64,7 @@
         let mut answered = false;
         for (via, target, pause) in path {
             now += secs(pause);
-            let may_redirect = history.report_arrived(&worker, hosts[via], now);
+            let may_redirect = history.heartbeat_arrived(&worker, hosts[via], now);
             if may_redirect && via != target && history.may_reach(&worker, hosts[target], now) {
                 prop_assert!(answered, "redirected though its last report was not answered");
                 history.redirected(&worker, hosts[target], now);
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -219,7 +219,7 @@
     let now = start();
     let mut m = model(7);
     let id = MachineId::from("i-1");
-    m.apply_report(&report("i-1", "small", "north", false, 7, 1), now);
+    m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
     m.add_job(record(job(1, 1, 4.0)), now);
     m.plan(now);
     let w = m.take_writes(now);
@@ -228,20 +228,20 @@
         m.command(&id, now).is_none_or(|(_, c)| c.commands.is_empty()),
         "not before it is stored"
     );
-    m.commanded(&id, None, now);
-    w.iter().for_each(|w| m.written(w, true, now));
+    m.command_finished(&id, None, now);
+    w.iter().for_each(|w| m.write_finished(w, true, now));
     let (_, c) = m.command(&id, now + secs(1)).expect("the start");
     assert!(matches!(c.commands[..], [Command::Start { .. }]));
-    m.commanded(&id, None, now + secs(2));
-    m.apply_report(&report("i-1", "small", "north", false, 7, 2), now + secs(2));
+    m.command_finished(&id, None, now + secs(2));
+    m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 2), now + secs(2));
     assert_eq!(
         m.machines[&id].slots.len(),
         1,
         "unanswered is unknown, not failed"
     );
-    let mut later = report("i-1", "small", "north", false, 7, 3);
+    let mut later = heartbeat("i-1", "small", "north", false, 7, 3);
     later.token = c.token;
-    m.apply_report(&later, now + secs(3));
+    m.apply_heartbeat(&later, now + secs(3));
     assert!(m.machines[&id].slots.is_empty());
 }
 
@@ -252,19 +252,19 @@
     let now = start();
     let mut m = model(7);
     let id = MachineId::from("i-1");
-    m.apply_report(&report("i-1", "small", "north", false, 7, 1), now);
-    m.machines.get_mut(&id).expect("known").probe = true;
+    m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
+    m.machines.get_mut(&id).expect("known").needs_probe = true;
     let (_, c) = m.command(&id, now).expect("a command");
-    assert!(m.reply(&id, 7 << 20, now).expect("a token").0 < c.token);
+    assert!(m.heartbeat_response(&id, 7 << 20, now).expect("a token").0 < c.token);
     m.machines.get_mut(&id).expect("known").seen_token = 3 << 20;
-    let (fresh, orders) = m.reply(&id, 3 << 20, now).expect("a token");
+    let (fresh, orders) = m.heartbeat_response(&id, 3 << 20, now).expect("a token");
     assert!(
         fresh > c.token,
         "a worker of an earlier term gets one that no command carries"
     );
     assert!(orders.is_empty());
     assert_eq!(
-        m.reply(&id, 8 << 20, now),
+        m.heartbeat_response(&id, 8 << 20, now),
         None,
         "a later leader has spoken: no answer"
     );
@@ -277,32 +277,41 @@
     let now = start();
     let mut m = model(7);
     let id = MachineId::from("i-1");
-    m.apply_report(&report("i-1", "small", "north", false, 7, 1), now);
+    m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
     let rec = record(job(1, 1, 4.0));
     let job = rec.spec.id;
     m.add_job(rec, now);
     m.plan(now);
-    m.take_writes(now).iter().for_each(|w| m.written(w, true, now));
+    m.take_writes(now)
+        .iter()
+        .for_each(|w| m.write_finished(w, true, now));
     let (_, c) = m.command(&id, now).expect("the start");
-    m.commanded(&id, None, now + secs(1));
+    m.command_finished(&id, None, now + secs(1));
     m.cancel(job, now + secs(1));
-    let mut r = report("i-1", "small", "north", false, 7, 2);
-    let soon = m.reply(&id, r.token, now + secs(2)).expect("an answer");
+    let mut r = heartbeat("i-1", "small", "north", false, 7, 2);
+    let soon = m
+        .heartbeat_response(&id, r.token, now + secs(2))
+        .expect("an answer");
     assert!(soon.0 < c.token, "its stop may yet get through");
-    let (token, _) = m.reply(&id, r.token, now + secs(9)).expect("an answer");
+    let (token, _) = m
+        .heartbeat_response(&id, r.token, now + secs(9))
+        .expect("an answer");
     assert!(token > c.token, "the start is refused from now on");
-    (r.token, r.seq) = (token, 3);
-    m.apply_report(&r, now + secs(9));
+    (r.token, r.sequence) = (token, 3);
+    m.apply_heartbeat(&r, now + secs(9));
     assert!(m.machines[&id].slots.is_empty(), "and that settles its place");
     // A task that is there is stopped by the answer itself.
     r.tasks = vec![ReportedTask {
         task: TaskId { job, index: 0 },
         attempt: 5,
         state: TaskState::Running,
-        why: None,
+        exit_reason: None,
         saved: None,
     }];
-    assert!(matches!(m.stops(&r)[..], [Command::Stop { attempt: 5, .. }]));
+    assert!(matches!(
+        m.stops_for_cancelled(&r)[..],
+        [Command::Stop { attempt: 5, .. }]
+    ));
 }
 
 #[test]
@@ -310,21 +319,21 @@
     let now = start();
     let mut m = model(7);
     let id = MachineId::from("i-1");
-    m.apply_report(&report("i-1", "small", "north", false, 7, 1), now);
+    m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
     m.add_job(record(job(1, 2, 4.0)), now);
     m.plan(now);
     let w = m.take_writes(now);
-    w.iter().for_each(|w| m.written(w, true, now));
+    w.iter().for_each(|w| m.write_finished(w, true, now));
     let (_, c) = m.command(&id, now).expect("starts");
-    let mut r = report("i-1", "small", "north", false, 7, 2);
+    let mut r = heartbeat("i-1", "small", "north", false, 7, 2);
     r.token = c.token;
     r.tasks = ended(&m, &id, 1);
-    m.commanded(&id, Some(&r), now);
+    m.command_finished(&id, Some(&r), now);
     let w = m.take_writes(now + secs(1));
-    let (_, orders) = m.reply(&id, r.token, now).expect("an answer");
+    let (_, orders) = m.heartbeat_response(&id, r.token, now).expect("an answer");
     assert!(orders.is_empty(), "nothing to say yet");
-    w.iter().for_each(|w| m.written(w, true, now));
-    let (token, orders) = m.reply(&id, r.token, now).expect("an answer");
+    w.iter().for_each(|w| m.write_finished(w, true, now));
+    let (token, orders) = m.heartbeat_response(&id, r.token, now).expect("an answer");
     assert!(matches!(orders[..], [Command::Acknowledge { .. }]));
     assert!(
         token > c.token,
@@ -342,26 +351,26 @@
     // are as old as they are.
     let now = start();
     let mut m = model(7);
-    let mut r = report("i-1", "small", "north", false, 7, 5);
-    r.session = 2;
-    m.apply_report(&r, now);
+    let mut r = heartbeat("i-1", "small", "north", false, 7, 5);
+    r.incarnation = 2;
+    m.apply_heartbeat(&r, now);
     let id = MachineId::from("i-1");
-    for (session, seq) in [(1, 9), (2, 4), (2, 5)] {
-        let mut old = report("i-1", "small", "north", false, 7, seq);
-        old.session = session;
+    for (incarnation, sequence) in [(1, 9), (2, 4), (2, 5)] {
+        let mut old = heartbeat("i-1", "small", "north", false, 7, sequence);
+        old.incarnation = incarnation;
         old.tasks = vec![ReportedTask {
             task: "job-000001/0".parse().expect("a task"),
             attempt: 1,
             state: TaskState::Running,
-            why: None,
+            exit_reason: None,
             saved: None,
         }];
         assert_eq!(
-            m.apply_report(&old, now),
+            m.apply_heartbeat(&old, now),
             bitternfold::core::evidence::heartbeats::HeartbeatOutcome::Outdated
         );
         assert!(m.machines[&id].slots.is_empty());
-        assert_eq!(m.machines[&id].newest, (2, 5));
+        assert_eq!(m.machines[&id].newest_message, (2, 5));
     }
 }
 
@@ -373,28 +382,31 @@
     let mut m = model(7);
     let ids: Vec<MachineId> = (0..4).map(|i| format!("i-{i}").as_str().into()).collect();
     for id in &ids {
-        m.apply_report(&report(id, "small", "north", false, 7, 1), now);
-        m.commanded(id, None, now);
+        m.apply_heartbeat(&heartbeat(id, "small", "north", false, 7, 1), now);
+        m.command_finished(id, None, now);
     }
-    assert!(!m.cut_from_workers(now + secs(1)), "too soon to tell");
+    assert!(!m.is_partitioned_from_workers(now + secs(1)), "too soon to tell");
     for id in &ids {
-        m.apply_report(&report(id, "small", "north", false, 7, 2), now + secs(7));
+        m.apply_heartbeat(&heartbeat(id, "small", "north", false, 7, 2), now + secs(7));
     }
-    assert!(m.cut_from_workers(now + secs(7)));
-    let answer = report(&ids[0], "small", "north", false, 7, 3);
-    m.commanded(&ids[0], Some(&answer), now + secs(7));
-    m.commanded(
+    assert!(m.is_partitioned_from_workers(now + secs(7)));
+    let answer = heartbeat(&ids[0], "small", "north", false, 7, 3);
+    m.command_finished(&ids[0], Some(&answer), now + secs(7));
+    m.command_finished(
         &ids[1],
-        Some(&report(&ids[1], "small", "north", false, 7, 3)),
+        Some(&heartbeat(&ids[1], "small", "north", false, 7, 3)),
         now + secs(7),
     );
-    assert!(!m.cut_from_workers(now + secs(7)), "half of them answer");
+    assert!(
+        !m.is_partitioned_from_workers(now + secs(7)),
+        "half of them answer"
+    );
     // Those that were sent nothing of late don't count as answering.
-    m.commanded(&ids[0], None, now + secs(8));
+    m.command_finished(&ids[0], None, now + secs(8));
     for id in &ids {
-        m.apply_report(&report(id, "small", "north", false, 7, 4), now + secs(14));
+        m.apply_heartbeat(&heartbeat(id, "small", "north", false, 7, 4), now + secs(14));
     }
-    assert!(m.cut_from_workers(now + secs(14)));
+    assert!(m.is_partitioned_from_workers(now + secs(14)));
 }
 
 #[test]
@@ -404,22 +416,22 @@
     let now = start();
     let mut m = model(9);
     m.add_job(record(job(1, 1, 4.0)), now);
-    let mut late = report("i-1", "small", "north", false, 8, 400);
+    let mut late = heartbeat("i-1", "small", "north", false, 8, 400);
     late.tasks = vec![ReportedTask {
         task: "job-000001/0".parse().expect("a task"),
         attempt: (8 << 20) + 1,
         state: TaskState::Running,
-        why: None,
+        exit_reason: None,
         saved: None,
     }];
-    m.apply_report(&late, now);
+    m.apply_heartbeat(&late, now);
     let id = MachineId::from("i-1");
     assert!(m.machines[&id].slots.is_empty());
     assert_eq!(m.jobs.values().next().expect("the job").waiting.count(), 1);
     // In its own words, after the fence, it counts.
     late.token = 9 << 20;
-    late.seq += 1;
-    m.apply_report(&late, now);
+    late.sequence += 1;
+    m.apply_heartbeat(&late, now);
     assert_eq!(m.machines[&id].slots.len(), 1);
     assert_eq!(m.jobs.values().next().expect("the job").waiting.count(), 0);
 }
@@ -429,7 +441,7 @@
     // Late copies of its reports must not bring it back into the fleet.
     let now = start();
     let mut m = model(7);
-    m.apply_report(&report("i-1", "small", "north", false, 7, 1), now);
+    m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
     m.released(&MachineId::from("i-1"), now);
     let mut next = model(8);
     for w in m.take_writes(now) {
@@ -440,9 +452,9 @@
         }
     }
     next.load_log(now);
-    let heard = next.apply_report(&report("i-1", "small", "north", false, 7, 9), now);
+    let last_heartbeat = next.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 9), now);
     assert_eq!(
-        heard,
+        last_heartbeat,
         bitternfold::core::evidence::heartbeats::HeartbeatOutcome::MachineReleased
     );
     assert!(next.machines.is_empty());
@@ -453,7 +465,7 @@
     let now = start();
     let mut m = model(7);
     let id = MachineId::from("i-1");
-    m.apply_report(&report("i-1", "small", "north", false, 7, 1), now);
+    m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
     let rec = record(job(1, 1, 4.0));
     let task = TaskId {
         job: rec.spec.id,
@@ -461,7 +473,7 @@
     };
     m.add_job(rec, now);
     m.plan(now);
-    let mut r = report("i-1", "small", "north", false, 7, 2);
+    let mut r = heartbeat("i-1", "small", "north", false, 7, 2);
     r.tasks = running(&m, &id);
     assert_eq!(m.unknown_tasks(&r).count(), 0);
     // Another attempt than the one that was placed.
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -54,7 +54,7 @@
             if let PendingWrite::WriteAheadLog(a) = &w {
                 segments.extend(a.segments.iter().cloned());
             }
-            m.written(&w, true, now);
+            m.write_finished(&w, true, now);
         }
     }
     segments
@@ -64,7 +64,7 @@
 fn full(machines: usize, now: Instant) -> (ClusterModel, Vec<(u64, Option<serde_json::Value>)>) {
     let mut m = model(7);
     for i in 0..machines {
-        m.apply_report(&report(&id(i), "small", "north", false, 7, 1), now);
+        m.apply_heartbeat(&heartbeat(&id(i), "small", "north", false, 7, 1), now);
     }
     for j in 0..machines / 20 {
         // 40 tasks of 4 CPUs: as many as fit on 20 machines of 8, and some more jobs wait.
@@ -76,10 +76,10 @@
     }
     let segments = store(&mut m, now);
     for (to, _, c) in m.commands(now, usize::MAX) {
-        let mut r = report(&to, "small", "north", false, 7, 2);
+        let mut r = heartbeat(&to, "small", "north", false, 7, 2);
         r.token = c.token;
         r.tasks = running(&m, &to);
-        m.commanded(&to, Some(&r), now);
+        m.command_finished(&to, Some(&r), now);
     }
     let running: usize = m.jobs.values().map(|j| j.running.len()).sum();
     assert_eq!(running, machines * 2, "all machines are full");
@@ -87,8 +87,8 @@
 }
 
 /// The report of a machine in which the first task has ended.
-fn one_ended(m: &ClusterModel, i: usize, seq: u64) -> Heartbeat {
-    let mut r = report(&id(i), "small", "north", false, 7, seq);
+fn one_ended(m: &ClusterModel, i: usize, sequence: u64) -> Heartbeat {
+    let mut r = heartbeat(&id(i), "small", "north", false, 7, sequence);
     r.token = m.machines[&id(i)].seen_token;
     r.tasks = ended(m, &id(i), 1);
     r
@@ -101,9 +101,9 @@
         let (mut m, _) = full(machines, now);
         let r = one_ended(&m, machines / 2, 3);
         let at = now + secs(1000);
-        let (heard, _) = work(|| {
-            m.apply_report(&r, at);
-            m.reply(&r.machine, r.token, at)
+        let (last_heartbeat, _) = work(|| {
+            m.apply_heartbeat(&r, at);
+            m.heartbeat_response(&r.machine, r.token, at)
         });
         let (append, writes) = work(|| m.take_writes(at));
         let bytes: usize = writes
@@ -119,7 +119,7 @@
             .flatten()
             .sum();
         assert!(bytes > 0 && bytes <= 2 * 4096, "an append of {bytes} bytes");
-        writes.iter().for_each(|w| m.written(w, true, at));
+        writes.iter().for_each(|w| m.write_finished(w, true, at));
         let (round, done) = work(|| m.plan(at));
         assert_eq!(
             done.in_order + done.backfilled,
@@ -127,10 +127,10 @@
             "the place that fell free is taken"
         );
         let writes = m.take_writes(at + secs(1));
-        writes.iter().for_each(|w| m.written(w, true, at));
+        writes.iter().for_each(|w| m.write_finished(w, true, at));
         let (commands, out) = work(|| m.commands(at, 64));
         assert_eq!(out.len(), 1, "one machine has something to be told");
-        (heard, append, commands, round)
+        (last_heartbeat, append, commands, round)
     });
     let [small, large] = costs;
     // The open segment is written again as a whole, whatever the fleet.
@@ -210,13 +210,13 @@
     assert!(m.commands(now, 0).is_empty(), "no socket is free");
     // The last machine, by its own report, obeys this term and has lost its tasks.
     let last = id(LARGE - 1);
-    let mut r = report(&last, "small", "north", false, 8, 90);
+    let mut r = heartbeat(&last, "small", "north", false, 8, 90);
     r.token += 5;
-    m.apply_report(&r, now);
+    m.apply_heartbeat(&r, now);
     let round = m.plan(now);
     assert!(round.in_order + round.backfilled > 0);
     for w in m.take_writes(now) {
-        m.written(&w, true, now);
+        m.write_finished(&w, true, now);
     }
     let next = m.commands(now, 64);
     let starts = |c: &CommandBatch| c.commands.iter().any(|c| matches!(c, Command::Start { .. }));
@@ -270,7 +270,7 @@
     let now = start();
     let mut m = model(7);
     for i in 0..40 {
-        m.apply_report(&report(&id(i), "small", "north", false, 7, 1), now);
+        m.apply_heartbeat(&heartbeat(&id(i), "small", "north", false, 7, 1), now);
     }
     let mut stored = std::collections::BTreeMap::new();
     for turn in 0..400u32 {
@@ -278,9 +278,9 @@
         m.add_job(record(job(turn, 80, 4.0)), at);
         for i in 0..40 {
             // What ended in the turn before is forgotten.
-            let mut r = report(&id(i), "small", "north", false, 7, 2 + u64::from(turn) * 2);
+            let mut r = heartbeat(&id(i), "small", "north", false, 7, 2 + u64::from(turn) * 2);
             r.token = m.machines[&id(i)].seen_token;
-            m.apply_report(&r, at);
+            m.apply_heartbeat(&r, at);
         }
         m.plan(at);
         for w in m.take_writes(at) {
@@ -292,16 +292,16 @@
                     };
                 }
             }
-            m.written(&w, true, at);
+            m.write_finished(&w, true, at);
         }
         // Its tasks are told to start, run and end.
         for (to, _, c) in m.commands(at, 64) {
-            let mut r = report(&to, "small", "north", false, 7, 3 + u64::from(turn) * 2);
+            let mut r = heartbeat(&to, "small", "north", false, 7, 3 + u64::from(turn) * 2);
             r.token = c.token;
             r.tasks = ended(&m, &to, usize::MAX);
-            m.commanded(&to, Some(&r), at);
+            m.command_finished(&to, Some(&r), at);
         }
-        m.jobs.retain(|_, j| !j.complete());
+        m.jobs.retain(|_, j| !j.is_complete());
     }
     let bytes: usize = stored.values().sum();
     assert!(
@@ -316,10 +316,10 @@
     // Twenty arrays of as many tasks as a job may have, and of as many as there is
     // room for: a round that finds no room costs the same.
     let now = start();
-    let [few, many] = [70, MOST_TASKS].map(|tasks| {
+    let [few, many] = [70, MAX_TASKS].map(|tasks| {
         let mut m = model(7);
         for i in 0..40 {
-            m.apply_report(&report(&id(i), "large", "north", true, 7, 1), now);
+            m.apply_heartbeat(&heartbeat(&id(i), "large", "north", true, 7, 1), now);
         }
         for n in 0..20 {
             m.add_job(record(job(n, tasks, 1.0)), now);
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -18,7 +18,7 @@
 struct Task {
     attempt: u64,
     state: TaskState,
-    why: Option<ExitReason>,
+    exit_reason: Option<ExitReason>,
     until: Instant,
 }
 
@@ -28,8 +28,8 @@
     addr: String,
     zone: String,
     spot: bool,
-    session: u64,
-    seq: u64,
+    incarnation: u64,
+    sequence: u64,
     token: u64,
     tasks: BTreeMap<TaskId, Task>,
     /// Its last answered report was sent then.
@@ -277,8 +277,8 @@
             addr: String::new(),
             zone: zone.to_owned(),
             spot,
-            session: 1,
-            seq: 0,
+            incarnation: 1,
+            sequence: 0,
             token: 0,
             tasks: BTreeMap::new(),
             renewed: Instant::now(),
@@ -310,7 +310,7 @@
         let addr = serve(commands).await;
         machine.lock().addr = addr.to_string();
         self.machines.lock().push(machine.clone());
-        tokio::spawn(self.clone().report(machine));
+        tokio::spawn(self.clone().heartbeat(machine));
         id
     }
 
@@ -319,7 +319,7 @@
         if m.gone || self.no_commands.load(Ordering::Relaxed) {
             return (500, json!({}));
         }
-        let ok = b.token >= m.token && b.session == m.session;
+        let ok = b.token >= m.token && b.incarnation == m.incarnation;
         if ok {
             m.token = b.token;
             self.carried_out.lock().push((m.id.clone(), b.clone()));
@@ -349,7 +349,7 @@
                     Task {
                         attempt,
                         state: TaskState::Running,
-                        why: None,
+                        exit_reason: None,
                         until,
                     },
                 );
@@ -369,7 +369,7 @@
             Command::Stop { task, attempt, .. } => {
                 let live = |t: &&mut Task| t.attempt == attempt && t.state != TaskState::Exited;
                 if let Some(t) = m.tasks.get_mut(&task).filter(live) {
-                    (t.state, t.why) = (TaskState::Exited, Some(ExitReason::Stopped));
+                    (t.state, t.exit_reason) = (TaskState::Exited, Some(ExitReason::Stopped));
                     self.note(m, task, TaskChange::Ended { done: false });
                 }
             }
@@ -421,7 +421,7 @@
         let lease = *self.lease.lock();
         if lease.is_some_and(|lease| now > m.renewed + lease) {
             self.end_all(m);
-            m.session += 1;
+            m.incarnation += 1;
             m.renewed = now;
         }
         let ended: Vec<TaskId> = m
@@ -432,7 +432,7 @@
             .collect();
         for task in ended {
             let t = m.tasks.get_mut(&task).expect("just seen");
-            (t.state, t.why) = (TaskState::Exited, Some(ExitReason::Done));
+            (t.state, t.exit_reason) = (TaskState::Exited, Some(ExitReason::Done));
             self.note(m, task, TaskChange::Ended { done: true });
         }
     }
@@ -453,7 +453,7 @@
         });
     }
 
-    async fn report(self: Arc<Self>, m: Arc<Mutex<Machine>>) {
+    async fn heartbeat(self: Arc<Self>, m: Arc<Mutex<Machine>>) {
         let http = Http::default();
         let mut at = 0;
         loop {
@@ -462,7 +462,7 @@
             if self.mute.load(Ordering::Relaxed) || self.hangs(&m) {
                 continue;
             }
-            let (sent, session) = (Instant::now(), m.lock().session);
+            let (sent, incarnation) = (Instant::now(), m.lock().incarnation);
             let body = {
                 let mut m = m.lock();
                 if m.gone {
@@ -492,7 +492,7 @@
                     let reply: HeartbeatResponse = serde_json::from_slice(&r.body).expect("a reply");
                     let mut m = m.lock();
                     let late = sent.elapsed() > REPORT_PATIENCE;
-                    if reply.token < m.token || m.session != session || late {
+                    if reply.token < m.token || m.incarnation != incarnation || late {
                         continue;
                     }
                     m.token = reply.token;
@@ -518,15 +518,15 @@
 }
 
 fn report_of(m: &mut Machine) -> Heartbeat {
-    m.seq += 1;
+    m.sequence += 1;
     Heartbeat {
         machine: m.id.clone(),
         addr: m.addr.clone(),
         machine_type: "small".into(),
         zone: m.zone.clone(),
         spot: m.spot,
-        session: m.session,
-        seq: m.seq,
+        incarnation: m.incarnation,
+        sequence: m.sequence,
         token: m.token,
         notice_s: None,
         tasks: m
@@ -536,7 +536,7 @@
                 task: *t,
                 attempt: x.attempt,
                 state: x.state,
-                why: x.why,
+                exit_reason: x.exit_reason,
                 saved: None,
             })
             .collect(),
--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -53,7 +53,7 @@
     /// The response to a report, with its token and orders.
     ApiResponse {
         to: MachineId,
-        session: u64,
+        incarnation: u64,
         token: u64,
         orders: Vec<Command>,
         /// When its report was sent.
@@ -172,7 +172,7 @@
 
     /// One round of the leader.
     pub fn round(&mut self) {
-        self.model.clear_lapsed(self.now);
+        self.model.expire_leases(self.now);
         self.model.plan(self.now);
         let term = self.term;
         for write in self.model.take_writes(self.now) {
@@ -231,7 +231,7 @@
                     return;
                 };
                 let started = w.run(&commands);
-                let report = Some(w.report());
+                let report = Some(w.heartbeat());
                 for t in started {
                     self.no_double(t);
                     self.all_needed_are_done(t);
@@ -243,23 +243,27 @@
                 });
             }
             Message::Answer { from, report, term } if term == self.term => {
-                self.model.commanded(&from, report.as_ref(), self.now);
+                self.model.command_finished(&from, report.as_ref(), self.now);
             }
             Message::Heartbeat(r, sent) => {
-                let outcome = self.model.apply_report(&r, self.now);
+                let outcome = self.model.apply_heartbeat(&r, self.now);
                 let known = self.model.machines.get(&r.machine);
-                let over = known.is_none_or(|m| m.newest.0 != r.session || m.session_over(r.session));
+                let over = known.is_none_or(|m| {
+                    m.newest_message.0 != r.incarnation || m.incarnation_ended(r.incarnation)
+                });
                 match outcome {
                     HeartbeatOutcome::MachineReleased => return,
                     HeartbeatOutcome::Outdated if over => return,
                     HeartbeatOutcome::Outdated | HeartbeatOutcome::Applied => {}
                 }
-                if let Some((token, mut orders)) = self.model.reply(&r.machine, r.token, self.now) {
-                    orders.extend(self.model.stops(&r));
+                if let Some((token, mut orders)) =
+                    self.model.heartbeat_response(&r.machine, r.token, self.now)
+                {
+                    orders.extend(self.model.stops_for_cancelled(&r));
                     self.renews_nothing_unknown(&r, &orders);
                     self.mail.push(Message::ApiResponse {
                         to: r.machine,
-                        session: r.session,
+                        incarnation: r.incarnation,
                         token,
                         orders,
                         sent,
@@ -268,7 +272,7 @@
             }
             Message::ApiResponse {
                 to,
-                session,
+                incarnation,
                 token,
                 orders,
                 sent,
@@ -277,13 +281,13 @@
                 if let Some(w) = self.worker(&to).filter(|w| w.alive && !w.unreachable) {
                     // Answers that are late, of an earlier session or of an
                     // earlier leader are dropped.
-                    if now > sent + PATIENCE || session != w.session || token < w.token {
+                    if now > sent + PATIENCE || incarnation != w.incarnation || token < w.token {
                         return;
                     }
                     w.renewed = w.renewed.max(sent);
                     let started = w.run(&CommandBatch {
                         token,
-                        session,
+                        incarnation,
                         commands: orders,
                     });
                     assert!(started.is_empty(), "a response starts nothing");
@@ -313,7 +317,7 @@
                 if let (true, PendingWrite::Final { id, record, .. }) = (ok, &write) {
                     self.tell(*id, record.state);
                 }
-                self.model.written(&write, ok, self.now);
+                self.model.write_finished(&write, ok, self.now);
             }
             _ => {}
         }
@@ -324,8 +328,8 @@
         match m {
             // Its answer reaches nobody.
             Message::Heartbeat(r, _) => {
-                self.model.apply_report(&r, self.now);
-                let _ = self.model.reply(&r.machine, r.token, self.now);
+                self.model.apply_heartbeat(&r, self.now);
+                let _ = self.model.heartbeat_response(&r.machine, r.token, self.now);
             }
             Message::Command { to, commands, .. } => {
                 let hears = |w: &&mut Worker| w.alive && !w.unreachable && !w.hears_no_commands;
@@ -414,7 +418,7 @@
     /// jobs before the one asked for.
     pub fn told_as_stored(&self) {
         for id in self.model.jobs.keys() {
-            let Some(view) = self.model.view(*id) else {
+            let Some(view) = self.model.status(*id) else {
                 continue;
             };
             let told = view.state == JobState::Cancelled;
@@ -552,7 +556,7 @@
                     .model
                     .jobs
                     .get(&id)
-                    .is_some_and(|j| !j.complete() && !j.cancelled);
+                    .is_some_and(|j| !j.is_complete() && !j.cancelled);
                 if open {
                     self.cancel(id);
                 }
@@ -566,7 +570,7 @@
                         ended.push(id.job);
                     }
                 }
-                let r = w.report();
+                let r = w.heartbeat();
                 if w.alive && !self.mute.contains(&r.machine) {
                     self.mail.push(Message::Heartbeat(r, self.now));
                 }
@@ -574,7 +578,7 @@
                     self.model
                         .jobs
                         .get(j)
-                        .is_some_and(|j| !j.complete() && !j.cancelled)
+                        .is_some_and(|j| !j.is_complete() && !j.cancelled)
                 };
                 ended.retain(open);
                 ended.dedup();
@@ -591,7 +595,7 @@
             Op::Heartbeat(i) => {
                 let w = &mut self.workers[i % n];
                 if w.alive && !self.mute.contains(&w.id) {
-                    let r = w.report();
+                    let r = w.heartbeat();
                     self.mail.push(Message::Heartbeat(r, self.now));
                 }
             }
@@ -644,13 +648,13 @@
             Op::OldReport(i) => {
                 let w = &mut self.workers[i % n];
                 if let Some(old) = self.old.as_mut().filter(|_| w.alive) {
-                    let r = w.report();
-                    old.apply_report(&r, self.now);
-                    if let Some((token, _)) = old.reply(&r.machine, r.token, self.now) {
-                        let orders = old.stops(&r);
+                    let r = w.heartbeat();
+                    old.apply_heartbeat(&r, self.now);
+                    if let Some((token, _)) = old.heartbeat_response(&r.machine, r.token, self.now) {
+                        let orders = old.stops_for_cancelled(&r);
                         self.mail.push(Message::ApiResponse {
                             to: r.machine,
-                            session: r.session,
+                            incarnation: r.incarnation,
                             token,
                             orders,
                             sent: self.now,
@@ -687,8 +691,8 @@
             Op::Expire(i) => {
                 let w = &mut self.workers[i % n];
                 w.tasks.clear();
-                w.session += 1;
-                w.seq = 0;
+                w.incarnation += 1;
+                w.sequence = 0;
             }
             Op::Die(i) => self.workers[i % n].alive = false,
             Op::Unreachable(many, unreachable) => {
@@ -705,8 +709,8 @@
                 let w = &mut self.workers[i % n];
                 w.tasks.clear();
                 if renewed {
-                    w.session += 1;
-                    w.seq = 0;
+                    w.incarnation += 1;
+                    w.sequence = 0;
                 }
             }
             Op::Release(i) => {
@@ -751,7 +755,7 @@
             Op::Wait(ms) => self.pass(Duration::from_millis(ms)),
             Op::Freeze(s) => {
                 self.pass(secs(s));
-                self.model.listen_from(self.now);
+                self.model.ignore_silence_before(self.now);
             }
             _ => {}
         }
--- a/tests/support/gap_world.rs
+++ b/tests/support/gap_world.rs
@@ -112,7 +112,7 @@
     },
     ApiResponse {
         to: usize,
-        session: u64,
+        incarnation: u64,
         reply: HeartbeatResponse,
         sent: Duration,
     },
@@ -150,9 +150,9 @@
     /// Four workers, three controllers, none of which leads yet.
     pub fn new(times: Times, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut platform = platform();
-        let w = &mut platform.params.workers;
-        w.report = Duration::from_secs_f64(times.report);
+        let mut deployment = deployment();
+        let w = &mut deployment.cluster.workers;
+        w.heartbeat_interval = Duration::from_secs_f64(times.report);
         w.lease = Duration::from_secs_f64(times.lease);
         w.cancel = w.lease + MARGIN + Duration::from_secs_f64(times.spare);
         let base = start();
@@ -160,7 +160,7 @@
             clock_error: Duration::from_secs_f64(times.clock_error),
             drift: (0..8).map(|_| rng.random_range(-0.0005..0.0005)).collect(),
             rng,
-            config: Arc::new(SchedulerConfig::new(&platform, OperatorSettings::default())),
+            config: Arc::new(SchedulerConfig::new(&deployment, OperatorSettings::default())),
             base,
             now: Duration::ZERO,
             leaders: [None, None, None],
@@ -277,7 +277,7 @@
             return;
         }
         if l.authority.may_act(clocks) {
-            l.model.clear_lapsed(now);
+            l.model.expire_leases(now);
             l.model.plan(now);
             l.writes.extend(l.model.take_writes(now));
             for (id, _, commands) in l.model.commands(now, 4) {
@@ -296,7 +296,7 @@
                 }
                 // The cancelled job is kept, so that a later leader finds it.
                 if !matches!(w, PendingWrite::Final { .. }) {
-                    l.model.written(&w, true, now);
+                    l.model.write_finished(&w, true, now);
                 }
             }
             if l.cancelled && self.confirmed.is_none() {
@@ -357,14 +357,14 @@
         }
     }
 
-    fn report(&mut self, i: usize) {
+    fn heartbeat(&mut self, i: usize) {
         let (to, next, hangs) = self.to[i];
         if self.now < next || self.now < hangs {
             return;
         }
         let interval = self.times.report * self.rng.random_range(0.75..1.25);
         self.to[i].1 = self.now + Duration::from_secs_f64(interval);
-        let r = self.workers[i].report();
+        let r = self.workers[i].heartbeat();
         // Relayed to the latest leader, if the asked one leads no more.
         let mut asked = vec![to];
         if self.times.peers {
@@ -383,15 +383,15 @@
             if !l.authority.may_renew_leases(clocks) {
                 continue;
             }
-            l.model.apply_report(&r, now);
-            let Some((token, mut orders)) = l.model.reply(&r.machine, r.token, now) else {
+            l.model.apply_heartbeat(&r, now);
+            let Some((token, mut orders)) = l.model.heartbeat_response(&r.machine, r.token, now) else {
                 l.over = true;
                 continue;
             };
             if !l.authority.may_act(clocks) {
                 orders.clear();
             }
-            orders.extend(l.model.stops(&r));
+            orders.extend(l.model.stops_for_cancelled(&r));
             let delay = Duration::from_secs_f64(self.rng.random_range(0.0..4.5f64).powi(3) / 20.0);
             let reply = HeartbeatResponse {
                 token,
@@ -401,7 +401,7 @@
                 self.now + delay,
                 Mail::ApiResponse {
                     to: i,
-                    session: r.session,
+                    incarnation: r.incarnation,
                     reply,
                     sent: self.now,
                 },
@@ -429,7 +429,7 @@
                     t.1 = TaskState::Running;
                 }
                 if !late {
-                    let (machine, report) = (w.id.clone(), Some(w.report()));
+                    let (machine, report) = (w.id.clone(), Some(w.heartbeat()));
                     let a = Mail::Answer {
                         to: from,
                         term,
@@ -447,25 +447,27 @@
             } => {
                 let now = self.clock(to);
                 if let Some(l) = self.leaders[to].as_mut().filter(|l| l.term == term) {
-                    l.model.commanded(&machine, report.as_ref(), now);
+                    l.model.command_finished(&machine, report.as_ref(), now);
                 }
             }
             Mail::ApiResponse {
                 to,
-                session,
+                incarnation,
                 reply,
                 sent,
             } => {
                 let hangs = self.now < self.to[to].2;
                 let at = self.base + sent.mul_f64(1.0 + self.drift[3 + to]);
                 let w = &mut self.workers[to];
-                let dropped =
-                    hangs || self.now > sent + PATIENCE || session != w.session || reply.token < w.token;
+                let dropped = hangs
+                    || self.now > sent + PATIENCE
+                    || incarnation != w.incarnation
+                    || reply.token < w.token;
                 if !dropped {
                     w.renewed = w.renewed.max(at);
                     w.run(&CommandBatch {
                         token: reply.token,
-                        session,
+                        incarnation,
                         commands: reply.commands,
                     });
                 }
@@ -490,13 +492,13 @@
         let due: Vec<(Duration, Mail)> = due;
         due.into_iter().for_each(|(_, m)| self.deliver(m));
         (0..3).for_each(|c| self.lead(c));
-        (0..4).for_each(|i| self.report(i));
+        (0..4).for_each(|i| self.heartbeat(i));
         if let Some((who, _)) = self.frozen.filter(|f| f.1 <= self.now) {
             let now = self.clock(who);
             // One whose clock stood still, too, can't tell by it.
             if let Some(l) = self.leaders[who].as_mut().filter(|_| !self.times.stops_clock) {
-                l.authority.woke(now);
-                l.model.listen_from(now);
+                l.authority.resumed_after_pause(now);
+                l.model.ignore_silence_before(now);
             }
             self.frozen = None;
         }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -64,13 +64,13 @@
 list_lag_s = 4.0
 "#;
 
-pub fn platform() -> DeploymentSettings {
+pub fn deployment() -> DeploymentSettings {
     DeploymentSettings::parse(SETTINGS, "test").expect("valid settings")
 }
 
 pub fn model(term: u64) -> ClusterModel {
     let mut m = ClusterModel::new(
-        Arc::new(SchedulerConfig::new(&platform(), OperatorSettings::default())),
+        Arc::new(SchedulerConfig::new(&deployment(), OperatorSettings::default())),
         term,
     );
     m.types = types();
@@ -130,15 +130,22 @@
 }
 
 /// A report of an idle machine that has seen a token of the term.
-pub fn report(machine: &str, machine_type: &str, zone: &str, spot: bool, term: u64, seq: u64) -> Heartbeat {
+pub fn heartbeat(
+    machine: &str,
+    machine_type: &str,
+    zone: &str,
+    spot: bool,
+    term: u64,
+    sequence: u64,
+) -> Heartbeat {
     Heartbeat {
         machine: machine.into(),
         addr: "127.0.0.1:9".into(),
         machine_type: machine_type.into(),
         zone: zone.into(),
         spot,
-        session: 1,
-        seq,
+        incarnation: 1,
+        sequence,
         token: term << 20,
         notice_s: None,
         tasks: Vec::new(),
@@ -163,7 +170,7 @@
             task: *t,
             attempt: s.attempt,
             state,
-            why: None,
+            exit_reason: None,
             saved: None,
         })
         .collect()
@@ -173,7 +180,7 @@
 pub fn ended(m: &ClusterModel, id: &MachineId, first: usize) -> Vec<ReportedTask> {
     let mut tasks = running(m, id);
     for t in tasks.iter_mut().take(first) {
-        (t.state, t.why) = (TaskState::Exited, Some(ExitReason::Done));
+        (t.state, t.exit_reason) = (TaskState::Exited, Some(ExitReason::Done));
     }
     tasks
 }
--- a/tests/support/site.rs
+++ b/tests/support/site.rs
@@ -107,7 +107,7 @@
 
     /// Runs a controller on a thread of its own, as a process would.
     pub fn boot(&mut self, i: usize) {
-        let platform = DeploymentSettings::parse(&self.texts[i], "test").expect("settings");
+        let deployment = DeploymentSettings::parse(&self.texts[i], "test").expect("settings");
         let (tx, rx) = std::sync::mpsc::channel::<()>();
         self.stops[i] = Some(tx);
         std::thread::spawn(move || {
@@ -118,7 +118,7 @@
             rt.block_on(async move {
                 tokio::spawn(async move {
                     // A restart may find the port still closing.
-                    while leader::run(platform.clone(), OperatorSettings::default())
+                    while leader::run(deployment.clone(), OperatorSettings::default())
                         .await
                         .is_err()
                     {
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -13,8 +13,8 @@
 pub struct Worker {
     pub id: MachineId,
     pub spot: bool,
-    pub session: u64,
-    pub seq: u64,
+    pub incarnation: u64,
+    pub sequence: u64,
     pub token: u64,
     pub tasks: BTreeMap<TaskId, (u64, TaskState, Option<ExitReason>)>,
     pub alive: bool,
@@ -32,8 +32,8 @@
         Self {
             id: id.into(),
             spot,
-            session: 1,
-            seq: 0,
+            incarnation: 1,
+            sequence: 0,
             token: 0,
             tasks: BTreeMap::new(),
             alive: true,
@@ -47,23 +47,23 @@
     pub fn end_lease(&mut self, now: Instant, lease: Duration) {
         if now.saturating_duration_since(self.renewed) > lease {
             self.tasks.clear();
-            self.session += 1;
-            self.seq = 0;
+            self.incarnation += 1;
+            self.sequence = 0;
             self.renewed = now;
         }
     }
 
     /// Its next report.
-    pub fn report(&mut self) -> Heartbeat {
-        self.seq += 1;
+    pub fn heartbeat(&mut self) -> Heartbeat {
+        self.sequence += 1;
         Heartbeat {
             machine: self.id.clone(),
             addr: "127.0.0.1:9".into(),
             machine_type: "small".into(),
             zone: "north".into(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
             token: self.token,
             notice_s: None,
             tasks: self
@@ -73,7 +73,7 @@
                     task: *t,
                     attempt: *a,
                     state: *s,
-                    why: *w,
+                    exit_reason: *w,
                     saved: None,
                 })
                 .collect(),
@@ -82,7 +82,7 @@
 
     /// Runs a command; the tasks that it started.
     pub fn run(&mut self, c: &CommandBatch) -> Vec<TaskId> {
-        if c.token < self.token || c.session != self.session {
+        if c.token < self.token || c.incarnation != self.incarnation {
             return Vec::new();
         }
         self.token = c.token;
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -21,7 +21,7 @@
 /// Machines that hang with stops due, more than there are sockets for commands.
 const HANGING: u32 = 60;
 /// So many of them at least have to run a task before they hang.
-const MOST_RUN: usize = 36;
+const MAX_RUN: usize = 36;
 /// Sockets of a controller. A quarter of what is left to workers is for commands: 26.
 const SOCKET_LIMIT: u32 = 128;
 /// Sockets of it for commands.
@@ -54,7 +54,7 @@
         job["yard"] = "north".into();
         let (status, answer) = site.insist("POST", 0, "/v2/runs", Some(job)).await;
         assert_eq!(status, 201, "{answer}");
-        site.until_running(|n| n >= MOST_RUN).await;
+        site.until_running(|n| n >= MAX_RUN).await;
         let empty = site.cloud.empty_machines();
         let full: Vec<String> = site
             .cloud
@@ -101,13 +101,13 @@
         let now = support::start();
         let mut model = support::model(7);
         let machine = MachineId::from("i-1");
-        model.apply_report(&support::report("i-1", "small", "north", false, 7, 1), now);
+        model.apply_heartbeat(&support::heartbeat("i-1", "small", "north", false, 7, 1), now);
         let record = support::record(support::job(1, 1, 4.0));
         let job: JobId = record.spec.id;
         model.add_job(record, now);
         model.plan(now);
         let writes = model.take_writes(now);
-        writes.iter().for_each(|w| model.written(w, true, now));
+        writes.iter().for_each(|w| model.write_finished(w, true, now));
         let (_, commands) = model.command(&machine, now).expect("the start");
         let task = TaskId { job, index: 0 };
         Self {
