--- a/src/api.rs
+++ b/src/api.rs
@@ -16,7 +16,7 @@
 use warp::{Filter, Rejection, Reply as _};
 
 use crate::controller::Controller;
-use crate::peer::ApiResponse;
+use crate::response::ApiResponse;
 use crate::wire::{JobId, BODY_LIMIT};
 
 type Response = warp::http::Response<Bytes>;
--- a/src/controller/job_lookup.rs
+++ b/src/controller/job_lookup.rs
@@ -9,7 +9,7 @@
 use crate::controller::Controller;
 use crate::core::scheduling::admission::AdmissionError;
 use crate::core::storage::record::{self, FinalRecord, JobRecord};
-use crate::peer::ApiResponse;
+use crate::response::ApiResponse;
 use crate::store::StoreError;
 use crate::wire::{JobId, JobKind, JobSpec, JobState, JobStatus};
 
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -10,7 +10,8 @@
 use crate::controller::job_lookup::StoredJob;
 use crate::core::scheduling::admission::{admissible, AdmissionError};
 use crate::core::storage::record::{self, FinalRecord, JobRecord};
-use crate::peer::{ApiResponse, PeerRequest};
+use crate::peer::PeerRequest;
+use crate::response::ApiResponse;
 use crate::wire::{Change, Condition, JobId, JobSpec, JobState, JobStatus, MachineType, Transaction};
 
 /// Whether a body can be a JSON object: a list of values in the order of the
--- a/src/core/evidence/commands.rs
+++ b/src/core/evidence/commands.rs
@@ -3,9 +3,11 @@
 use std::time::{Duration, Instant};
 
 use crate::core::evidence::permission::check_job;
-use crate::core::state::machine::{Machine, MachinePhase, TOKEN_BITS};
-use crate::core::state::model::{ClusterModel, AMOUNT_TOLERANCE};
+use crate::core::state::machine::{Machine, MachinePhase};
+use crate::core::state::model::ClusterModel;
+use crate::core::state::resources::Resources;
 use crate::core::state::slot::SlotState;
+use crate::core::state::token;
 use crate::wire::{Command, CommandBatch, Heartbeat, MachineId, TaskState};
 
 impl ClusterModel {
@@ -20,7 +22,7 @@
         reported: u64,
         now: Instant,
     ) -> Option<(u64, Vec<Command>)> {
-        if reported >> TOKEN_BITS > self.term {
+        if token::term_of(reported) > self.term {
             return None;
         }
         let term = self.term;
@@ -114,12 +116,12 @@
         }
         let mut commands = m.acknowledgements(log, jobs);
         let acknowledgements = commands.len();
-        let mut used = (0.0, 0.0, 0.0);
+        let mut used = Resources::default();
         for (task, slot) in &mut m.slots {
             let Some(grace) = slot.stop.filter(|_| slot.takes_room()) else {
                 if !matches!(slot.state, SlotState::Ended(_) | SlotState::Placed) || slot.start_token > 0 {
                     if let Some(s) = slot.spec.as_ref().filter(|_| slot.takes_room()) {
-                        used = (used.0 + s.cpus, used.1 + s.gpus, used.2 + s.memory_gb);
+                        used += Resources::of_task(s);
                     }
                 }
                 continue;
@@ -135,7 +137,7 @@
                 && !grace.is_zero();
             if saves {
                 if let Some(s) = &slot.spec {
-                    used = (used.0 + s.cpus, used.1 + s.gpus, used.2 + s.memory_gb);
+                    used += Resources::of_task(s);
                 }
             }
             if slot.state == SlotState::Saving && !overdue && !grace.is_zero() {
@@ -163,13 +165,10 @@
                 // Not before there is room for it: tasks told to stop may
                 // still be saving.
                 let Some(k) = kind else { continue };
-                if used.0 + s.cpus > k.cpus + AMOUNT_TOLERANCE
-                    || used.1 + s.gpus > k.gpus + AMOUNT_TOLERANCE
-                    || used.2 + s.memory_gb > k.memory_gb + AMOUNT_TOLERANCE
-                {
+                if !(used + Resources::of_task(s)).fits_into(&Resources::of_type(k)) {
                     continue;
                 }
-                used = (used.0 + s.cpus, used.1 + s.gpus, used.2 + s.memory_gb);
+                used += Resources::of_task(s);
             }
             slot.start_token = token;
             // The latest session that a start went to: any later one refuses.
--- a/src/core/evidence/heartbeats.rs
+++ b/src/core/evidence/heartbeats.rs
@@ -6,9 +6,10 @@
 use tracing::{debug, info};
 
 use crate::core::state::job::Job;
-use crate::core::state::machine::{Machine, MachinePhase, TOKEN_BITS};
+use crate::core::state::machine::{Machine, MachinePhase};
 use crate::core::state::model::ClusterModel;
 use crate::core::state::slot::{Slot, SlotState};
+use crate::core::state::token;
 use crate::core::storage::wal::LogEntry as Logged;
 use crate::wire::{ExitReason, Heartbeat, JobId, JobKind, MachineId, ReportedTask, TaskId, TaskState};
 
@@ -78,7 +79,7 @@
         // sent to has killed and forgotten it, or will refuse it. Otherwise the
         // token settles it. Sessions tell nothing of the starts of earlier
         // terms: the first words of a machine in a term may be late copies.
-        let obeys = r.token >> TOKEN_BITS == term;
+        let obeys = token::term_of(r.token) == term;
         let mut absent = Vec::new();
         for (task, slot) in &m.slots {
             let here = r
--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -4,40 +4,19 @@
 mod releases;
 mod rentals;
 
-use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use tracing::info;
 
-use crate::core::scheduling::plan::TeamUsage;
+use crate::core::state::fleet_state::Offer;
 use crate::core::state::job::Job;
 use crate::core::state::machine::{Machine, MachinePhase};
-use crate::core::state::model::{ClusterModel, AMOUNT_TOLERANCE};
+use crate::core::state::model::ClusterModel;
+use crate::core::state::resources::TeamUsage;
+use crate::core::state::resources::AMOUNT_TOLERANCE;
 use crate::core::state::slot::SlotState;
 use crate::wire::{JobKind, MachineId, Rental};
 
-/// A kind of machine at a place, as the cloud offers it.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Offer {
-    /// Its type.
-    pub machine_type: String,
-    /// Its zone.
-    pub zone: String,
-    /// Whether it is a spot machine.
-    pub spot: bool,
-}
-
-/// What the fleet remembers between rounds.
-#[derive(Debug, Default)]
-pub struct FleetState {
-    /// Requests given out in this term.
-    requests: u64,
-    /// Offers that were refused, not to be asked for before.
-    pub refused: BTreeMap<Offer, Instant>,
-    /// Machines asked for and not yet answered.
-    pub pending: BTreeMap<String, (Offer, u32)>,
-}
-
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FleetAction {
--- a/src/core/fleet/rentals.rs
+++ b/src/core/fleet/rentals.rs
@@ -4,10 +4,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use super::Offer;
 use crate::core::scheduling::admission::type_allowed;
+use crate::core::state::fleet_state::Offer;
 use crate::core::state::machine::MachinePhase;
-use crate::core::state::model::{ClusterModel, AMOUNT_TOLERANCE};
+use crate::core::state::model::ClusterModel;
+use crate::core::state::resources::AMOUNT_TOLERANCE;
 use crate::core::state::slot::{Slot, SlotState};
 use crate::wire::{JobSpec, MachineType};
 
--- a/src/core/scheduling/admission.rs
+++ b/src/core/scheduling/admission.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::core::state::model::AMOUNT_TOLERANCE;
+use crate::core::state::resources::AMOUNT_TOLERANCE;
 use crate::settings::Team;
 use crate::wire::{JobId, JobKind, JobSpec, MachineType};
 
--- a/src/core/scheduling/capacity.rs
+++ b/src/core/scheduling/capacity.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use crate::core::scheduling::ranking::Rank;
-use crate::core::state::model::AMOUNT_TOLERANCE;
+use crate::core::state::resources::AMOUNT_TOLERANCE;
 use crate::wire::{JobSpec, MachineId, TaskId};
 
 /// Free room of a machine that may be placed on.
--- a/src/core/scheduling/placement/mod.rs
+++ b/src/core/scheduling/placement/mod.rs
@@ -9,9 +9,10 @@
 use std::time::{Duration, Instant};
 
 use crate::core::scheduling::capacity::{FreeCapacity, RunningLoad};
-use crate::core::scheduling::plan::TeamUsage;
 use crate::core::scheduling::ranking::{Rank, Tier, STARVED_FIRST_TASKS};
-use crate::core::state::model::{ClusterModel, AMOUNT_TOLERANCE};
+use crate::core::state::model::ClusterModel;
+use crate::core::state::resources::TeamUsage;
+use crate::core::state::resources::AMOUNT_TOLERANCE;
 use crate::wire::{JobId, JobKind, JobSpec, MachineType, TaskId};
 
 use search::{Place, Score};
@@ -102,15 +103,15 @@
                 names.push(m.zone.clone());
                 names.len() - 1
             });
-            let (cpus, gpus, memory) = m.used();
+            let used = m.used();
             let room = FreeCapacity {
                 machine: m.id.clone(),
                 zone,
                 spot: m.spot,
                 kind,
-                cpus: t.cpus - cpus,
-                gpus: t.gpus - gpus,
-                memory: t.memory_gb - memory,
+                cpus: t.cpus - used.cpus,
+                gpus: t.gpus - used.gpus,
+                memory: t.memory_gb - used.memory_gb,
                 closed: false,
                 reclaim_at: m.reclaim_at,
                 load: Vec::new(),
--- a/src/core/scheduling/placement/rules.rs
+++ b/src/core/scheduling/placement/rules.rs
@@ -5,7 +5,7 @@
 use super::Planner;
 use crate::core::scheduling::admission::type_allowed;
 use crate::core::scheduling::capacity::FreeCapacity;
-use crate::core::state::model::AMOUNT_TOLERANCE;
+use crate::core::state::resources::AMOUNT_TOLERANCE;
 use crate::wire::{JobId, JobSpec};
 
 impl Planner<'_> {
--- a/src/core/scheduling/plan.rs
+++ b/src/core/scheduling/plan.rs
@@ -9,17 +9,9 @@
 use crate::core::scheduling::ranking::Rank;
 use crate::core::state::machine::{Machine, MachinePhase};
 use crate::core::state::model::ClusterModel;
+use crate::core::state::resources::TeamUsage;
 use crate::wire::{JobId, MachineId, TaskId};
 
-/// What a team uses.
-#[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct TeamUsage {
-    /// CPUs.
-    pub cpus: f64,
-    /// Accelerators.
-    pub gpus: f64,
-}
-
 /// What a round did.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct RoundSummary {
--- a/src/core/scheduling/ranking.rs
+++ b/src/core/scheduling/ranking.rs
@@ -3,9 +3,10 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use crate::core::scheduling::plan::TeamUsage;
 use crate::core::state::job::Job;
-use crate::core::state::model::{ClusterModel, AMOUNT_TOLERANCE};
+use crate::core::state::model::ClusterModel;
+use crate::core::state::resources::TeamUsage;
+use crate::core::state::resources::AMOUNT_TOLERANCE;
 use crate::core::state::slot::Slot;
 use crate::wire::{JobId, JobKind, JobSpec, Priority};
 
--- /dev/null
+++ b/src/core/state/fleet_state.rs
@@ -0,0 +1,26 @@
+//! What the fleet's decisions remember from one round to the next.
+
+use std::collections::BTreeMap;
+use std::time::Instant;
+
+/// A kind of machine at a place, as the cloud offers it.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Offer {
+    /// Its type.
+    pub machine_type: String,
+    /// Its zone.
+    pub zone: String,
+    /// Whether it is a spot machine.
+    pub spot: bool,
+}
+
+/// What the fleet remembers between rounds.
+#[derive(Debug, Default)]
+pub struct FleetState {
+    /// Requests given out in this term.
+    pub(in crate::core) requests: u64,
+    /// Offers that were refused, not to be asked for before.
+    pub refused: BTreeMap<Offer, Instant>,
+    /// Machines asked for and not yet answered.
+    pub pending: BTreeMap<String, (Offer, u32)>,
+}
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -4,13 +4,12 @@
 use std::time::Instant;
 
 use crate::core::state::job::Job;
+use crate::core::state::resources::Resources;
 use crate::core::state::slot::{Slot, SlotState};
+use crate::core::state::token;
 use crate::core::storage::wal::{LogEntry, WriteAheadLog};
 use crate::wire::{Command, ExitReason, JobId, MachineId, TaskId};
 
-/// Bits of a token below the term.
-pub(in crate::core) const TOKEN_BITS: u32 = 20;
-
 /// How far a machine is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachinePhase {
@@ -138,7 +137,7 @@
 
     /// Whether the worker obeys this term.
     pub fn fenced(&self, term: u64) -> bool {
-        self.seen_token >> TOKEN_BITS == term
+        token::term_of(self.seen_token) == term
     }
 
     /// Whether it has the image or is fetching it.
@@ -158,14 +157,11 @@
         }
     }
 
-    /// CPUs, accelerators and memory that its tasks take.
-    pub fn used(&self) -> (f64, f64, f64) {
-        let specs = self.slots.values().filter(|s| s.takes_room());
-        specs
-            .filter_map(|s| s.spec.as_ref())
-            .fold((0.0, 0.0, 0.0), |u, s| {
-                (u.0 + s.cpus, u.1 + s.gpus, u.2 + s.memory_gb)
-            })
+    /// What its tasks take, or may take, of it.
+    pub fn used(&self) -> Resources {
+        let slots = self.slots.values().filter(|slot| slot.takes_room());
+        let specs = slots.filter_map(|slot| slot.spec.as_ref());
+        specs.map(|spec| Resources::of_task(spec)).sum()
     }
 
     /// Nothing on it that takes room.
@@ -199,12 +195,12 @@
     }
 
     pub(in crate::core) fn peek_token(&self, term: u64) -> u64 {
-        (term << TOKEN_BITS) + self.token_seq + 1
+        token::first_of_term(term) + self.token_seq + 1
     }
 
     /// A token above all given out for this machine before.
     pub(in crate::core) fn fresh_token(&mut self, term: u64) -> u64 {
         self.token_seq += 1;
-        (term << TOKEN_BITS) + self.token_seq
+        token::first_of_term(term) + self.token_seq
     }
 }
--- a/src/core/state/mod.rs
+++ b/src/core/state/mod.rs
@@ -3,8 +3,11 @@
 pub mod bits;
 pub mod config;
 pub mod dependencies;
+pub mod fleet_state;
 pub mod job;
 pub mod machine;
 pub mod model;
+pub mod resources;
 pub mod slot;
+pub(in crate::core) mod token;
 pub mod tombstones;
--- a/src/core/state/model.rs
+++ b/src/core/state/model.rs
@@ -14,9 +14,11 @@
 
 use crate::core::state::config::SchedulerConfig;
 use crate::core::state::dependencies::{Dependencies, DependencyOutcome, DependentJob, Urgency};
+use crate::core::state::fleet_state::FleetState;
 use crate::core::state::job::Job;
-use crate::core::state::machine::{Machine, MachinePhase, TOKEN_BITS};
+use crate::core::state::machine::{Machine, MachinePhase};
 use crate::core::state::slot::{Slot, SlotState};
+use crate::core::state::token;
 use crate::core::state::tombstones::Tombstones;
 use crate::core::storage::record::JobRecord;
 use crate::core::storage::wal::{LogEntry as Logged, LogReplay, WriteAheadLog};
@@ -25,8 +27,6 @@
 /// Ratios of the Last Model are kept above this, so that a team's job of no
 /// length doesn't make its long ones look like nothing.
 pub const MIN_RUN_TIME_RATIO: f64 = 0.1;
-/// Slack in comparisons of amounts.
-pub const AMOUNT_TOLERANCE: f64 = 1e-6;
 
 /// The cluster as the leader of one term knows it.
 #[derive(Debug)]
@@ -63,8 +63,8 @@
     pub listening_since: Option<Instant>,
     /// Attempts given out.
     attempts: u64,
-    /// Rentals under way and pauses, see [`crate::core::fleet`].
-    pub fleet: crate::core::fleet::FleetState,
+    /// Rentals under way and pauses, see [`FleetState`].
+    pub fleet: FleetState,
 }
 
 impl ClusterModel {
@@ -87,7 +87,7 @@
             shadows: false,
             listening_since: None,
             attempts: 0,
-            fleet: crate::core::fleet::FleetState::default(),
+            fleet: FleetState::default(),
         }
     }
 
@@ -245,7 +245,7 @@
     /// A new attempt number, never used before.
     pub fn new_attempt(&mut self) -> u64 {
         self.attempts += 1;
-        (self.term << TOKEN_BITS) + self.attempts
+        token::first_of_term(self.term) + self.attempts
     }
 
     /// Places a task: the slot is made, the log is told.
--- a/src/core/state/slot.rs
+++ b/src/core/state/slot.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::core::state::machine::TOKEN_BITS;
+use crate::core::state::token;
 use crate::wire::{ExitReason, JobSpec};
 
 /// State of a slot.
@@ -66,7 +66,7 @@
             attempt,
             state: SlotState::Unknown,
             spec,
-            start_token: term << TOKEN_BITS,
+            start_token: token::first_of_term(term),
             start_incarnation: 0,
             logged: 0,
             outcome: 0,
--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -8,9 +8,9 @@
 use crate::core::state::dependencies::DependencyOutcome;
 use crate::core::state::job::Job;
 use crate::core::state::model::{ClusterModel, MIN_RUN_TIME_RATIO};
+use crate::core::storage::atomic_write::AtomicWrite;
 use crate::core::storage::record::{self, FinalRecord};
 use crate::core::storage::wal::{LogAppend, LogEntry};
-use crate::store::writer::AtomicWrite;
 use crate::wire::{JobId, JobKind, JobState};
 
 /// Entries of the log that no start waits for are written at most so often.
--- a/src/leader/active_leader/fleet_loop.rs
+++ b/src/leader/active_leader/fleet_loop.rs
@@ -9,8 +9,8 @@
 
 use crate::cloud::CloudError;
 use crate::core::fleet::FleetAction;
+use crate::core::storage::atomic_write::AtomicWrite;
 use crate::core::storage::record;
-use crate::store::writer::AtomicWrite;
 
 use super::ActiveLeader;
 
--- a/src/leader/active_leader/heartbeat_routing.rs
+++ b/src/leader/active_leader/heartbeat_routing.rs
@@ -10,7 +10,7 @@
 use crate::core::evidence::heartbeats::HeartbeatOutcome;
 use crate::core::state::machine::MachinePhase;
 use crate::core::ClusterModel;
-use crate::peer::ApiResponse;
+use crate::response::ApiResponse;
 use crate::wire::{Heartbeat, HeartbeatResponse, MachineId};
 
 use super::ActiveLeader;
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -9,8 +9,8 @@
 
 use crate::controller::job_lookup::StoredJob;
 use crate::controller::unix_time_ms;
+use crate::core::storage::atomic_write::AtomicWrite;
 use crate::core::storage::record::{self, JobRecord};
-use crate::store::writer::AtomicWrite;
 use crate::store::StoreError;
 use crate::wire::JobId;
 
--- a/src/leader/active_leader/scheduling_loop.rs
+++ b/src/leader/active_leader/scheduling_loop.rs
@@ -7,10 +7,11 @@
 use tracing::{debug, info};
 
 use crate::controller::read_clocks;
+use crate::core::storage::atomic_write::AtomicWrite;
 use crate::core::storage::pending_writes::PendingWrite;
 use crate::core::storage::record;
 use crate::core::storage::wal::LogAppend;
-use crate::store::writer::{AtomicWrite, CommitError};
+use crate::store::writer::CommitError;
 use crate::wire::{CommandBatch, MachineId};
 use crate::worker::{self, CommandOutcome};
 
--- a/src/leader/active_leader/user_requests.rs
+++ b/src/leader/active_leader/user_requests.rs
@@ -9,9 +9,10 @@
 
 use crate::controller::job_lookup::StoredJob;
 use crate::controller::{accepted, unix_time_ms};
+use crate::core::storage::atomic_write::AtomicWrite;
 use crate::core::storage::record::{self, JobRecord};
-use crate::peer::ApiResponse;
-use crate::store::writer::{AtomicWrite, CommitError};
+use crate::response::ApiResponse;
+use crate::store::writer::CommitError;
 use crate::wire::{JobId, JobSpec};
 
 use super::ActiveLeader;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod http;
 pub mod leader;
 pub mod peer;
+pub mod response;
 pub mod settings;
 pub mod sockets;
 pub mod stall;
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -11,6 +11,7 @@
 use tracing::{debug, info};
 
 use super::{Store, StoreError};
+use crate::core::storage::atomic_write::AtomicWrite;
 use crate::wire::{Change, Condition, Transaction};
 
 /// Why a unit was not committed.
@@ -28,29 +29,6 @@
     Conflict(Vec<String>),
 }
 
-/// Changes that belong together, guarded by what the leader knows of the keys.
-#[derive(Debug, Default)]
-pub struct AtomicWrite {
-    /// Keys and their new values (`None`: to be deleted).
-    pub changes: Vec<(String, Option<Value>)>,
-    /// Keys that must not exist, whether they change or not.
-    pub absent: Vec<String>,
-    /// A user waits for it: it goes before the log and final states.
-    pub urgent: bool,
-}
-
-impl AtomicWrite {
-    /// The keys that it names.
-    fn keys(&self) -> impl Iterator<Item = &String> {
-        self.changes.iter().map(|change| &change.0).chain(&self.absent)
-    }
-
-    /// Whether it names one of the keys.
-    fn names(&self, keys: &HashSet<String>) -> bool {
-        self.keys().any(|key| keys.contains(key))
-    }
-}
-
 type Reply = oneshot::Sender<Result<(), CommitError>>;
 
 #[derive(Debug, Default)]
