--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -12,6 +12,7 @@
 use crate::core::storage::record::{self, FinalRecord, JobRecord};
 use crate::peer::PeerRequest;
 use crate::response::ApiResponse;
+use crate::store::KeyRead;
 use crate::wire::{Change, Condition, JobId, JobSpec, JobState, JobStatus, MachineType, Transaction};
 
 /// Whether a body can be a JSON object: a list of values in the order of the
@@ -135,7 +136,7 @@
         if !known.is_empty() {
             return known;
         }
-        if let Ok(Ok(item)) = self.store.get_soon(record::TYPES).await {
+        if let Ok(KeyRead::Found(item)) = self.store.get_soon(record::TYPES).await {
             if let Ok(types) = serde_json::from_value::<Vec<MachineType>>(item.value) {
                 *self.types.lock() = Arc::new(types);
             }
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -23,13 +23,13 @@
     /// Picks up the jobs that followers stored.
     pub(super) async fn watch_inbox(self: Arc<Self>) {
         loop {
-            let Ok((items, revision)) = self.controller.store.list(record::INBOX).await else {
+            let Ok(inbox) = self.controller.store.list(record::INBOX).await else {
                 sleep(Duration::from_millis(300)).await;
                 continue;
             };
-            let mut since = revision;
+            let mut since = inbox.revision;
             let mut all = true;
-            for i in items {
+            for i in inbox.items {
                 all &= self.clone().admit_from_inbox(&i.key, i.version).await;
             }
             // What couldn't be picked up is listed again soon.
@@ -63,10 +63,10 @@
         loop {
             sleep(RECONCILE_INTERVAL).await;
             self.forget_gone_workers();
-            let Ok((items, _)) = self.controller.store.list(record::JOBS).await else {
+            let Ok(jobs) = self.controller.store.list(record::JOBS).await else {
                 continue;
             };
-            for i in items {
+            for i in jobs.items {
                 let known = i
                     .key
                     .trim_start_matches(record::JOBS)
--- a/src/leader/active_leader/takeover.rs
+++ b/src/leader/active_leader/takeover.rs
@@ -7,15 +7,15 @@
 
 use crate::controller::unix_time_ms;
 use crate::core::storage::record::{self, JobRecord};
-use crate::store::StoreError;
+use crate::store::{KeyRead, StoreError};
 
 use super::ActiveLeader;
 
 impl ActiveLeader {
     pub(super) async fn load(&self) -> Result<(), StoreError> {
         let store = &self.controller.store;
-        let (jobs, _) = store.list(record::JOBS).await?;
-        let (segments, _) = store.list(record::WAL).await?;
+        let jobs = store.list(record::JOBS).await?.items;
+        let segments = store.list(record::WAL).await?.items;
         let ratios = store.get(record::RATIOS).await?;
         let types = store.get(record::TYPES).await?;
         let now = Instant::now();
@@ -41,13 +41,13 @@
             }
         }
         m.load_log(now);
-        if let Ok(item) = ratios {
+        if let KeyRead::Found(item) = ratios {
             self.writer.know(record::RATIOS, item.version);
             if let Ok(r) = serde_json::from_value(item.value) {
                 m.ratios = r;
             }
         }
-        if let Ok(item) = types {
+        if let KeyRead::Found(item) = types {
             self.writer.know(record::TYPES, item.version);
             if let Ok(t) = serde_json::from_value(item.value) {
                 m.types = t;
--- a/src/leader/mod.rs
+++ b/src/leader/mod.rs
@@ -21,7 +21,7 @@
 use crate::core::storage::record::{LeaderRecord, LEADER};
 use crate::settings::{DeploymentSettings, OperatorSettings};
 use crate::stall::TICK;
-use crate::store::StoreError;
+use crate::store::{KeyRead, StoreError};
 use crate::wire::{Change, Condition, KeyValue, Transaction};
 use active_leader::ActiveLeader;
 
@@ -71,13 +71,13 @@
 async fn run_elections(controller: Arc<Controller>) {
     loop {
         match controller.store.get(LEADER).await {
-            Ok(Ok(item)) => match record_of(&item) {
+            Ok(KeyRead::Found(item)) => match record_of(&item) {
                 // Our earlier self is dead: its key may be replaced at once.
                 Some(r) if r.host == controller.host() => run_for_leader(&controller, item.version).await,
                 Some(r) => follow(&controller, &r, item.version).await,
                 None => run_for_leader(&controller, item.version).await,
             },
-            Ok(Err(_)) => run_for_leader(&controller, 0).await,
+            Ok(KeyRead::Missing { .. }) => run_for_leader(&controller, 0).await,
             Err(e) => {
                 debug!(error = %e, "can't read who leads");
                 sleep(Duration::from_millis(300)).await;
@@ -110,7 +110,7 @@
                 debug!(error = %e, "can't watch the leader");
                 sleep(Duration::from_millis(400)).await;
                 match controller.store.get(LEADER).await {
-                    Ok(Ok(item)) if item.version == version => since = version,
+                    Ok(KeyRead::Found(item)) if item.version == version => since = version,
                     Ok(_) => return,
                     Err(_) => {}
                 }
@@ -160,7 +160,7 @@
     if term.is_none() {
         // It may have applied, or still may: the key tells. A late copy puts
         // a key of ours attached to a lease that ends soon.
-        if let Ok(Ok(item)) = controller.store.get(LEADER).await {
+        if let Ok(KeyRead::Found(item)) = controller.store.get(LEADER).await {
             if record_of(&item).as_ref() == Some(&record) && item.version > version {
                 term = Some(item.version);
             }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -42,6 +42,27 @@
     Rejected(u16),
 }
 
+/// What a read of one key found.
+#[derive(Debug, Clone, PartialEq)]
+pub enum KeyRead {
+    /// The key exists.
+    Found(KeyValue),
+    /// The key does not exist at this revision of the store.
+    Missing {
+        /// The store's revision at the time of the read.
+        revision: u64,
+    },
+}
+
+/// All keys with a prefix, as of one or more pages read one after the other.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Listing {
+    /// The keys with their values, in key order.
+    pub items: Vec<KeyValue>,
+    /// The store's revision when the last page was read.
+    pub revision: u64,
+}
+
 /// The client.
 #[derive(Debug)]
 pub struct Store {
@@ -166,8 +187,8 @@
         Ok(())
     }
 
-    /// Reads a key. `Err(revision)` inside: it does not exist at that revision.
-    pub async fn get(&self, key: &str) -> Result<Result<KeyValue, u64>, StoreError> {
+    /// Reads a key.
+    pub async fn get(&self, key: &str) -> Result<KeyRead, StoreError> {
         self.requests.pass(1.0).await;
         self.read(key, PATIENCE).await
     }
@@ -175,26 +196,28 @@
     /// [`Store::get`] for one who waits for the answer: where the budget is used
     /// up for longer than a moment, as in a flood of questions, it is refused at
     /// once, and what the leader needs for its own doesn't queue behind it.
-    pub async fn get_soon(&self, key: &str) -> Result<Result<KeyValue, u64>, StoreError> {
+    pub async fn get_soon(&self, key: &str) -> Result<KeyRead, StoreError> {
         if !self.requests.pass_soon(1.0, SOON).await {
             return Err(StoreError::Unavailable);
         }
         self.read(key, Duration::from_millis(900)).await
     }
 
-    async fn read(&self, key: &str, timeout: Duration) -> Result<Result<KeyValue, u64>, StoreError> {
+    async fn read(&self, key: &str, timeout: Duration) -> Result<KeyRead, StoreError> {
         let r = self
             .call(Method::GET, &format!("/kv/{key}"), None, timeout)
             .await?;
         match r.status {
-            200 => Ok(Ok(parse(&r)?)),
-            404 => Ok(Err(parse::<TransactionResult>(&r)?.revision)),
+            200 => Ok(KeyRead::Found(parse(&r)?)),
+            404 => Ok(KeyRead::Missing {
+                revision: parse::<TransactionResult>(&r)?.revision,
+            }),
             s => Err(refusal(s)),
         }
     }
 
     /// Reads all keys with a prefix, page by page.
-    pub async fn list(&self, prefix: &str) -> Result<(Vec<KeyValue>, u64), StoreError> {
+    pub async fn list(&self, prefix: &str) -> Result<Listing, StoreError> {
         let mut items: Vec<KeyValue> = Vec::new();
         loop {
             self.requests.pass(1.0).await;
@@ -211,7 +234,10 @@
             let end = page.items.is_empty() || !page.more;
             items.extend(page.items);
             if end {
-                return Ok((items, page.revision));
+                return Ok(Listing {
+                    items,
+                    revision: page.revision,
+                });
             }
         }
     }
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -10,7 +10,7 @@
 use tokio::sync::{oneshot, Notify};
 use tracing::{debug, info};
 
-use super::{Store, StoreError};
+use super::{KeyRead, Store, StoreError};
 use crate::core::storage::atomic_write::AtomicWrite;
 use crate::wire::{Change, Condition, Transaction};
 
@@ -353,11 +353,11 @@
                     return Some(batch);
                 }
                 match self.store.get(key).await {
-                    Ok(Ok(item)) => {
+                    Ok(KeyRead::Found(item)) => {
                         now.insert(key.clone(), (item.version, item.value));
                         break;
                     }
-                    Ok(Err(_)) => {
+                    Ok(KeyRead::Missing { .. }) => {
                         now.insert(key.clone(), (0, Value::Null));
                         break;
                     }
