--- /dev/null
+++ b/tests/planner/cordon.rs
@@ -0,0 +1,135 @@
+//! Machines that fail the tasks of several jobs are cordoned, for a bounded time.
+
+use bitternfold::wire::*;
+
+use crate::fixtures::*;
+use crate::support::*;
+
+#[test]
+fn a_machine_that_fails_the_tasks_of_several_jobs_is_cordoned() {
+    // Jobs that are fine elsewhere, or more than are likely to be bad at once.
+    for (jobs, fine) in [(2, true), (3, false)] {
+        let now = start();
+        let mut m = model(1);
+        add(&mut m, "i-1", "small", "north", false, now);
+        for n in 1..=jobs {
+            m.add_job(record(job(n, 2, 1.0)), now);
+        }
+        if fine {
+            let first = m.jobs.values_mut().next().expect("a job");
+            first.waiting.remove(1);
+            first.done.insert(1);
+        }
+        m.plan(now);
+        let id = MachineId::from("i-1");
+        all_ended(&mut m, "i-1", ExitReason::Failed, 2, now + secs(1));
+        assert!(m.machines[&id].cordoned_since.is_some(), "{jobs} jobs");
+        add(&mut m, "i-2", "small", "north", false, now + secs(1));
+        m.plan(now + secs(1));
+        assert!(!tasks_on(&m, "i-2").is_empty() && tasks_on(&m, "i-1").is_empty());
+    }
+}
+
+#[test]
+fn jobs_that_fail_everywhere_cordon_no_machine_and_take_little() {
+    // Submitted with a mistake: two such jobs fail wherever they are tried,
+    // beside a job that is fine. Only their pauses grow, and not for long.
+    let mut now = start();
+    let mut m = model(1);
+    let ids: Vec<String> = (1..=8).map(|i| format!("i-{i}")).collect();
+    ids.iter()
+        .for_each(|id| add(&mut m, id, "small", "north", false, now));
+    for n in [1, 2] {
+        m.add_job(record(job(n, 16, 4.0)), now);
+    }
+    let bad: Vec<JobId> = m.jobs.keys().copied().collect();
+    let mut tries = 0;
+    for i in 0..300u64 {
+        now += secs(1);
+        m.plan(now);
+        for id in &ids {
+            tries += tasks_on(&m, id).len();
+            all_ended(&mut m, id, ExitReason::Failed, 10 + i * 2, now);
+        }
+    }
+    assert!(m.machines.values().all(|x| x.cordoned_since.is_none()));
+    assert!((18..80).contains(&tries), "{tries} tries in 300 s");
+    let longest = m
+        .jobs
+        .values()
+        .filter_map(|j| j.pause_until)
+        .max()
+        .expect("a pause");
+    assert!(longest <= now + secs(20));
+    // One was only unlucky: it is tried again in time, and then runs in full.
+    let job = m.jobs.get_mut(&bad[0]).expect("known");
+    job.done.insert(0);
+    job.waiting.remove(0);
+    job.failures.clear();
+    job.pause_until = None;
+    m.plan(now + secs(1));
+    assert_eq!(
+        m.jobs[&bad[0]].waiting.count(),
+        0,
+        "15 tasks on 8 machines of 8 CPUs"
+    );
+}
+
+#[test]
+fn a_job_whose_other_tasks_run_on_is_not_blamed_for_its_failures() {
+    // Three sick machines among good ones, and no task is done for long: tried
+    // on one at a time, its other tasks would wait beside free machines.
+    let now = start();
+    let mut m = model(1);
+    let ids: Vec<String> = (1..=4).map(|i| format!("i-{i}")).collect();
+    ids.iter()
+        .for_each(|id| add(&mut m, id, "small", "north", false, now));
+    m.add_job(record(job(1, 4, 8.0)), now);
+    m.plan(now);
+    let mut r = heartbeat("i-1", "small", "north", false, 1, 2);
+    r.tasks = running(&m, &"i-1".into());
+    m.apply_heartbeat(&r, now + secs(1));
+    for id in &ids[1..] {
+        all_ended(&mut m, id, ExitReason::Failed, 2, now + secs(2));
+    }
+    let only = m.jobs.values().next().expect("the job");
+    assert_eq!(
+        m.admitted(only, now + secs(3)),
+        1,
+        "so far it may fail everywhere"
+    );
+    assert!(
+        m.admitted(only, now + secs(60)) >= 4,
+        "one task runs on and on: all are admitted"
+    );
+    add(&mut m, "i-5", "small", "north", false, now + secs(60));
+    add(&mut m, "i-6", "small", "north", false, now + secs(60));
+    m.plan(now + secs(60));
+    assert_eq!(tasks_on(&m, "i-5").len() + tasks_on(&m, "i-6").len(), 2);
+}
+
+#[test]
+fn a_cordon_ends_whether_or_not_the_machine_runs_something() {
+    // An empty machine goes back to the cloud, but the cloud may refuse that for
+    // long. One with long tasks stays, and its room with it. What ailed either
+    // may be over.
+    for busy in [false, true] {
+        let now = start();
+        let mut m = model(1);
+        add(&mut m, "i-1", "small", "north", false, now);
+        if busy {
+            m.add_job(record(job(1, 1, 4.0)), now);
+            m.plan(now);
+        }
+        let id = MachineId::from("i-1");
+        m.machines.get_mut(&id).expect("known").cordoned_since = Some(now);
+        m.add_job(record(job(2, 1, 4.0)), now);
+        m.plan(now + secs(30));
+        assert_eq!(tasks_on(&m, "i-1").len(), usize::from(busy), "still cordoned");
+        let mut r = heartbeat("i-1", "small", "north", false, 1, 9);
+        r.tasks = running(&m, &id);
+        m.apply_heartbeat(&r, now + secs(60));
+        m.plan(now + secs(60));
+        assert_eq!(tasks_on(&m, "i-1").len(), 1 + usize::from(busy));
+    }
+}
--- /dev/null
+++ b/tests/planner/preemption.rs
@@ -0,0 +1,107 @@
+//! Young over-quota tasks are preempted for urgent work, within bounds.
+
+use std::time::Duration;
+
+use bitternfold::core::ClusterModel;
+use bitternfold::wire::*;
+
+use crate::fixtures::*;
+use crate::support::*;
+
+/// Machines full of a job of low priority that was started in order and has
+/// run for `run`, and a job of ordinary priority that then finds no room. What
+/// is stopped for it in the next round.
+fn stopped_for_urgent_work(
+    low: impl Fn(&mut JobSpec),
+    urgent: impl Fn(&mut JobSpec),
+    run: Duration,
+) -> (ClusterModel, usize) {
+    let now = start();
+    let mut m = model(5);
+    for i in 0..4 {
+        add(&mut m, &format!("i-{i}"), "small", "north", false, now);
+    }
+    let mut spec = job(1, 8, 4.0);
+    spec.priority = Priority::Low;
+    spec.estimate_s = 300.0;
+    low(&mut spec);
+    m.add_job(record(spec), now);
+    m.plan(now);
+    run_all(&mut m, now);
+    let later = now + run;
+    for i in 0..4 {
+        let id = format!("i-{i}");
+        let mut r = heartbeat(&id, "small", "north", false, 5, 2);
+        r.tasks = running(&m, &id.as_str().into());
+        m.apply_heartbeat(&r, later);
+    }
+    let mut spec = job(2, 3, 4.0);
+    spec.deadline_s = Some(120.0);
+    urgent(&mut spec);
+    m.add_job(record(spec), later);
+    m.plan(later);
+    let slots = m.machines.values().flat_map(|x| x.slots.values());
+    let stopped = slots.filter(|s| s.stop.is_some()).count();
+    (m, stopped)
+}
+
+#[test]
+fn young_borrowed_tasks_make_room_for_urgent_work() {
+    // A guest without a guarantee filled all machines in order, so that none of
+    // its tasks was shadow load, right before work with a deadline arrived.
+    let as_is = |_: &mut JobSpec| {};
+    let (m, stopped) = stopped_for_urgent_work(as_is, as_is, secs(20));
+    assert_eq!(stopped, 3);
+    let ids: Vec<JobId> = m.jobs.keys().copied().collect();
+    assert_eq!(m.jobs[&ids[1]].waiting.count(), 0, "they are placed at once");
+    assert!(
+        m.jobs[&ids[0]].pause_until.is_some(),
+        "the guest's refills no gaps"
+    );
+    // More is asked for than may be stopped: two of the guest's go on.
+    let (_, stopped) = stopped_for_urgent_work(as_is, |s| s.tasks = 20, secs(20));
+    assert_eq!(stopped, 6);
+    // Much work would be lost.
+    let (_, stopped) = stopped_for_urgent_work(as_is, as_is, secs(80));
+    assert_eq!(stopped, 0, "no longer young");
+    // Its user was told a time.
+    let (_, stopped) = stopped_for_urgent_work(|s| s.deadline_s = Some(900.0), as_is, secs(20));
+    assert_eq!(stopped, 0, "promised");
+    // It belongs to its team: red has 16 CPUs for itself.
+    let reds = |s: &mut JobSpec| (s.team, s.tasks) = ("red".into(), 4);
+    let (_, stopped) = stopped_for_urgent_work(reds, |s| s.tasks = 8, secs(20));
+    assert_eq!(stopped, 0, "guaranteed");
+    let (_, stopped) = stopped_for_urgent_work(as_is, |s| s.priority = Priority::Low, secs(20));
+    assert_eq!(stopped, 0, "not of higher priority");
+    let (_, stopped) = stopped_for_urgent_work(as_is, |s| s.deadline_s = Some(10.0), secs(20));
+    assert_eq!(stopped, 0, "too late anyhow");
+}
+
+#[test]
+fn stops_of_borrowed_tasks_pause_their_job_for_a_bounded_time() {
+    // A pause that each stop prolonged would let other tasks wait beside room
+    // that the blocked head can't use, for as long as stops go on.
+    let as_is = |_: &mut JobSpec| {};
+    let (mut m, stopped) = stopped_for_urgent_work(as_is, as_is, secs(20));
+    assert_eq!(stopped, 3);
+    let guest = *m.jobs.keys().next().expect("the guest's job");
+    let end = m.jobs[&guest].pause_until.expect("a pause");
+    let mut again = job(3, 1, 4.0);
+    again.deadline_s = Some(120.0);
+    let at = end - secs(1);
+    for i in 0..4 {
+        let id = format!("i-{i}");
+        let mut r = heartbeat(&id, "small", "north", false, 5, 3);
+        r.tasks = running(&m, &id.as_str().into());
+        m.apply_heartbeat(&r, at);
+    }
+    m.add_job(record(again), at);
+    m.plan(at);
+    let slots = m.machines.values().flat_map(|x| x.slots.values());
+    assert_eq!(
+        slots.filter(|s| s.stop.is_some()).count(),
+        4,
+        "one more is stopped"
+    );
+    assert_eq!(m.jobs[&guest].pause_until, Some(end));
+}
