--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -6,14 +6,13 @@
 
 use std::collections::HashMap;
 use std::sync::Arc;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 
 use parking_lot::Mutex;
 use tracing::info;
 
 use crate::cloud::Cloud;
 use crate::controller::job_lookup::TerminalStates;
-use crate::core::evidence::authority::ClockReading;
 use crate::core::SchedulerConfig;
 use crate::http::Http;
 use crate::leader::active_leader::ActiveLeader;
@@ -76,22 +75,6 @@
     peers: Mutex<HashMap<String, Instant>>,
 }
 
-/// Milliseconds of the time of day.
-pub fn unix_time_ms() -> u64 {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .unwrap_or_default()
-        .as_millis() as u64
-}
-
-/// Both clocks of this process.
-pub fn read_clocks() -> ClockReading {
-    ClockReading {
-        steady: Instant::now(),
-        time_of_day: SystemTime::now(),
-    }
-}
-
 impl Controller {
     /// A controller that is not running yet.
     pub fn new(deployment: DeploymentSettings, operator_settings: OperatorSettings) -> Arc<Self> {
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -6,7 +6,8 @@
 
 use tracing::debug;
 
-use super::{unix_time_ms, Controller};
+use super::Controller;
+use crate::clock::unix_time_ms;
 use crate::controller::job_lookup::StoredJob;
 use crate::core::scheduling::admission::{admissible, AdmissionError};
 use crate::core::storage::record::{self, FinalRecord, JobRecord};
--- a/src/leader/active_leader/dependency_lookup.rs
+++ b/src/leader/active_leader/dependency_lookup.rs
@@ -7,8 +7,8 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
+use crate::clock::unix_time_ms;
 use crate::controller::job_lookup::StoredJob;
-use crate::controller::unix_time_ms;
 use crate::core::state::dependencies::DependencyOutcome;
 use crate::core::storage::record::FinalRecord;
 use crate::store::StoreError;
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -7,8 +7,8 @@
 use tokio::time::sleep;
 use tracing::info;
 
+use crate::clock::unix_time_ms;
 use crate::controller::job_lookup::StoredJob;
-use crate::controller::unix_time_ms;
 use crate::core::storage::atomic_write::AtomicWrite;
 use crate::core::storage::record::{self, JobRecord};
 use crate::store::StoreError;
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -19,7 +19,8 @@
 use tracing::{debug, info};
 
 use super::redirects::RedirectHistory;
-use crate::controller::{read_clocks, Controller, Role};
+use crate::clock::read_clocks;
+use crate::controller::{Controller, Role};
 use crate::core::evidence::authority::{Authority, AuthorityLimits, ClockReading};
 use crate::core::storage::record::{self};
 use crate::core::ClusterModel;
--- a/src/leader/active_leader/scheduling_loop.rs
+++ b/src/leader/active_leader/scheduling_loop.rs
@@ -6,7 +6,7 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, info};
 
-use crate::controller::read_clocks;
+use crate::clock::read_clocks;
 use crate::core::storage::atomic_write::AtomicWrite;
 use crate::core::storage::pending_writes::PendingWrite;
 use crate::core::storage::record;
--- a/src/leader/active_leader/takeover.rs
+++ b/src/leader/active_leader/takeover.rs
@@ -5,7 +5,7 @@
 
 use tracing::info;
 
-use crate::controller::unix_time_ms;
+use crate::clock::unix_time_ms;
 use crate::core::storage::record::{self, JobRecord};
 use crate::store::{KeyRead, StoreError};
 
--- a/src/leader/active_leader/user_requests.rs
+++ b/src/leader/active_leader/user_requests.rs
@@ -7,8 +7,9 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, info};
 
+use crate::clock::unix_time_ms;
+use crate::controller::accepted;
 use crate::controller::job_lookup::StoredJob;
-use crate::controller::{accepted, unix_time_ms};
 use crate::core::storage::atomic_write::AtomicWrite;
 use crate::core::storage::record::{self, JobRecord};
 use crate::response::ApiResponse;
--- a/src/leader/mod.rs
+++ b/src/leader/mod.rs
@@ -17,7 +17,8 @@
 use tracing::{debug, info};
 
 use crate::api::ConnectionTimeouts;
-use crate::controller::{read_clocks, Controller, Role};
+use crate::clock::read_clocks;
+use crate::controller::{Controller, Role};
 use crate::core::storage::record::{LeaderRecord, LEADER};
 use crate::settings::{DeploymentSettings, OperatorSettings};
 use crate::stall::TICK;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,6 +10,7 @@
 #![deny(missing_docs)]
 
 pub mod api;
+pub mod clock;
 pub mod cloud;
 pub mod controller;
 pub mod core;
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -151,7 +151,7 @@
         site.state.refuse(leader, false);
         // A job that was accepted, though no mark of it is left.
         let spec: bitternfold::wire::JobSpec = serde_json::from_value(site.job(7, 2)).expect("a job");
-        let lost = json!({"spec": spec, "at": bitternfold::controller::unix_time_ms()});
+        let lost = json!({"spec": spec, "at": bitternfold::clock::unix_time_ms()});
         site.state.plant("jobs/job-000007", lost);
         let began = Instant::now();
         // Nobody asks about it: it is found nevertheless.
@@ -183,7 +183,7 @@
         site.insist("POST", 0, "/v2/runs", Some(site.job(1, 3))).await;
         site.until(0, "job-000001", "running").await;
         let spec: bitternfold::wire::JobSpec = serde_json::from_value(site.job(1, 3)).expect("a job");
-        let same = json!({"spec": spec, "at": bitternfold::controller::unix_time_ms()});
+        let same = json!({"spec": spec, "at": bitternfold::clock::unix_time_ms()});
         site.state.plant("jobs/job-000001", same);
         site.state.plant("jobs/job-000008", json!({"spec": "torn"}));
         for at in 0..3 {
@@ -191,7 +191,7 @@
             assert_eq!(status, 503, "neither known nor unknown");
         }
         let spec: bitternfold::wire::JobSpec = serde_json::from_value(site.job(8, 2)).expect("a job");
-        let good = json!({"spec": spec, "at": bitternfold::controller::unix_time_ms()});
+        let good = json!({"spec": spec, "at": bitternfold::clock::unix_time_ms()});
         site.state.plant("jobs/job-000008", good);
         for job in ["job-000001", "job-000008"] {
             for at in 0..3 {
