--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -2,6 +2,7 @@
 //! or a worker finds the one who may answer it.
 
 pub mod job_lookup;
+pub mod term_leader;
 mod users;
 
 use std::collections::HashMap;
@@ -13,16 +14,16 @@
 
 use crate::cloud::Cloud;
 use crate::controller::job_lookup::TerminalStates;
+use crate::controller::term_leader::TermLeader;
 use crate::core::SchedulerConfig;
 use crate::http::Http;
-use crate::leader::active_leader::ActiveLeader;
-use crate::peer::{PeerLink, PeerRequest};
+use crate::peer::{KnownLeader, PeerLink, PeerRequest, PeerRequestHandler};
 use crate::response::ApiResponse;
 use crate::settings::{DeploymentSettings, OperatorSettings};
 use crate::sockets::SocketBudget;
 use crate::stall::StallDetector;
 use crate::store::Store;
-use crate::wire::{MachineType, Redirect};
+use crate::wire::MachineType;
 
 /// A controller whose link was quiet so long isn't counted as connected.
 const PEER_QUIET: Duration = Duration::from_millis(2500);
@@ -42,7 +43,7 @@
         term: u64,
     },
     /// This one.
-    Leading(Arc<ActiveLeader>),
+    Leading(Arc<dyn TermLeader>),
 }
 
 /// A controller.
@@ -141,9 +142,9 @@
         }
         let role = self.role();
         if let Role::Leading(active_leader) = role {
-            if active_leader.term < term {
+            if active_leader.term() < term {
                 info!(
-                    term = active_leader.term,
+                    term = active_leader.term(),
                     newer = term,
                     "another leads in a newer term"
                 );
@@ -166,18 +167,21 @@
     }
 
     /// The latest leader known here, and its term.
-    pub fn known_leader(&self) -> Option<(u64, String)> {
+    pub fn known_leader(&self) -> Option<KnownLeader> {
         match self.role() {
             Role::Unknown => None,
-            Role::Following { host, term } => Some((term, host)),
-            Role::Leading(r) => Some((r.term, self.host().to_owned())),
+            Role::Following { host, term } => Some(KnownLeader { term, host }),
+            Role::Leading(active_leader) => Some(KnownLeader {
+                term: active_leader.term(),
+                host: self.host().to_owned(),
+            }),
         }
     }
 
     /// Another controller tells who leads. One that can't read the state
     /// service itself still finds the leader so.
-    pub fn observe_leader(&self, leader: Option<(u64, String)>) {
-        let Some((term, host)) = leader.filter(|(_, h)| h != self.host()) else {
+    pub fn observe_leader(&self, leader: Option<KnownLeader>) {
+        let Some(KnownLeader { term, host }) = leader.filter(|leader| leader.host != self.host()) else {
             return;
         };
         let mut role = self.role.lock();
@@ -198,24 +202,14 @@
         self.active_leader().is_some() || self.links.iter().any(|l| l.alive()) || self.store.reachable()
     }
 
-    /// The active_leader, if this one leads and may act now.
-    fn active_leader(&self) -> Option<Arc<ActiveLeader>> {
+    /// The leader of the current term, if this one leads and may act now.
+    fn active_leader(&self) -> Option<Arc<dyn TermLeader>> {
         match self.role() {
             Role::Leading(r) if r.may_act() => Some(r),
             _ => None,
         }
     }
 
-    /// Another controller's link spoke.
-    pub fn peer_alive(&self, host: &str) {
-        self.peers.lock().insert(host.to_owned(), Instant::now());
-    }
-
-    /// Another controller's link ended.
-    pub fn lost_peer(&self, host: &str) {
-        self.peers.lock().remove(host);
-    }
-
     /// Controllers connected to this one, itself included.
     pub fn connected(&self) -> Vec<String> {
         let peers = self.peers.lock();
@@ -237,10 +231,64 @@
         link.request(request, patience).await.filter(|r| r.status != 0)
     }
 
-    /// Answers another controller's question.
-    pub async fn handle_peer_request(&self, from: &str, request: PeerRequest) -> ApiResponse {
+    /// A worker's report, relayed to the leader if that is another.
+    pub async fn heartbeat(&self, body: &[u8]) -> ApiResponse {
+        self.check_for_stall();
+        match self.role() {
+            Role::Leading(active_leader) => active_leader.heartbeat(body, self.host()),
+            Role::Following { .. } => self
+                .forward_to_leader(PeerRequest::Heartbeat(body.to_vec()), Duration::from_millis(2500))
+                .await
+                .unwrap_or_else(|| ApiResponse::unavailable("no leader answers")),
+            Role::Unknown => ApiResponse::unavailable("no leader known"),
+        }
+    }
+}
+
+impl PeerRequestHandler for Controller {
+    fn host(&self) -> &str {
+        Controller::host(self)
+    }
+
+    fn max_pending_responses(&self) -> usize {
+        self.sockets.max_incoming()
+    }
+
+    fn known_term(&self) -> u64 {
+        Controller::known_term(self)
+    }
+
+    fn known_leader(&self) -> Option<KnownLeader> {
+        Controller::known_leader(self)
+    }
+
+    fn observe_term(&self, term: u64) {
+        Controller::observe_term(self, term);
+    }
+
+    fn observe_leader(&self, leader: Option<KnownLeader>) {
+        Controller::observe_leader(self, leader);
+    }
+
+    fn peer_alive(&self, host: &str) {
+        self.peers.lock().insert(host.to_owned(), Instant::now());
+    }
+
+    fn peer_disconnected(&self, host: &str) {
+        self.peers.lock().remove(host);
+    }
+
+    fn handle_heartbeat(&self, from: &str, body: &[u8]) -> ApiResponse {
+        self.check_for_stall();
+        match self.role() {
+            Role::Leading(active_leader) => active_leader.heartbeat(body, from),
+            _ => ApiResponse::not_leading(),
+        }
+    }
+
+    async fn handle_request(&self, from: &str, request: PeerRequest) -> ApiResponse {
         if let PeerRequest::Heartbeat(body) = request {
-            return self.answer_heartbeat(from, &body);
+            return self.handle_heartbeat(from, &body);
         }
         let Some(active_leader) = self.active_leader() else {
             return ApiResponse::not_leading();
@@ -258,36 +306,4 @@
             PeerRequest::Ping { .. } | PeerRequest::Heartbeat(_) => ApiResponse::not_leading(),
         }
     }
-
-    /// Answers a report that another controller passes on.
-    pub fn answer_heartbeat(&self, from: &str, body: &[u8]) -> ApiResponse {
-        self.check_for_stall();
-        match self.role() {
-            Role::Leading(active_leader) => active_leader.heartbeat(body, from),
-            _ => ApiResponse::not_leading(),
-        }
-    }
-
-    /// A worker's report, relayed to the leader if that is another.
-    pub async fn heartbeat(&self, body: &[u8]) -> ApiResponse {
-        self.check_for_stall();
-        match self.role() {
-            Role::Leading(active_leader) => active_leader.heartbeat(body, self.host()),
-            Role::Following { .. } => self
-                .forward_to_leader(PeerRequest::Heartbeat(body.to_vec()), Duration::from_millis(2500))
-                .await
-                .unwrap_or_else(|| ApiResponse::unavailable("no leader answers")),
-            Role::Unknown => ApiResponse::unavailable("no leader known"),
-        }
-    }
-
-    /// The answer that sends a worker elsewhere.
-    pub fn elsewhere(host: &str) -> ApiResponse {
-        ApiResponse::json(
-            421,
-            &Redirect {
-                report_to: Some(host.to_owned()),
-            },
-        )
-    }
 }
--- a/src/leader/active_leader/heartbeat_routing.rs
+++ b/src/leader/active_leader/heartbeat_routing.rs
@@ -6,7 +6,6 @@
 
 use tracing::{error, info};
 
-use crate::controller::Controller;
 use crate::core::evidence::heartbeats::HeartbeatOutcome;
 use crate::core::state::machine::MachinePhase;
 use crate::core::ClusterModel;
@@ -91,7 +90,7 @@
         // Late copies tell nothing of where the worker reports now.
         if outcome == HeartbeatOutcome::Applied {
             if let Some(to) = self.redirect(&r.machine, via, now) {
-                return Controller::elsewhere(&to);
+                return ApiResponse::redirect(&to);
             }
         }
         let mut commands = if may_act { commands } else { Vec::new() };
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -6,6 +6,7 @@
 mod job_intake;
 mod scheduling_loop;
 mod takeover;
+mod term_leader;
 mod user_requests;
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- /dev/null
+++ b/src/leader/active_leader/term_leader.rs
@@ -0,0 +1,44 @@
+//! The active leader as its controller sees it.
+
+use std::sync::Arc;
+use std::time::Instant;
+
+use crate::controller::term_leader::{PendingResponse, TermLeader};
+use crate::response::ApiResponse;
+use crate::wire::JobId;
+
+use super::ActiveLeader;
+
+impl TermLeader for ActiveLeader {
+    fn term(&self) -> u64 {
+        self.term
+    }
+
+    fn may_act(&self) -> bool {
+        ActiveLeader::may_act(self)
+    }
+
+    fn end(&self) {
+        ActiveLeader::end(self);
+    }
+
+    fn resumed_after_pause(&self, now: Instant) {
+        ActiveLeader::resumed_after_pause(self, now);
+    }
+
+    fn heartbeat(&self, body: &[u8], via: &str) -> ApiResponse {
+        ActiveLeader::heartbeat(self, body, via)
+    }
+
+    fn submit<'a>(self: Arc<Self>, body: &'a [u8]) -> PendingResponse<'a> {
+        Box::pin(async move { ActiveLeader::submit(&self, body).await })
+    }
+
+    fn poll(self: Arc<Self>, id: JobId) -> PendingResponse<'static> {
+        Box::pin(async move { ActiveLeader::poll(&self, id).await })
+    }
+
+    fn cancel(self: Arc<Self>, id: JobId) -> PendingResponse<'static> {
+        Box::pin(async move { ActiveLeader::cancel(&self, id).await })
+    }
+}
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -2,6 +2,7 @@
 //! frames over TCP, questions and answers matched by number.
 
 use std::collections::HashMap;
+use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,7 +16,6 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, info};
 
-use crate::controller::Controller;
 use crate::response::ApiResponse;
 
 /// Largest frame.
@@ -45,6 +45,49 @@
     Heartbeat(Vec<u8>),
 }
 
+/// A controller that leads, as far as is known.
+#[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
+pub struct KnownLeader {
+    /// The term that it was elected for.
+    pub term: u64,
+    /// Its name.
+    pub host: String,
+}
+
+/// What a controller does with what others send it. All methods but
+/// [`handle_request`](Self::handle_request) return at once.
+pub trait PeerRequestHandler: Send + Sync + 'static {
+    /// This controller's name.
+    fn host(&self) -> &str;
+
+    /// Most responses that wait to be sent on one link.
+    fn max_pending_responses(&self) -> usize;
+
+    /// The highest term known here.
+    fn known_term(&self) -> u64;
+
+    /// The latest leader known here.
+    fn known_leader(&self) -> Option<KnownLeader>;
+
+    /// Another controller knows of this term.
+    fn observe_term(&self, term: u64);
+
+    /// Another controller knows this leader.
+    fn observe_leader(&self, leader: Option<KnownLeader>);
+
+    /// A frame came from this controller.
+    fn peer_alive(&self, host: &str);
+
+    /// The link from this controller ended.
+    fn peer_disconnected(&self, host: &str);
+
+    /// Responds to a worker's heartbeat that the controller `from` passes on.
+    fn handle_heartbeat(&self, from: &str, body: &[u8]) -> ApiResponse;
+
+    /// Responds to a request of the controller `from`.
+    fn handle_request(&self, from: &str, request: PeerRequest) -> impl Future<Output = ApiResponse> + Send;
+}
+
 /// What goes over a link. Its bytes are those of all earlier versions: a variant
 /// that one of them can't read would end its connection, so what is new goes into
 /// the JSON bodies inside.
@@ -75,8 +118,8 @@
     Pong {
         /// The term.
         term: u64,
-        /// The leader's term and name.
-        leader: Option<(u64, String)>,
+        /// That leader, if any is known.
+        leader: Option<KnownLeader>,
     },
 }
 
@@ -160,14 +203,14 @@
     }
 
     /// Keeps the link connected for ever.
-    pub async fn run(self: Arc<Self>, controller: Arc<Controller>) {
+    pub async fn run(self: Arc<Self>, handler: Arc<impl PeerRequestHandler>) {
         let Some(mut inbox) = self.inbox.lock().take() else {
             return;
         };
         loop {
             if let Ok(Ok(stream)) = timeout(Duration::from_secs(1), TcpStream::connect(self.addr)).await {
                 let _ = stream.set_nodelay(true);
-                let end = self.serve(stream, &mut inbox, &controller).await;
+                let end = self.serve(stream, &mut inbox, &handler).await;
                 debug!(peer = %self.host, ?end, "link ended");
             }
             *self.last_heartbeat.lock() = None;
@@ -179,13 +222,13 @@
         &self,
         stream: TcpStream,
         inbox: &mut mpsc::Receiver<QueuedRequest>,
-        controller: &Arc<Controller>,
+        handler: &Arc<impl PeerRequestHandler>,
     ) -> io::Result<()> {
         let (read, mut write) = stream.into_split();
         let mut read = BufReader::new(read);
         let mut out = Vec::new();
         let hello = Frame::Hello {
-            host: controller.host().to_owned(),
+            host: handler.host().to_owned(),
         };
         encode(&hello, &mut out)?;
         let pending: Arc<Mutex<HashMap<u64, oneshot::Sender<ApiResponse>>>> = Arc::default();
@@ -198,14 +241,14 @@
                 *self.last_heartbeat.lock() = Some(Instant::now());
                 match frame {
                     Frame::Response { id, term, response } => {
-                        controller.observe_term(term);
+                        handler.observe_term(term);
                         if let Some(tx) = pending.lock().remove(&id) {
                             let _ = tx.send(response);
                         }
                     }
                     Frame::Pong { term, leader } => {
-                        controller.observe_term(term);
-                        controller.observe_leader(leader);
+                        handler.observe_term(term);
+                        handler.observe_leader(leader);
                     }
                     Frame::Hello { .. } | Frame::PeerRequest { .. } => {}
                 }
@@ -223,7 +266,7 @@
                 if first.is_none() {
                     pending.lock().retain(|_, t| !t.is_closed());
                     let request = PeerRequest::Ping {
-                        term: controller.known_term(),
+                        term: handler.known_term(),
                     };
                     encode(&Frame::PeerRequest { id: next, request }, &mut out)?;
                     next += 1;
@@ -248,14 +291,14 @@
 }
 
 /// Accepts the links of other controllers for ever.
-pub async fn listen(listener: TcpListener, controller: Arc<Controller>) {
+pub async fn listen(listener: TcpListener, handler: Arc<impl PeerRequestHandler>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let controller = controller.clone();
+                let handler = handler.clone();
                 tokio::spawn(async move {
                     let _ = stream.set_nodelay(true);
-                    let _ = answer(stream, controller).await;
+                    let _ = answer(stream, handler).await;
                 });
             }
             Err(e) => {
@@ -266,7 +309,7 @@
     }
 }
 
-async fn answer(stream: TcpStream, controller: Arc<Controller>) -> io::Result<()> {
+async fn answer(stream: TcpStream, handler: Arc<impl PeerRequestHandler>) -> io::Result<()> {
     let (read, mut write) = stream.into_split();
     let mut read = BufReader::new(read);
     let Frame::Hello { host } = timeout(SILENCE, read_frame(&mut read))
@@ -275,38 +318,38 @@
     else {
         return Err(io::Error::new(io::ErrorKind::InvalidData, "no greeting"));
     };
-    let (tx, mut rx) = mpsc::channel::<Frame>(controller.sockets.max_incoming());
+    let (tx, mut rx) = mpsc::channel::<Frame>(handler.max_pending_responses());
     let reader = async {
         loop {
             let frame = timeout(SILENCE, read_frame(&mut read))
                 .await
                 .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-            controller.peer_alive(&host);
+            handler.peer_alive(&host);
             let Frame::PeerRequest { id, request } = frame else {
                 continue;
             };
             if let PeerRequest::Ping { term } = request {
-                controller.observe_term(term);
-                let (term, leader) = (controller.known_term(), controller.known_leader());
+                handler.observe_term(term);
+                let (term, leader) = (handler.known_term(), handler.known_leader());
                 let _ = tx.try_send(Frame::Pong { term, leader });
                 continue;
             }
             if let PeerRequest::Heartbeat(body) = request {
                 // Answered on the spot; most questions are of this kind.
-                let response = controller.answer_heartbeat(&host, &body);
+                let response = handler.handle_heartbeat(&host, &body);
                 let _ = tx.try_send(Frame::Response {
                     id,
-                    term: controller.known_term(),
+                    term: handler.known_term(),
                     response,
                 });
                 continue;
             }
-            let (controller, tx, host) = (controller.clone(), tx.clone(), host.clone());
+            let (handler, tx, host) = (handler.clone(), tx.clone(), host.clone());
             tokio::spawn(async move {
-                let response = controller.handle_peer_request(&host, request).await;
+                let response = handler.handle_request(&host, request).await;
                 let _ = tx.try_send(Frame::Response {
                     id,
-                    term: controller.known_term(),
+                    term: handler.known_term(),
                     response,
                 });
             });
@@ -329,6 +372,6 @@
         r = reader => r,
         r = writer => r,
     };
-    controller.lost_peer(&host);
+    handler.peer_disconnected(&host);
     end
 }
--- a/src/response.rs
+++ b/src/response.rs
@@ -3,6 +3,8 @@
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
+use crate::wire::Redirect;
+
 /// An answer, in terms of the HTTP response that it becomes.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ApiResponse {
@@ -37,6 +39,12 @@
         }
     }
 
+    /// Tells a worker to send its heartbeats to another controller from now on.
+    pub fn redirect(host: &str) -> Self {
+        let report_to = Some(host.to_owned());
+        Self::json(421, &Redirect { report_to })
+    }
+
     /// The controller that was asked does not lead.
     pub fn not_leading() -> Self {
         Self {
