--- /dev/null
+++ b/src/leader/election.rs
@@ -0,0 +1,156 @@
+//! Leader election through the state service.
+//!
+//! A candidate opens a lease and puts the leader's key attached to it, guarded
+//! by the key's version as the candidate read it (0: absent). The revision of
+//! that put is the term: it only grows, though the key is deleted and put again.
+//! The leader's authority ends, by its own clocks, one lease after its last
+//! successful renewal was sent (see [`crate::core::evidence::authority`]).
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use tokio::time::sleep;
+use tracing::{debug, info};
+
+use super::active_leader::ActiveLeader;
+use crate::clock::read_clocks;
+use crate::controller::{Controller, Role};
+use crate::core::storage::record::{LeaderRecord, LEADER};
+use crate::store::{KeyRead, StoreError};
+use crate::wire::{Change, Condition, KeyValue, Transaction};
+
+/// Pause before the leader's key is read again after a read that failed.
+const READ_RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// Pause before the leader's key is read again after a watch that failed.
+const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(400);
+/// How long the state service may hold one watch of the leader's key.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause after a lease was not granted.
+const LEASE_RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// How long the put of the leader's key may take.
+const PUT_TIMEOUT: Duration = Duration::from_millis(1200);
+/// Pause after a lost election.
+const LOST_ELECTION_PAUSE: Duration = Duration::from_millis(100);
+/// Pause after a term, so that another controller has the first try: this one
+/// may have given up for want of connections.
+const PAUSE_AFTER_TERM: Duration = Duration::from_millis(1500);
+
+/// Follows the leader's key for as long as the process runs; stands for
+/// election whenever there is no leader, and leads when elected.
+pub(super) async fn run_elections(controller: Arc<Controller>) {
+    loop {
+        match controller.store.get(LEADER).await {
+            Ok(KeyRead::Found(item)) => match parse_leader(&item) {
+                // This process has replaced the one that led, so that one is
+                // dead: its key may be overwritten at once.
+                Some(leader) if leader.host == controller.host() => {
+                    stand_for_election(&controller, item.version).await;
+                }
+                Some(leader) => follow(&controller, &leader, item.version).await,
+                None => stand_for_election(&controller, item.version).await,
+            },
+            Ok(KeyRead::Missing { .. }) => stand_for_election(&controller, 0).await,
+            Err(error) => {
+                debug!(%error, "can't read the leader's key");
+                sleep(READ_RETRY_PAUSE).await;
+            }
+        }
+    }
+}
+
+fn parse_leader(item: &KeyValue) -> Option<LeaderRecord> {
+    serde_json::from_value(item.value.clone()).ok()
+}
+
+/// Follows a leader until its key changes or can't be watched.
+async fn follow(controller: &Arc<Controller>, leader: &LeaderRecord, term: u64) {
+    info!(leader = leader.host, term, "following");
+    controller.observe_term(term);
+    controller.set_role(Role::Following {
+        host: leader.host.clone(),
+        term,
+    });
+    controller.known_types().await;
+    let mut since = term;
+    loop {
+        match controller.store.watch(LEADER, since, WATCH_TIMEOUT).await {
+            Ok(watched) if watched.events.is_empty() => since = since.max(watched.revision),
+            Ok(_) | Err(StoreError::TooOld) => return,
+            Err(error) => {
+                // The leader may well go on leading. Its key is read afresh as
+                // soon as that works.
+                debug!(%error, "can't watch the leader's key");
+                sleep(WATCH_RETRY_PAUSE).await;
+                match controller.store.get(LEADER).await {
+                    Ok(KeyRead::Found(item)) if item.version == term => since = term,
+                    Ok(_) => return,
+                    Err(_) => {}
+                }
+            }
+        }
+    }
+}
+
+/// Stands for election against the version of the leader's key that was read;
+/// leads until the end of the term if elected.
+async fn stand_for_election(controller: &Arc<Controller>, version: u64) {
+    let lifetime = controller.operator_settings.leader_lease;
+    let lease_requested = read_clocks();
+    let lease = match controller.store.grant_lease(lifetime).await {
+        Ok(lease) => lease,
+        Err(error) => {
+            debug!(%error, "no lease granted");
+            return sleep(LEASE_RETRY_PAUSE).await;
+        }
+    };
+    let Some(term) = put_leader_key(controller, version, lease).await else {
+        let _ = controller.store.revoke_lease(lease).await;
+        return sleep(LOST_ELECTION_PAUSE).await;
+    };
+    info!(term, "elected");
+    controller.observe_term(term);
+    let active_leader = ActiveLeader::new(controller.clone(), term, lease, lease_requested);
+    active_leader.clone().lead().await;
+    controller.set_role(Role::Unknown);
+    info!(term, "no longer leading");
+    sleep(PAUSE_AFTER_TERM).await;
+}
+
+/// Puts the leader's key, attached to the lease, if its version is still the
+/// expected one. Returns the term, or `None` if the election is lost.
+async fn put_leader_key(controller: &Controller, version: u64, lease: u64) -> Option<u64> {
+    let record = LeaderRecord {
+        host: controller.host().to_owned(),
+        nonce: controller.nonce,
+    };
+    let transaction = Transaction {
+        conditions: vec![Condition {
+            key: LEADER.into(),
+            version,
+        }],
+        changes: vec![Change::Put {
+            put: LEADER.into(),
+            value: serde_json::to_value(&record).expect("a host name and a number always serialize"),
+            lease: Some(lease),
+        }],
+    };
+    match controller.store.transact(&transaction, PUT_TIMEOUT).await {
+        Ok(revision) => Some(revision),
+        Err(StoreError::Unanswered) => read_term(controller, &record, version).await,
+        Err(error) => {
+            debug!(%error, "not elected");
+            None
+        }
+    }
+}
+
+/// The term of a put that was not answered, if it has been applied. If a late
+/// copy is applied after this read, the key is attached to a lease that ends
+/// soon.
+async fn read_term(controller: &Controller, record: &LeaderRecord, version: u64) -> Option<u64> {
+    let Ok(KeyRead::Found(item)) = controller.store.get(LEADER).await else {
+        return None;
+    };
+    let is_ours = parse_leader(&item).as_ref() == Some(record) && item.version > version;
+    is_ours.then_some(item.version)
+}
--- /dev/null
+++ b/src/leader/process.rs
@@ -0,0 +1,83 @@
+//! Start of the controller process: listeners, links to the peers, and the
+//! loops that run for as long as the process does.
+
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Instant;
+
+use thiserror::Error;
+use tokio::net::TcpListener;
+use tokio::task::JoinSet;
+use tokio::time::sleep;
+use tracing::info;
+
+use super::election::run_elections;
+use crate::api::ConnectionTimeouts;
+use crate::controller::Controller;
+use crate::settings::{DeploymentSettings, OperatorSettings};
+use crate::stall::TICK;
+
+/// Why a controller could not start.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// An address of the settings can't be bound.
+    #[error("can't listen on {setting} {addr}: {source}")]
+    Listen {
+        /// Name of the setting that holds the address.
+        setting: &'static str,
+        /// The address.
+        addr: SocketAddr,
+        /// The operating system's error.
+        source: io::Error,
+    },
+}
+
+/// Runs one controller; returns only if it can't start.
+///
+/// # Errors
+///
+/// [`StartError::Listen`] if the address for users and workers, or the one for
+/// the other controllers, can't be bound.
+pub async fn run(
+    deployment: DeploymentSettings,
+    operator_settings: OperatorSettings,
+) -> Result<(), StartError> {
+    let controller = Controller::new(deployment, operator_settings);
+    let api_listener = listen("api_addr", controller.deployment.listen).await?;
+    let peer_listener = listen("back", controller.deployment.peer_listen).await?;
+    info!(
+        host = controller.host(),
+        zone = controller.deployment.zone,
+        "started"
+    );
+    let mut tasks = JoinSet::new();
+    for link in &controller.links {
+        tasks.spawn(link.clone().run(controller.clone()));
+    }
+    tasks.spawn(crate::peer::listen(peer_listener, controller.clone()));
+    tasks.spawn(run_elections(controller.clone()));
+    tasks.spawn(watch_for_stalls(controller.clone()));
+    let timeouts = ConnectionTimeouts::new(controller.deployment.cluster.workers.heartbeat_interval);
+    crate::api::serve(api_listener, controller, timeouts).await;
+    Ok(())
+}
+
+async fn listen(setting: &'static str, addr: SocketAddr) -> Result<TcpListener, StartError> {
+    TcpListener::bind(addr)
+        .await
+        .map_err(|source| StartError::Listen {
+            setting,
+            addr,
+            source,
+        })
+}
+
+/// Measures how late the process's own timer fires.
+async fn watch_for_stalls(controller: Arc<Controller>) {
+    loop {
+        sleep(TICK).await;
+        controller.check_for_stall();
+        controller.stall_detector.tick(Instant::now());
+    }
+}
