--- a/src/core/evidence/commands.rs
+++ b/src/core/evidence/commands.rs
@@ -8,7 +8,27 @@
 use crate::core::state::resources::Resources;
 use crate::core::state::slot::SlotState;
 use crate::core::state::token;
-use crate::wire::{Command, CommandBatch, Heartbeat, MachineId, TaskState};
+use crate::wire::{Command, CommandBatch, Heartbeat, HeartbeatResponse, MachineId, TaskState};
+
+/// Commands to the worker of one machine, and where it takes them.
+#[derive(Debug, Clone, PartialEq)]
+pub struct AddressedBatch {
+    /// Address of the worker.
+    pub address: String,
+    /// The commands, under a token given out for them alone.
+    pub batch: CommandBatch,
+}
+
+/// Commands that are to be sent to a machine now.
+#[derive(Debug, Clone, PartialEq)]
+pub struct DueCommand {
+    /// The machine.
+    pub machine: MachineId,
+    /// Address of its worker.
+    pub address: String,
+    /// The commands, under a token given out for them alone.
+    pub batch: CommandBatch,
+}
 
 impl ClusterModel {
     /// The token for the response to a report, and what the response orders.
@@ -21,7 +41,7 @@
         machine: &MachineId,
         reported: u64,
         now: Instant,
-    ) -> Option<(u64, Vec<Command>)> {
+    ) -> Option<HeartbeatResponse> {
         if token::term_of(reported) > self.term {
             return None;
         }
@@ -31,7 +51,10 @@
         let m = self.machines.get_mut(machine)?;
         m.last_response = Some(now);
         if !m.fenced(term) {
-            return Some((m.fresh_token(term), Vec::new()));
+            return Some(HeartbeatResponse {
+                token: m.fresh_token(term),
+                commands: Vec::new(),
+            });
         }
         // A start on its way to a task that is to be stopped: where commands don't
         // get through, it would wait out there for as long as this worker's lease
@@ -43,16 +66,24 @@
                     .is_some_and(|t| now.saturating_duration_since(t) > patience)
         });
         if start_in_flight {
-            return Some((m.fresh_token(term), Vec::new()));
+            return Some(HeartbeatResponse {
+                token: m.fresh_token(term),
+                commands: Vec::new(),
+            });
         }
         if m.command_in_flight || m.unacknowledged_since.is_none() {
-            return Some((m.seen_token, Vec::new()));
-        }
-        let orders = m.acknowledgements(log, jobs);
-        if orders.is_empty() {
-            return Some((m.seen_token, orders));
+            return Some(HeartbeatResponse {
+                token: m.seen_token,
+                commands: Vec::new(),
+            });
         }
-        Some((m.fresh_token(term), orders))
+        let commands = m.acknowledgements(log, jobs);
+        let token = if commands.is_empty() {
+            m.seen_token
+        } else {
+            m.fresh_token(term)
+        };
+        Some(HeartbeatResponse { token, commands })
     }
 
     /// Stops for what a report lists of cancelled jobs. They go with every
@@ -80,9 +111,9 @@
 
     /// Commands that are due, at most so many probes of machines that have
     /// nothing else to do. Tokens are fresh.
-    pub fn commands(&mut self, now: Instant, probes: usize) -> Vec<(MachineId, String, CommandBatch)> {
+    pub fn take_due_commands(&mut self, now: Instant, max_probes: usize) -> Vec<DueCommand> {
         let mut out = Vec::new();
-        let mut left = probes;
+        let mut left = max_probes;
         for id in std::mem::take(&mut self.due) {
             let Some(m) = self.machines.get(&id) else { continue };
             if left == 0 && m.needs_probe && !m.fenced(self.term) {
@@ -90,10 +121,14 @@
                 continue;
             }
             let probe = m.needs_probe;
-            match self.command(&id, now) {
-                Some((addr, c)) => {
+            match self.next_command(&id, now) {
+                Some(AddressedBatch { address, batch }) => {
                     left -= usize::from(probe && left > 0);
-                    out.push((id, addr, c));
+                    out.push(DueCommand {
+                        machine: id,
+                        address,
+                        batch,
+                    });
                 }
                 None => self.note_due(&id),
             }
@@ -102,7 +137,7 @@
     }
 
     /// The next command to a worker, if one is due. The token is fresh.
-    pub fn command(&mut self, machine: &MachineId, now: Instant) -> Option<(String, CommandBatch)> {
+    pub fn next_command(&mut self, machine: &MachineId, now: Instant) -> Option<AddressedBatch> {
         let term = self.term;
         let types = &self.types;
         let (log, jobs, dependencies) = (&self.log, &self.jobs, &self.dependencies);
@@ -189,14 +224,14 @@
         m.needs_probe = false;
         m.command_in_flight = true;
         let token = m.fresh_token(term);
-        Some((
-            m.addr.clone(),
-            CommandBatch {
+        Some(AddressedBatch {
+            address: m.addr.clone(),
+            batch: CommandBatch {
                 token,
                 incarnation,
                 commands,
             },
-        ))
+        })
     }
 
     /// A command was answered, or not (`heartbeat` is `None`: unknown).
--- a/src/leader/active_leader/heartbeat_routing.rs
+++ b/src/leader/active_leader/heartbeat_routing.rs
@@ -10,7 +10,7 @@
 use crate::core::state::machine::MachinePhase;
 use crate::core::ClusterModel;
 use crate::response::ApiResponse;
-use crate::wire::{Heartbeat, HeartbeatResponse, MachineId};
+use crate::wire::{Heartbeat, MachineId};
 
 use super::ActiveLeader;
 
@@ -43,7 +43,7 @@
         };
         let now = Instant::now();
         let may_act = self.may_act();
-        let (outcome, answer, stops) = {
+        let (outcome, response, stops) = {
             let mut m = self.model.lock();
             let outcome = m.apply_heartbeat(&r, now);
             let known = m.machines.get(&r.machine);
@@ -77,7 +77,7 @@
         if outcome == HeartbeatOutcome::Applied {
             self.wake.notify_one();
         }
-        let Some((token, commands)) = answer else {
+        let Some(mut response) = response else {
             // Only an elected one gives out such tokens.
             info!(
                 term = self.term,
@@ -93,9 +93,11 @@
                 return ApiResponse::redirect(&to);
             }
         }
-        let mut commands = if may_act { commands } else { Vec::new() };
-        commands.extend(stops);
-        ApiResponse::json(200, &HeartbeatResponse { token, commands })
+        if !may_act {
+            response.commands.clear();
+        }
+        response.commands.extend(stops);
+        ApiResponse::json(200, &response)
     }
 
     fn log_unknown_tasks(&self, model: &ClusterModel, r: &Heartbeat) {
--- a/src/leader/active_leader/scheduling_loop.rs
+++ b/src/leader/active_leader/scheduling_loop.rs
@@ -7,12 +7,12 @@
 use tracing::{debug, info};
 
 use crate::clock::read_clocks;
+use crate::core::evidence::commands::DueCommand;
 use crate::core::storage::atomic_write::AtomicWrite;
 use crate::core::storage::pending_writes::PendingWrite;
 use crate::core::storage::record;
 use crate::core::storage::wal::LogAppend;
 use crate::store::writer::CommitError;
-use crate::wire::{CommandBatch, MachineId};
 use crate::worker::{self, CommandOutcome};
 
 use super::ActiveLeader;
@@ -61,15 +61,15 @@
         }
         drop(load_ended);
         let writes = m.take_writes(now);
-        let commands = m.commands(now, PROBES.min(self.controller.sockets.commands_free() / 2));
+        let commands = m.take_due_commands(now, PROBES.min(self.controller.sockets.commands_free() / 2));
         drop(m);
         for w in writes {
             let active_leader = self.clone();
             tokio::spawn(async move { active_leader.write(w).await });
         }
-        for (id, addr, c) in commands {
+        for due in commands {
             let active_leader = self.clone();
-            tokio::spawn(async move { active_leader.send_command(&id, &addr, &c).await });
+            tokio::spawn(async move { active_leader.send_command(&due).await });
         }
     }
 
@@ -85,12 +85,13 @@
 
     /// Sends a command that a round decided. What it was decided on is asked for
     /// again when it is handed over, as it may have waited for a socket.
-    async fn send_command(&self, id: &MachineId, addr: &str, commands: &CommandBatch) {
+    async fn send_command(&self, due: &DueCommand) {
+        let (id, commands) = (&due.machine, &due.batch);
         let permit = || {
             let may_act = self.may_act();
             self.model.lock().permit_send(id, commands, may_act)
         };
-        let outcome = worker::command(&self.controller.sockets, addr, commands, permit).await;
+        let outcome = worker::command(&self.controller.sockets, &due.address, commands, permit).await;
         let heartbeat = match &outcome {
             CommandOutcome::Executed(r) | CommandOutcome::Refused(r) => Some(r),
             CommandOutcome::Unanswered | CommandOutcome::SendRefusal(_) => None,
--- a/tests/dependencies/readiness.rs
+++ b/tests/dependencies/readiness.rs
@@ -59,10 +59,10 @@
         m.place(&machine, task, attempt, false, now);
     }
     store_all(&mut m, now);
-    let commands = m.commands(now, 9);
+    let commands = m.take_due_commands(now, 9);
     let started: Vec<JobId> = commands
         .iter()
-        .flat_map(|(_, _, c)| &c.commands)
+        .flat_map(|due| &due.batch.commands)
         .filter_map(|c| match c {
             Command::Start { task, .. } => Some(task.job),
             _ => None,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -41,9 +41,10 @@
     m.plan(now);
     let w = m.take_writes(now);
     w.iter().for_each(|w| m.write_finished(w, true, now));
-    for (id, _, c) in m.commands(now, 0) {
+    for due in m.take_due_commands(now, 0) {
+        let id = due.machine;
         let mut r = heartbeat(&id, "small", &m.machines[&id].zone.clone(), false, 7, 2);
-        r.token = c.token;
+        r.token = due.batch.token;
         r.tasks = running(&m, &id);
         m.command_finished(&id, Some(&r), now);
     }
@@ -188,8 +189,8 @@
     let id = MachineId::from("i-south-1");
     m.machines.get_mut(&id).expect("known").needs_probe = true;
     m.due.insert(id.clone());
-    let sent = m.commands(now, 5);
-    assert!(sent.iter().any(|(i, ..)| *i == id));
+    let sent = m.take_due_commands(now, 5);
+    assert!(sent.iter().any(|due| due.machine == id));
     m.command_finished(&id, None, now);
     assert!(!m.usable(&m.machines[&id], now + secs(1)));
     // A later session than its start was sent to: the task is gone.
--- a/tests/planner/backfilling.rs
+++ b/tests/planner/backfilling.rs
@@ -85,7 +85,7 @@
     // The stop goes out before the start, in one command.
     let w = m.take_writes(now + secs(2));
     w.iter().for_each(|w| m.write_finished(w, true, now + secs(2)));
-    let (_, c) = m.command(&id, now + secs(2)).expect("a command");
+    let c = m.next_command(&id, now + secs(2)).expect("a command").batch;
     let stop = c
         .commands
         .iter()
--- a/tests/safety.rs
+++ b/tests/safety.rs
@@ -225,12 +225,13 @@
     let w = m.take_writes(now);
     assert!(!w.is_empty());
     assert!(
-        m.command(&id, now).is_none_or(|(_, c)| c.commands.is_empty()),
+        m.next_command(&id, now)
+            .is_none_or(|c| c.batch.commands.is_empty()),
         "not before it is stored"
     );
     m.command_finished(&id, None, now);
     w.iter().for_each(|w| m.write_finished(w, true, now));
-    let (_, c) = m.command(&id, now + secs(1)).expect("the start");
+    let c = m.next_command(&id, now + secs(1)).expect("the start").batch;
     assert!(matches!(c.commands[..], [Command::Start { .. }]));
     m.command_finished(&id, None, now + secs(2));
     m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 2), now + secs(2));
@@ -254,15 +255,15 @@
     let id = MachineId::from("i-1");
     m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
     m.machines.get_mut(&id).expect("known").needs_probe = true;
-    let (_, c) = m.command(&id, now).expect("a command");
-    assert!(m.heartbeat_response(&id, 7 << 20, now).expect("a token").0 < c.token);
+    let c = m.next_command(&id, now).expect("a command").batch;
+    assert!(m.heartbeat_response(&id, 7 << 20, now).expect("a token").token < c.token);
     m.machines.get_mut(&id).expect("known").seen_token = 3 << 20;
-    let (fresh, orders) = m.heartbeat_response(&id, 3 << 20, now).expect("a token");
+    let response = m.heartbeat_response(&id, 3 << 20, now).expect("a token");
     assert!(
-        fresh > c.token,
+        response.token > c.token,
         "a worker of an earlier term gets one that no command carries"
     );
-    assert!(orders.is_empty());
+    assert!(response.commands.is_empty());
     assert_eq!(
         m.heartbeat_response(&id, 8 << 20, now),
         None,
@@ -285,17 +286,18 @@
     m.take_writes(now)
         .iter()
         .for_each(|w| m.write_finished(w, true, now));
-    let (_, c) = m.command(&id, now).expect("the start");
+    let c = m.next_command(&id, now).expect("the start").batch;
     m.command_finished(&id, None, now + secs(1));
     m.cancel(job, now + secs(1));
     let mut r = heartbeat("i-1", "small", "north", false, 7, 2);
     let soon = m
         .heartbeat_response(&id, r.token, now + secs(2))
         .expect("an answer");
-    assert!(soon.0 < c.token, "its stop may yet get through");
-    let (token, _) = m
+    assert!(soon.token < c.token, "its stop may yet get through");
+    let token = m
         .heartbeat_response(&id, r.token, now + secs(9))
-        .expect("an answer");
+        .expect("an answer")
+        .token;
     assert!(token > c.token, "the start is refused from now on");
     (r.token, r.sequence) = (token, 3);
     m.apply_heartbeat(&r, now + secs(9));
@@ -324,24 +326,24 @@
     m.plan(now);
     let w = m.take_writes(now);
     w.iter().for_each(|w| m.write_finished(w, true, now));
-    let (_, c) = m.command(&id, now).expect("starts");
+    let c = m.next_command(&id, now).expect("starts").batch;
     let mut r = heartbeat("i-1", "small", "north", false, 7, 2);
     r.token = c.token;
     r.tasks = ended(&m, &id, 1);
     m.command_finished(&id, Some(&r), now);
     let w = m.take_writes(now + secs(1));
-    let (_, orders) = m.heartbeat_response(&id, r.token, now).expect("an answer");
-    assert!(orders.is_empty(), "nothing to say yet");
+    let response = m.heartbeat_response(&id, r.token, now).expect("an answer");
+    assert!(response.commands.is_empty(), "nothing to say yet");
     w.iter().for_each(|w| m.write_finished(w, true, now));
-    let (token, orders) = m.heartbeat_response(&id, r.token, now).expect("an answer");
-    assert!(matches!(orders[..], [Command::Acknowledge { .. }]));
+    let response = m.heartbeat_response(&id, r.token, now).expect("an answer");
+    assert!(matches!(response.commands[..], [Command::Acknowledge { .. }]));
     assert!(
-        token > c.token,
+        response.token > c.token,
         "late copies of the start are refused from now on"
     );
     // No report comes: it is said by a command.
-    assert!(m.command(&id, now + secs(2)).is_none());
-    let (_, c) = m.command(&id, now + secs(9)).expect("a command");
+    assert!(m.next_command(&id, now + secs(2)).is_none());
+    let c = m.next_command(&id, now + secs(9)).expect("a command").batch;
     assert!(matches!(c.commands[..], [Command::Acknowledge { .. }]));
 }
 
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -75,11 +75,11 @@
         m.add_job(record(job(100_000 + j, 100, 4.0)), now);
     }
     let segments = store(&mut m, now);
-    for (to, _, c) in m.commands(now, usize::MAX) {
-        let mut r = heartbeat(&to, "small", "north", false, 7, 2);
-        r.token = c.token;
-        r.tasks = running(&m, &to);
-        m.command_finished(&to, Some(&r), now);
+    for due in m.take_due_commands(now, usize::MAX) {
+        let mut r = heartbeat(&due.machine, "small", "north", false, 7, 2);
+        r.token = due.batch.token;
+        r.tasks = running(&m, &due.machine);
+        m.command_finished(&due.machine, Some(&r), now);
     }
     let running: usize = m.jobs.values().map(|j| j.running.len()).sum();
     assert_eq!(running, machines * 2, "all machines are full");
@@ -128,7 +128,7 @@
         );
         let writes = m.take_writes(at + secs(1));
         writes.iter().for_each(|w| m.write_finished(w, true, at));
-        let (commands, out) = work(|| m.commands(at, 64));
+        let (commands, out) = work(|| m.take_due_commands(at, 64));
         assert_eq!(out.len(), 1, "one machine has something to be told");
         (last_heartbeat, append, commands, round)
     });
@@ -205,9 +205,9 @@
     }
     m.load_log(now);
     assert!(!m.all_fenced());
-    let first = m.commands(now, 64);
+    let first = m.take_due_commands(now, 64);
     assert_eq!(first.len(), 64);
-    assert!(m.commands(now, 0).is_empty(), "no socket is free");
+    assert!(m.take_due_commands(now, 0).is_empty(), "no socket is free");
     // The last machine, by its own report, obeys this term and has lost its tasks.
     let last = id(LARGE - 1);
     let mut r = heartbeat(&last, "small", "north", false, 8, 90);
@@ -218,14 +218,14 @@
     for w in m.take_writes(now) {
         m.write_finished(&w, true, now);
     }
-    let next = m.commands(now, 64);
+    let next = m.take_due_commands(now, 64);
     let starts = |c: &CommandBatch| c.commands.iter().any(|c| matches!(c, Command::Start { .. }));
-    assert!(next.iter().any(|(to, _, c)| *to == last && starts(c)));
+    assert!(next.iter().any(|due| due.machine == last && starts(&due.batch)));
     assert!(next.len() <= 65);
     // Asked in turn, all are reached.
     let mut asked = first.len() + next.len() - 1;
     while asked < LARGE - 1 {
-        let more = m.commands(now, 64).len();
+        let more = m.take_due_commands(now, 64).len();
         assert!(more > 0 && more <= 64);
         asked += more;
     }
@@ -295,11 +295,11 @@
             m.write_finished(&w, true, at);
         }
         // Its tasks are told to start, run and end.
-        for (to, _, c) in m.commands(at, 64) {
-            let mut r = heartbeat(&to, "small", "north", false, 7, 3 + u64::from(turn) * 2);
-            r.token = c.token;
-            r.tasks = ended(&m, &to, usize::MAX);
-            m.command_finished(&to, Some(&r), at);
+        for due in m.take_due_commands(at, 64) {
+            let mut r = heartbeat(&due.machine, "small", "north", false, 7, 3 + u64::from(turn) * 2);
+            r.token = due.batch.token;
+            r.tasks = ended(&m, &due.machine, usize::MAX);
+            m.command_finished(&due.machine, Some(&r), at);
         }
         m.jobs.retain(|_, j| !j.is_complete());
     }
--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -178,7 +178,8 @@
         for write in self.model.take_writes(self.now) {
             self.mail.push(Message::PendingWrite { write, term });
         }
-        for (to, _, commands) in self.model.commands(self.now, 2) {
+        for due in self.model.take_due_commands(self.now, 2) {
+            let (to, commands) = (due.machine, due.batch);
             for c in &commands.commands {
                 if let Command::Start { task, .. } = c {
                     assert!(
@@ -256,15 +257,14 @@
                     HeartbeatOutcome::Outdated if over => return,
                     HeartbeatOutcome::Outdated | HeartbeatOutcome::Applied => {}
                 }
-                if let Some((token, mut orders)) =
-                    self.model.heartbeat_response(&r.machine, r.token, self.now)
-                {
+                if let Some(response) = self.model.heartbeat_response(&r.machine, r.token, self.now) {
+                    let mut orders = response.commands;
                     orders.extend(self.model.stops_for_cancelled(&r));
                     self.renews_nothing_unknown(&r, &orders);
                     self.mail.push(Message::ApiResponse {
                         to: r.machine,
                         incarnation: r.incarnation,
-                        token,
+                        token: response.token,
                         orders,
                         sent,
                     });
@@ -650,12 +650,12 @@
                 if let Some(old) = self.old.as_mut().filter(|_| w.alive) {
                     let r = w.heartbeat();
                     old.apply_heartbeat(&r, self.now);
-                    if let Some((token, _)) = old.heartbeat_response(&r.machine, r.token, self.now) {
+                    if let Some(response) = old.heartbeat_response(&r.machine, r.token, self.now) {
                         let orders = old.stops_for_cancelled(&r);
                         self.mail.push(Message::ApiResponse {
                             to: r.machine,
                             incarnation: r.incarnation,
-                            token,
+                            token: response.token,
                             orders,
                             sent: self.now,
                         });
--- a/tests/support/gap_world.rs
+++ b/tests/support/gap_world.rs
@@ -280,8 +280,8 @@
             l.model.expire_leases(now);
             l.model.plan(now);
             l.writes.extend(l.model.take_writes(now));
-            for (id, _, commands) in l.model.commands(now, 4) {
-                self.send(who, l.term, &id, commands);
+            for due in l.model.take_due_commands(now, 4) {
+                self.send(who, l.term, &due.machine, due.batch);
             }
         }
         if state && holds {
@@ -384,19 +384,15 @@
                 continue;
             }
             l.model.apply_heartbeat(&r, now);
-            let Some((token, mut orders)) = l.model.heartbeat_response(&r.machine, r.token, now) else {
+            let Some(mut reply) = l.model.heartbeat_response(&r.machine, r.token, now) else {
                 l.over = true;
                 continue;
             };
             if !l.authority.may_act(clocks) {
-                orders.clear();
+                reply.commands.clear();
             }
-            orders.extend(l.model.stops_for_cancelled(&r));
+            reply.commands.extend(l.model.stops_for_cancelled(&r));
             let delay = Duration::from_secs_f64(self.rng.random_range(0.0..4.5f64).powi(3) / 20.0);
-            let reply = HeartbeatResponse {
-                token,
-                commands: orders,
-            };
             self.mail.push((
                 self.now + delay,
                 Mail::ApiResponse {
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -108,7 +108,7 @@
         model.plan(now);
         let writes = model.take_writes(now);
         writes.iter().for_each(|w| model.write_finished(w, true, now));
-        let (_, commands) = model.command(&machine, now).expect("the start");
+        let commands = model.next_command(&machine, now).expect("the start").batch;
         let task = TaskId { job, index: 0 };
         Self {
             model,
@@ -184,12 +184,16 @@
 #[test]
 fn what_was_withheld_is_decided_anew_at_once() {
     let mut waiting = Waiting::new();
-    assert!(waiting.model.command(&waiting.machine, waiting.now).is_none());
+    assert!(waiting
+        .model
+        .next_command(&waiting.machine, waiting.now)
+        .is_none());
     waiting.model.command_withheld(&waiting.machine);
-    let (_, again) = waiting
+    let again = waiting
         .model
-        .command(&waiting.machine, waiting.now)
-        .expect("the start anew");
+        .next_command(&waiting.machine, waiting.now)
+        .expect("the start anew")
+        .batch;
     assert!(
         again.token > waiting.commands.token,
         "every command has a fresh token"
