--- a/src/api.rs
+++ b/src/api.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionTimeouts {
     /// Between two requests.
-    pub quiet: Duration,
+    pub idle: Duration,
     /// For one request and its answer.
     pub request: Duration,
 }
@@ -34,7 +34,7 @@
     /// Well above what users and workers need, who report and ask every few seconds.
     pub fn new(heartbeat: Duration) -> Self {
         Self {
-            quiet: Duration::from_secs(30).max(heartbeat * 4),
+            idle: Duration::from_secs(30).max(heartbeat * 4),
             request: Duration::from_secs(10),
         }
     }
@@ -43,18 +43,18 @@
 /// Serves users, workers and health checks for ever. Connections beyond the
 /// share of sockets wait in the listener's queue, where the load balancer and
 /// the workers pass them on to another controller.
-pub async fn serve(listener: TcpListener, controller: Arc<Controller>, patience: ConnectionTimeouts) {
+pub async fn serve(listener: TcpListener, controller: Arc<Controller>, timeouts: ConnectionTimeouts) {
     let service = warp::service(routes(controller.clone()));
     let mut http = http1::Builder::new();
-    http.timer(TokioTimer::new()).header_read_timeout(patience.quiet);
+    http.timer(TokioTimer::new()).header_read_timeout(timeouts.idle);
     loop {
-        let permit = controller.sockets.incoming().await;
+        let permit = controller.sockets.acquire_incoming().await;
         match listener.accept().await {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
                 let routes = TowerToHyperService::new(service.clone());
                 let in_time = service_fn(move |request| {
-                    let answer = timeout(patience.request, routes.call(request));
+                    let answer = timeout(timeouts.request, routes.call(request));
                     async move { answer.await.map(|Ok(response)| response) }
                 });
                 let connection = http.serve_connection(TokioIo::new(stream), in_time);
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -4,7 +4,7 @@
 
 use hyper::Method;
 
-use crate::http::{Http, HttpError};
+use crate::http::{HttpClient, HttpError};
 use crate::store::rate_limiter::RateLimiter;
 use crate::wire::{ListedMachine, MachineId, MachineNames, MachinePage, MachineType, MachineTypes, Rental};
 
@@ -28,7 +28,7 @@
 /// The client.
 #[derive(Debug)]
 pub struct Cloud {
-    http: Http,
+    http: HttpClient,
     addr: String,
     pace: RateLimiter,
 }
@@ -37,7 +37,7 @@
 
 impl Cloud {
     /// A client that stays under `rps`.
-    pub fn new(http: Http, addr: String, rps: f64) -> Self {
+    pub fn new(http: HttpClient, addr: String, rps: f64) -> Self {
         Self {
             http,
             addr,
@@ -65,7 +65,7 @@
         body: Option<Vec<u8>>,
         go: impl Fn() -> bool,
     ) -> Result<bytes::Bytes, CloudError> {
-        self.pace.pass(1.0).await;
+        self.pace.acquire(1.0).await;
         if !go() {
             return Err(CloudError::Unavailable);
         }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -16,7 +16,7 @@
 use crate::controller::job_lookup::TerminalStates;
 use crate::controller::term_leader::TermLeader;
 use crate::core::SchedulerConfig;
-use crate::http::Http;
+use crate::http::HttpClient;
 use crate::peer::{KnownLeader, PeerLink, PeerRequest, PeerRequestHandler};
 use crate::response::ApiResponse;
 use crate::settings::{DeploymentSettings, OperatorSettings};
@@ -80,7 +80,7 @@
     /// A controller that is not running yet.
     pub fn new(deployment: DeploymentSettings, operator_settings: OperatorSettings) -> Arc<Self> {
         let limits = deployment.cluster.state.clone();
-        let http = Http::default();
+        let http = HttpClient::default();
         let store = Store::new(http.clone(), deployment.services.state.to_string(), &limits);
         let cloud = Cloud::new(
             http,
@@ -199,7 +199,7 @@
     /// Whether this controller can be of use to a user: it leads, or another
     /// can be asked, or the state service can.
     pub fn can_serve(&self) -> bool {
-        self.active_leader().is_some() || self.links.iter().any(|l| l.alive()) || self.store.reachable()
+        self.active_leader().is_some() || self.links.iter().any(|l| l.alive()) || self.store.is_reachable()
     }
 
     /// The leader of the current term, if this one leads and may act now.
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -57,7 +57,7 @@
     /// A poll.
     pub async fn poll(&self, id: JobId) -> ApiResponse {
         self.check_for_stall();
-        if self.stall_detector.overloaded(Instant::now()) {
+        if self.stall_detector.is_overloaded(Instant::now()) {
             return match self.finals.lock().status(id) {
                 Some(view) => ApiResponse::json(200, &view),
                 None => ApiResponse::unavailable("too much to do"),
--- a/src/http.rs
+++ b/src/http.rs
@@ -67,11 +67,11 @@
 
 /// A client for the few services that are asked often, over pooled connections.
 #[derive(Debug, Clone)]
-pub struct Http {
+pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-impl Default for Http {
+impl Default for HttpClient {
     fn default() -> Self {
         let mut tcp = HttpConnector::new();
         tcp.set_nodelay(true);
@@ -85,7 +85,7 @@
     }
 }
 
-impl Http {
+impl HttpClient {
     /// Sends a request and waits for the whole response, at most `timeout`.
     pub async fn call(
         &self,
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -104,7 +104,7 @@
         if !self.load_job(id).await {
             return false;
         }
-        self.writer.know(key, version);
+        self.writer.set_known_version(key, version);
         let unit = AtomicWrite {
             changes: vec![(key.to_owned(), None)],
             absent: Vec::new(),
@@ -140,7 +140,7 @@
         if m.jobs.contains_key(&id) || self.controller.finals.lock().status(id).is_some() {
             return;
         }
-        self.writer.know(&record::job_key(id), version);
+        self.writer.set_known_version(&record::job_key(id), version);
         info!(job = %id, "picked up");
         m.add_job(r, now.checked_sub(age).unwrap_or(now));
         drop(m);
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -102,7 +102,7 @@
     pub fn may_act(&self) -> bool {
         self.loaded.load(Ordering::Relaxed)
             && !self.over.load(Ordering::Relaxed)
-            && !self.writer.is_over()
+            && !self.writer.has_ended()
             && self.authority.lock().may_act(read_clocks())
     }
 
--- a/src/leader/active_leader/scheduling_loop.rs
+++ b/src/leader/active_leader/scheduling_loop.rs
@@ -61,7 +61,7 @@
         }
         drop(load_ended);
         let writes = m.take_writes(now);
-        let commands = m.take_due_commands(now, PROBES.min(self.controller.sockets.commands_free() / 2));
+        let commands = m.take_due_commands(now, PROBES.min(self.controller.sockets.available_commands() / 2));
         drop(m);
         for w in writes {
             let active_leader = self.clone();
@@ -91,22 +91,22 @@
             let may_act = self.may_act();
             self.model.lock().permit_send(id, commands, may_act)
         };
-        let outcome = worker::command(&self.controller.sockets, &due.address, commands, permit).await;
+        let outcome = worker::send_commands(&self.controller.sockets, &due.address, commands, permit).await;
         let heartbeat = match &outcome {
             CommandOutcome::Executed(r) | CommandOutcome::Refused(r) => Some(r),
-            CommandOutcome::Unanswered | CommandOutcome::SendRefusal(_) => None,
+            CommandOutcome::Unanswered | CommandOutcome::Withheld(_) => None,
         };
         match &outcome {
             CommandOutcome::Refused(r) => {
                 debug!(machine = %id, token = commands.token, seen = r.token, incarnation = r.incarnation, "command refused");
             }
-            CommandOutcome::SendRefusal(reason) => {
+            CommandOutcome::Withheld(reason) => {
                 info!(machine = %id, token = commands.token, %reason, "command withheld");
             }
             CommandOutcome::Executed(_) | CommandOutcome::Unanswered => {}
         }
         let mut model = self.model.lock();
-        if matches!(outcome, CommandOutcome::SendRefusal(_)) {
+        if matches!(outcome, CommandOutcome::Withheld(_)) {
             model.command_withheld(id);
         } else {
             model.command_finished(id, heartbeat, Instant::now());
--- a/src/leader/active_leader/takeover.rs
+++ b/src/leader/active_leader/takeover.rs
@@ -22,7 +22,7 @@
         let wall = unix_time_ms();
         let mut m = self.model.lock();
         for item in jobs {
-            self.writer.know(&item.key, item.version);
+            self.writer.set_known_version(&item.key, item.version);
             let Ok(r) = serde_json::from_value::<JobRecord>(item.value) else {
                 info!(key = item.key, "an unreadable job record is left alone");
                 continue;
@@ -31,7 +31,7 @@
             m.add_job(r, now.checked_sub(age).unwrap_or(now));
         }
         for item in segments {
-            self.writer.know(&item.key, item.version);
+            self.writer.set_known_version(&item.key, item.version);
             let number = item.key.trim_start_matches(record::WAL).parse();
             let read = number.is_ok_and(|n| m.log.load(n, item.value));
             if !read {
@@ -42,13 +42,13 @@
         }
         m.load_log(now);
         if let KeyRead::Found(item) = ratios {
-            self.writer.know(record::RATIOS, item.version);
+            self.writer.set_known_version(record::RATIOS, item.version);
             if let Ok(r) = serde_json::from_value(item.value) {
                 m.ratios = r;
             }
         }
         if let KeyRead::Found(item) = types {
-            self.writer.know(record::TYPES, item.version);
+            self.writer.set_known_version(record::TYPES, item.version);
             if let Ok(t) = serde_json::from_value(item.value) {
                 m.types = t;
                 *self.controller.types.lock() = Arc::new(m.types.clone());
--- a/src/leader/active_leader/user_requests.rs
+++ b/src/leader/active_leader/user_requests.rs
@@ -51,8 +51,8 @@
             return self.unless_known(id, bad).await;
         }
         // What can't be stored in time is refused at once.
-        let within = self.controller.store.changes_within(STORED_WITHIN);
-        if self.writer.urgent_waiting() as f64 > within {
+        let within = self.controller.store.max_changes_within(STORED_WITHIN);
+        if self.writer.queued_urgent_changes() as f64 > within {
             return ApiResponse::unavailable("too many jobs are being stored");
         }
         let active_leader = self.clone();
@@ -218,7 +218,7 @@
                 Err(CommitError::Conflict(_) | CommitError::Refused) => {
                     match self.controller.lookup(id).await {
                         Ok(StoredJob::Unfinished(r, _)) if r.cancelled => return true,
-                        Ok(StoredJob::Unfinished(_, version)) => self.writer.know(&key, version),
+                        Ok(StoredJob::Unfinished(_, version)) => self.writer.set_known_version(&key, version),
                         Ok(_) => {
                             info!(job = %id, "cancelled here, yet not unfinished in the state service");
                             self.end();
--- a/src/leader/process.rs
+++ b/src/leader/process.rs
@@ -16,7 +16,7 @@
 use crate::api::ConnectionTimeouts;
 use crate::controller::Controller;
 use crate::settings::{DeploymentSettings, OperatorSettings};
-use crate::stall::TICK;
+use crate::stall::TIMER_INTERVAL;
 
 /// Why a controller could not start.
 #[derive(Debug, Error)]
@@ -76,8 +76,8 @@
 /// Measures how late the process's own timer fires.
 async fn watch_for_stalls(controller: Arc<Controller>) {
     loop {
-        sleep(TICK).await;
+        sleep(TIMER_INTERVAL).await;
         controller.check_for_stall();
-        controller.stall_detector.tick(Instant::now());
+        controller.stall_detector.timer_fired(Instant::now());
     }
 }
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -35,17 +35,17 @@
     }
 
     /// Room for another incoming connection, once there is some.
-    pub async fn incoming(&self) -> Option<OwnedSemaphorePermit> {
+    pub async fn acquire_incoming(&self) -> Option<OwnedSemaphorePermit> {
         self.incoming.clone().acquire_owned().await.ok()
     }
 
     /// Room for another command, once there is some.
-    pub async fn command(&self) -> Option<OwnedSemaphorePermit> {
+    pub async fn acquire_command(&self) -> Option<OwnedSemaphorePermit> {
         self.commands.clone().acquire_owned().await.ok()
     }
 
     /// Commands that could be sent at once.
-    pub fn commands_free(&self) -> usize {
+    pub fn available_commands(&self) -> usize {
         self.commands.available_permits()
     }
 
--- a/src/stall.rs
+++ b/src/stall.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 
 /// Interval of the timer.
-pub const TICK: Duration = Duration::from_millis(100);
+pub const TIMER_INTERVAL: Duration = Duration::from_millis(100);
 /// A tick that is so late means that the process stood still.
 const STALLED_AFTER: Duration = Duration::from_secs(1);
 /// So late, it has more to do than it can: polls are put off, at once and before
@@ -31,16 +31,16 @@
     }
 
     /// The timer fired.
-    pub fn tick(&self, now: Instant) {
+    pub fn timer_fired(&self, now: Instant) {
         let mut last = self.last.lock();
-        let late = now.saturating_duration_since(last.0 + TICK);
+        let late = now.saturating_duration_since(last.0 + TIMER_INTERVAL);
         *last = (last.0.max(now), late);
     }
 
     /// If the process has stood still until now: for how long. Says so once.
     pub fn take_stall(&self, now: Instant) -> Option<Duration> {
         let mut last = self.last.lock();
-        let late = now.saturating_duration_since(last.0 + TICK);
+        let late = now.saturating_duration_since(last.0 + TIMER_INTERVAL);
         (late > STALLED_AFTER).then(|| {
             *last = (now, Duration::ZERO);
             late
@@ -49,8 +49,8 @@
 
     /// Whether there is more to do than can be done, by how late the timer fires
     /// or is due.
-    pub fn overloaded(&self, now: Instant) -> bool {
+    pub fn is_overloaded(&self, now: Instant) -> bool {
         let last = self.last.lock();
-        last.1.max(now.saturating_duration_since(last.0 + TICK)) > OVERLOADED_AFTER
+        last.1.max(now.saturating_duration_since(last.0 + TIMER_INTERVAL)) > OVERLOADED_AFTER
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -11,7 +11,7 @@
 use serde::de::DeserializeOwned;
 use tracing::info;
 
-use crate::http::{Http, HttpError, Response};
+use crate::http::{HttpClient, HttpError, Response};
 use crate::settings::StateLimits;
 use crate::wire::{Change, KeyPage, KeyValue, LeaseGrant, Transaction, TransactionResult, WatchResponse};
 use rate_limiter::RateLimiter;
@@ -66,7 +66,7 @@
 /// The client.
 #[derive(Debug)]
 pub struct Store {
-    http: Http,
+    http: HttpClient,
     addr: String,
     requests: RateLimiter,
     writes: RateLimiter,
@@ -112,7 +112,7 @@
 
 impl Store {
     /// A client with its share of the limits.
-    pub fn new(http: Http, addr: String, limits: &StateLimits) -> Self {
+    pub fn new(http: HttpClient, addr: String, limits: &StateLimits) -> Self {
         let (rps, write_rps) = (limits.rps * REQUEST_SHARE, limits.write_rps * WRITE_SHARE);
         Self {
             http,
@@ -125,12 +125,12 @@
     }
 
     /// Whether it answered of late, or hasn't been failing for long.
-    pub fn reachable(&self) -> bool {
+    pub fn is_reachable(&self) -> bool {
         self.failing.lock().is_none_or(|t| t.elapsed() < UNREACHABLE)
     }
 
     /// How many changes the budget allows within a time.
-    pub fn changes_within(&self, time: Duration) -> f64 {
+    pub fn max_changes_within(&self, time: Duration) -> f64 {
         (self.writes.rate() * time.as_secs_f64()).max(1.0)
     }
 
@@ -165,8 +165,8 @@
         let requests = self.limits.min_rps() * REQUEST_SHARE;
         let writes = self.limits.min_write_rps() * WRITE_SHARE;
         let slower = [
-            self.requests.slow_to(requests, now),
-            self.writes.slow_to(writes, now),
+            self.requests.lower_rate(requests, now),
+            self.writes.lower_rate(writes, now),
         ];
         if slower.contains(&true) {
             info!("the state service refuses for its rate; the announced limits are kept from now on");
@@ -189,7 +189,7 @@
 
     /// Reads a key.
     pub async fn get(&self, key: &str) -> Result<KeyRead, StoreError> {
-        self.requests.pass(1.0).await;
+        self.requests.acquire(1.0).await;
         self.read(key, PATIENCE).await
     }
 
@@ -197,7 +197,7 @@
     /// up for longer than a moment, as in a flood of questions, it is refused at
     /// once, and what the leader needs for its own doesn't queue behind it.
     pub async fn get_soon(&self, key: &str) -> Result<KeyRead, StoreError> {
-        if !self.requests.pass_soon(1.0, SOON).await {
+        if !self.requests.acquire_within(1.0, SOON).await {
             return Err(StoreError::Unavailable);
         }
         self.read(key, Duration::from_millis(900)).await
@@ -220,7 +220,7 @@
     pub async fn list(&self, prefix: &str) -> Result<Listing, StoreError> {
         let mut items: Vec<KeyValue> = Vec::new();
         loop {
-            self.requests.pass(1.0).await;
+            self.requests.acquire(1.0).await;
             let since = items
                 .last()
                 .map(|i| format!("&since={}", i.key))
@@ -244,21 +244,23 @@
 
     /// Carries out an urgent transaction; its revision.
     pub async fn transact(&self, t: &Transaction, timeout: Duration) -> Result<u64, StoreError> {
-        self.transact_leaving(t, timeout, 0.0).await
+        self.transact_above_reserve(t, timeout, 0.0).await
     }
 
     /// Carries out a transaction that leaves a share of the budget of changes
     /// to urgent ones.
-    pub async fn transact_leaving(
+    pub async fn transact_above_reserve(
         &self,
         t: &Transaction,
         timeout: Duration,
         reserve: f64,
     ) -> Result<u64, StoreError> {
         self.check_size(t)?;
-        self.requests.pass(1.0).await;
+        self.requests.acquire(1.0).await;
         if !t.changes.is_empty() {
-            self.writes.pass_leaving(t.changes.len() as f64, reserve).await;
+            self.writes
+                .acquire_above_reserve(t.changes.len() as f64, reserve)
+                .await;
         }
         let body = serde_json::to_vec(t).map_err(|_| StoreError::Rejected(0))?;
         let r = self.call(Method::POST, "/multi", Some(body), timeout).await?;
@@ -272,7 +274,7 @@
 
     /// Grants a lease.
     pub async fn grant_lease(&self, life: Duration) -> Result<u64, StoreError> {
-        self.requests.pass(1.0).await;
+        self.requests.acquire(1.0).await;
         let body = format!("{{\"life_ms\":{}}}", life.as_millis()).into_bytes();
         let r = self.call(Method::POST, "/holds", Some(body), PATIENCE).await?;
         match r.status {
@@ -312,7 +314,7 @@
 
     /// Waits for a change of some key with the prefix.
     pub async fn watch(&self, prefix: &str, since: u64, hold: Duration) -> Result<WatchResponse, StoreError> {
-        self.requests.pass(1.0).await;
+        self.requests.acquire(1.0).await;
         let path = format!(
             "/watch?starts={prefix}&since={since}&hold_ms={}",
             hold.as_millis()
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -53,7 +53,7 @@
 
     /// Slows down to a rate, if it is lower, with bursts of a second's worth.
     /// Whether it was.
-    pub fn slow_to(&self, rate: f64, now: Instant) -> bool {
+    pub fn lower_rate(&self, rate: f64, now: Instant) -> bool {
         let mut s = self.state.lock();
         if rate >= s.rate {
             return false;
@@ -75,7 +75,7 @@
 
     /// Takes units if as many are there and a part of the burst is left for
     /// what is urgent; else how long to wait before trying again.
-    pub fn take_leaving(&self, units: f64, reserve: f64, now: Instant) -> Duration {
+    pub fn take_above_reserve(&self, units: f64, reserve: f64, now: Instant) -> Duration {
         let mut s = self.state.lock();
         s.refill(now);
         // What is larger than the rest of the burst goes when the budget is full.
@@ -88,7 +88,7 @@
     }
 
     /// Takes units once they are due, if that is soon; else takes none.
-    pub(super) async fn pass_soon(&self, units: f64, soon: Duration) -> bool {
+    pub(super) async fn acquire_within(&self, units: f64, soon: Duration) -> bool {
         let wait = {
             let mut s = self.state.lock();
             s.refill(Instant::now());
@@ -104,7 +104,7 @@
     }
 
     /// Takes units once they are due.
-    pub async fn pass(&self, units: f64) {
+    pub async fn acquire(&self, units: f64) {
         let wait = self.take(units, Instant::now());
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
@@ -112,9 +112,9 @@
     }
 
     /// Takes units once they are there beside the reserve.
-    pub(super) async fn pass_leaving(&self, units: f64, reserve: f64) {
+    pub(super) async fn acquire_above_reserve(&self, units: f64, reserve: f64) {
         loop {
-            let wait = self.take_leaving(units, reserve, Instant::now());
+            let wait = self.take_above_reserve(units, reserve, Instant::now());
             if wait.is_zero() {
                 return;
             }
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -58,7 +58,7 @@
 /// Transactions on their way at once.
 const LANES: usize = 4;
 /// Share of the budget of changes that the log and final states leave to users.
-pub const RESERVE: f64 = 0.3;
+pub const URGENT_RESERVE: f64 = 0.3;
 /// Bytes of values in one transaction, below the protocol's 64 KiB.
 const MAX_BYTES: usize = 48 * 1024;
 
@@ -78,7 +78,7 @@
     }
 
     /// Makes a key's version known.
-    pub fn know(&self, key: &str, version: u64) {
+    pub fn set_known_version(&self, key: &str, version: u64) {
         let mut s = self.state.lock();
         if version == 0 {
             s.versions.remove(key);
@@ -88,7 +88,7 @@
     }
 
     /// Whether the term is over.
-    pub fn is_over(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         self.state.lock().over
     }
 
@@ -104,7 +104,7 @@
     }
 
     /// Changes that users wait for and that are not on their way yet.
-    pub fn urgent_waiting(&self) -> usize {
+    pub fn queued_urgent_changes(&self) -> usize {
         let s = self.state.lock();
         let urgent = s.queue.iter().take_while(|(u, _)| u.urgent);
         urgent.map(|(u, _)| u.changes.len()).sum()
@@ -134,7 +134,7 @@
     pub async fn run(self: Arc<Self>) {
         loop {
             self.wake.notified().await;
-            if self.is_over() {
+            if self.has_ended() {
                 return;
             }
             while let Some(batch) = self.next_batch() {
@@ -239,11 +239,11 @@
     async fn send(&self, mut batch: Vec<(AtomicWrite, Reply)>) {
         let mut keys: Vec<String> = batch.iter().flat_map(|(u, _)| u.keys().cloned()).collect();
         let mut uncertain = false;
-        while !batch.is_empty() && !self.is_over() {
+        while !batch.is_empty() && !self.has_ended() {
             let t = self.transaction(&batch);
-            let reserve = if batch[0].0.urgent { 0.0 } else { RESERVE };
+            let reserve = if batch[0].0.urgent { 0.0 } else { URGENT_RESERVE };
             let patience = Duration::from_millis(1200);
-            match self.store.transact_leaving(&t, patience, reserve).await {
+            match self.store.transact_above_reserve(&t, patience, reserve).await {
                 Ok(revision) => {
                     self.applied(batch, revision);
                     batch = Vec::new();
@@ -349,7 +349,7 @@
         wanted.dedup();
         for key in &wanted {
             loop {
-                if self.is_over() {
+                if self.has_ended() {
                     return Some(batch);
                 }
                 match self.store.get(key).await {
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -18,7 +18,7 @@
     /// No answer: it may have been executed, or may still be.
     Unanswered,
     /// It was never handed over.
-    SendRefusal(SendRefusal),
+    Withheld(SendRefusal),
 }
 
 /// How long a command may take.
@@ -26,7 +26,7 @@
 
 /// Sends commands to a worker if `permit` still allows it once it is connected,
 /// however long that took.
-pub async fn command(
+pub async fn send_commands(
     sockets: &SocketBudget,
     addr: &str,
     commands: &CommandBatch,
@@ -35,7 +35,7 @@
     let Ok(body) = serde_json::to_vec(commands) else {
         return CommandOutcome::Unanswered;
     };
-    let _socket = sockets.command().await;
+    let _socket = sockets.acquire_command().await;
     let withheld = OnceLock::new();
     let go = || match permit() {
         Ok(permit) => {
@@ -49,7 +49,7 @@
     };
     let answer = post_once(addr, "/commands", body, PATIENCE, go).await;
     if let Some(reason) = withheld.into_inner() {
-        return CommandOutcome::SendRefusal(reason);
+        return CommandOutcome::Withheld(reason);
     }
     let heartbeat = |r: &bytes::Bytes| serde_json::from_slice::<Heartbeat>(r);
     match answer.map(|r| (r.status, heartbeat(&r.body))) {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -9,7 +9,7 @@
 
 use std::time::{Duration, Instant};
 
-use bitternfold::http::Http;
+use bitternfold::http::HttpClient;
 use bitternfold::settings::DeploymentSettings;
 use bitternfold::store::rate_limiter::RateLimiter;
 use bitternfold::store::Store;
@@ -162,14 +162,14 @@
 #[test]
 fn a_refusal_for_the_rate_slows_down_to_the_announced_one() {
     let now = Instant::now();
-    let pace = RateLimiter::new(40.0, 40.0);
-    assert!(!pace.slow_to(40.0, now), "no slower than it is");
-    assert!(pace.slow_to(10.0, now));
-    assert_eq!(pace.rate(), 10.0);
+    let limiter = RateLimiter::new(40.0, 40.0);
+    assert!(!limiter.lower_rate(40.0, now), "no slower than it is");
+    assert!(limiter.lower_rate(10.0, now));
+    assert_eq!(limiter.rate(), 10.0);
     // The burst is a second's worth of the new rate, too.
-    assert_eq!(pace.take(10.0, now), Duration::ZERO);
-    assert_eq!(pace.take(5.0, now), Duration::from_millis(500));
-    assert!(!pace.slow_to(40.0, now), "it never speeds up again");
+    assert_eq!(limiter.take(10.0, now), Duration::ZERO);
+    assert_eq!(limiter.take(5.0, now), Duration::from_millis(500));
+    assert!(!limiter.lower_rate(40.0, now), "it never speeds up again");
 }
 
 #[test]
@@ -182,18 +182,18 @@
             .expect("settings")
             .cluster
             .state;
-        let store = Store::new(Http::default(), address, &limits);
+        let store = Store::new(HttpClient::default(), address, &limits);
         let second = Duration::from_secs(1);
-        let before = store.changes_within(second);
+        let before = store.max_changes_within(second);
         let nothing = Transaction {
             conditions: Vec::new(),
             changes: Vec::new(),
         };
         assert!(store.transact(&nothing, second * 10).await.is_ok());
-        assert_eq!(store.changes_within(second), before, "not without a refusal");
+        assert_eq!(store.max_changes_within(second), before, "not without a refusal");
         state.refuse_for_rate(1);
         assert!(store.transact(&nothing, second * 10).await.is_err());
-        assert_eq!(store.changes_within(second), before * 60.0 / 100.0);
+        assert_eq!(store.max_changes_within(second), before * 60.0 / 100.0);
     });
 }
 
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -6,7 +6,7 @@
 
 use bitternfold::core::storage::wal::{LogAppend, LogEntry, WriteAheadLog};
 use bitternfold::store::rate_limiter::RateLimiter;
-use bitternfold::store::writer::RESERVE;
+use bitternfold::store::writer::URGENT_RESERVE;
 use bitternfold::wire::{JobId, MachineId, TaskId};
 use proptest::prelude::*;
 use serde_json::Value;
@@ -237,7 +237,7 @@
             let size = f64::from(*size).min(rate);
             let mut tries = 0;
             loop {
-                let wait = pace.take_leaving(size, RESERVE, now);
+                let wait = pace.take_above_reserve(size, URGENT_RESERVE, now);
                 if wait.is_zero() { break; }
                 tries += 1;
                 prop_assert!(tries < 10, "the log never goes");
@@ -246,9 +246,9 @@
             log += size;
             taken += size;
             // Few beside the budget, as users are.
-            if f64::from(*n) <= rate * RESERVE && size <= rate * (1.0 - RESERVE) {
+            if f64::from(*n) <= rate * URGENT_RESERVE && size <= rate * (1.0 - URGENT_RESERVE) {
                 for _ in 0..*n {
-                    let wait = pace.take_leaving(1.0, 0.0, now);
+                    let wait = pace.take_above_reserve(1.0, 0.0, now);
                     prop_assert!(wait.is_zero(), "a user waits {:?} behind the log", wait);
                     taken += 1.0;
                 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -112,11 +112,11 @@
         let controller = bitternfold::controller::Controller::new(support::deployment(), Default::default());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
-        let patience = ConnectionTimeouts {
-            quiet: Duration::from_millis(200),
+        let timeouts = ConnectionTimeouts {
+            idle: Duration::from_millis(200),
             request: Duration::from_millis(200),
         };
-        tokio::spawn(bitternfold::api::serve(listener, controller, patience));
+        tokio::spawn(bitternfold::api::serve(listener, controller, timeouts));
         for said in [
             "",
             "GET /up HT",
@@ -136,11 +136,13 @@
 fn the_shares_of_the_sockets_leave_something_for_each() {
     for limit in [bitternfold::sockets::MIN_SOCKETS, 256, 1024, 3312, 65_536] {
         let s = SocketBudget::new(limit);
-        let commands = s.commands_free();
+        let commands = s.available_commands();
         assert!(commands >= 8 && !s.is_overloaded());
         on_loopback(async {
             let mut held = Vec::new();
-            while let Ok(Some(p)) = tokio::time::timeout(Duration::from_millis(10), s.incoming()).await {
+            while let Ok(Some(p)) =
+                tokio::time::timeout(Duration::from_millis(10), s.acquire_incoming()).await
+            {
                 held.push(p);
             }
             assert!(s.is_overloaded());
@@ -151,7 +153,7 @@
                 "{} + {commands} of {limit}",
                 held.len()
             );
-            assert_eq!(s.commands_free(), commands, "full of users, commands go on");
+            assert_eq!(s.available_commands(), commands, "full of users, commands go on");
         });
     }
 }
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -4,23 +4,28 @@
 use std::time::{Duration, Instant};
 
 use bitternfold::peer::{next_for, MAX_BATCH_BYTES};
-use bitternfold::stall::{StallDetector, TICK};
+use bitternfold::stall::{StallDetector, TIMER_INTERVAL};
 
 #[test]
 fn a_standstill_is_told_once_and_strain_passes() {
-    let t = Instant::now();
-    let p = StallDetector::new(t);
-    p.tick(t + TICK);
-    assert!(p.take_stall(t + TICK * 2).is_none() && !p.overloaded(t + TICK * 2));
-    let late = t + TICK * 2 + Duration::from_millis(600);
-    assert!(p.overloaded(late), "even before the timer fires");
-    p.tick(late);
-    assert!(p.overloaded(late) && p.take_stall(late).is_none());
-    p.tick(late + TICK);
-    assert!(!p.overloaded(late + TICK), "it has caught up");
-    let woke = late + TICK + Duration::from_secs(37);
-    assert!(p.take_stall(woke).is_some_and(|d| d > Duration::from_secs(36)));
-    assert!(p.take_stall(woke).is_none());
+    let start = Instant::now();
+    let detector = StallDetector::new(start);
+    detector.timer_fired(start + TIMER_INTERVAL);
+    assert!(
+        detector.take_stall(start + TIMER_INTERVAL * 2).is_none()
+            && !detector.is_overloaded(start + TIMER_INTERVAL * 2)
+    );
+    let late = start + TIMER_INTERVAL * 2 + Duration::from_millis(600);
+    assert!(detector.is_overloaded(late), "even before the timer fires");
+    detector.timer_fired(late);
+    assert!(detector.is_overloaded(late) && detector.take_stall(late).is_none());
+    detector.timer_fired(late + TIMER_INTERVAL);
+    assert!(!detector.is_overloaded(late + TIMER_INTERVAL), "it has caught up");
+    let resumed = late + TIMER_INTERVAL + Duration::from_secs(37);
+    assert!(detector
+        .take_stall(resumed)
+        .is_some_and(|d| d > Duration::from_secs(36)));
+    assert!(detector.take_stall(resumed).is_none());
 }
 
 #[test]
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use bitternfold::http::Http;
+use bitternfold::http::HttpClient;
 use bitternfold::wire::*;
 use parking_lot::Mutex;
 use serde_json::{json, Value};
@@ -446,7 +446,7 @@
         tokio::spawn(async move {
             sleep(delay).await;
             let method = hyper::Method::POST;
-            let http = Http::default();
+            let http = HttpClient::default();
             let _ = http
                 .call(method, &to, "/v1/report", Some(body), REPORT_PATIENCE)
                 .await;
@@ -454,7 +454,7 @@
     }
 
     async fn heartbeat(self: Arc<Self>, m: Arc<Mutex<Machine>>) {
-        let http = Http::default();
+        let http = HttpClient::default();
         let mut at = 0;
         loop {
             sleep(Duration::from_millis(150)).await;
--- a/tests/support/standins.rs
+++ b/tests/support/standins.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bitternfold::http::Http;
+use bitternfold::http::HttpClient;
 use bytes::Bytes;
 use serde_json::Value;
 use tokio::net::TcpListener;
@@ -40,7 +40,7 @@
 
 /// A user's request: status, Retry-After, body.
 pub async fn ask(method: &str, addr: SocketAddr, path: &str, body: Option<Value>) -> (u16, Value) {
-    let http = Http::default();
+    let http = HttpClient::default();
     let method = hyper::Method::from_bytes(method.as_bytes()).expect("a method");
     let body = body.map(|b| Bytes::from(b.to_string()).to_vec());
     match http
