--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -9,7 +9,7 @@
 use super::Controller;
 use crate::clock::unix_time_ms;
 use crate::controller::job_lookup::StoredJob;
-use crate::core::scheduling::admission::{admissible, AdmissionError};
+use crate::core::scheduling::admission::{check_admission, AdmissionError};
 use crate::core::storage::record::{self, FinalRecord, JobRecord};
 use crate::peer::PeerRequest;
 use crate::response::ApiResponse;
@@ -163,7 +163,8 @@
         if types.is_empty() {
             return Err(ApiResponse::unavailable("the machine types are not known yet"));
         }
-        admissible(&spec, &self.config.teams, types).map_err(|u| ApiResponse::error(422, &u.to_string()))?;
+        check_admission(&spec, &self.config.teams, types)
+            .map_err(|u| ApiResponse::error(422, &u.to_string()))?;
         let mut spec = spec;
         if spec.awaits.contains(&spec.id) {
             return Err(ApiResponse::error(
--- a/src/core/fleet/rentals.rs
+++ b/src/core/fleet/rentals.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use crate::core::scheduling::admission::type_allowed;
+use crate::core::scheduling::admission::fits_machine_type;
 use crate::core::state::fleet_state::Offer;
 use crate::core::state::machine::MachinePhase;
 use crate::core::state::model::ClusterModel;
@@ -218,14 +218,14 @@
             && b.memory + AMOUNT_TOLERANCE >= s.memory_gb
             && (s.spot || !b.spot)
             && s.zone.as_ref().is_none_or(|z| *z == b.zone)
-            && type_allowed(s, &self.types[b.kind])
+            && fits_machine_type(s, &self.types[b.kind])
     }
 
     /// The offer that runs a job's tasks for the least money, among those not
     /// refused of late; spread over the zones.
     fn best_offer(&self, s: &JobSpec, left: u32, rentals: &RentalPlan, now: Instant) -> Option<Offer> {
         let mut best: Option<((bool, f64, u32), Offer)> = None;
-        for t in self.types.iter().filter(|t| type_allowed(s, t)) {
+        for t in self.types.iter().filter(|t| fits_machine_type(s, t)) {
             let per = |have: f64, need: f64| {
                 if need > 0.0 {
                     (have + AMOUNT_TOLERANCE) / need
--- a/src/core/scheduling/admission.rs
+++ b/src/core/scheduling/admission.rs
@@ -30,14 +30,14 @@
 }
 
 /// Whether a job can ever run, given teams and machine types.
-pub fn admissible(
+pub fn check_admission(
     spec: &JobSpec,
     teams: &HashMap<String, Team>,
     types: &[MachineType],
 ) -> Result<(), AdmissionError> {
     let team = teams.get(&spec.team).ok_or(AdmissionError::UnknownTeam)?;
     let fits = types.iter().any(|t| {
-        type_allowed(spec, t)
+        fits_machine_type(spec, t)
             && spec
                 .zone
                 .as_ref()
@@ -59,7 +59,7 @@
 }
 
 /// Whether a task fits an empty machine of a type that its job allows.
-pub fn type_allowed(spec: &JobSpec, t: &MachineType) -> bool {
+pub fn fits_machine_type(spec: &JobSpec, t: &MachineType) -> bool {
     spec.types.as_ref().is_none_or(|l| l.contains(&t.name))
         && spec.cpus <= t.cpus + AMOUNT_TOLERANCE
         && spec.gpus <= t.gpus + AMOUNT_TOLERANCE
--- a/src/core/scheduling/borrowed.rs
+++ b/src/core/scheduling/over_quota.rs
@@ -1,15 +1,16 @@
-//! Borrowed load: tasks of low priority that a team runs beyond its guarantee.
+//! Over-quota load: tasks of low priority that a team runs beyond its quota.
 //!
 //! Backfilled tasks are shadow load until nothing that waits outranks them. A
-//! team without a guarantee may also fill free machines in order, with tasks
-//! that run for minutes, right before urgent work arrives that has no room then.
-//! Such borrowed tasks are treated as shadow load of a blocked head of higher
+//! team without a quota may also fill free machines in order, with tasks that run
+//! for minutes, right before urgent work arrives that has no room then. Such
+//! over-quota tasks are treated as shadow load of a blocked head of higher
 //! priority as long as they are young, so that little work is lost with them.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-use crate::core::scheduling::ranking::{Rank, Tier, STARVED_FIRST_TASKS};
+use crate::core::scheduling::ranking::starvation::STARVED_FIRST_TASKS;
+use crate::core::scheduling::ranking::{Rank, Tier};
 use crate::core::state::model::ClusterModel;
 use crate::core::state::slot::Slot;
 use crate::wire::{JobId, JobKind};
@@ -17,58 +18,54 @@
 /// A task is young until it has run for this share of its predicted run time.
 const YOUNG_SHARE: f64 = 0.25;
 
-/// A job whose borrowed tasks were stopped starts no others for so long: they
-/// would only fill the next gap to be stopped again. Well under the time that a
+/// A job whose over-quota tasks were preempted starts no others for so long: they
+/// would only fill the next gap to be preempted again. Well under the time that a
 /// job may wait beside room.
-const PAUSE_AFTER_STOP: Duration = Duration::from_secs(20);
+const PAUSE_AFTER_PREEMPTION: Duration = Duration::from_secs(20);
 
 impl ClusterModel {
-    /// Pauses a job whose borrowed tasks were stopped for others. Further stops
+    /// Pauses a job whose over-quota tasks were preempted. Further preemptions
     /// don't prolong the pause: its other tasks may have room where the head
-    /// has none, and would wait beside it for as long as the stops go on.
-    pub(in crate::core) fn pause_borrower(&mut self, id: JobId, now: Instant) {
+    /// has none, and would wait beside it for as long as the preemptions go on.
+    pub(super) fn pause_after_preemption(&mut self, id: JobId, now: Instant) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         if job.pause_until.is_none_or(|end| end <= now) {
-            job.pause_until = Some(now + PAUSE_AFTER_STOP);
+            job.pause_until = Some(now + PAUSE_AFTER_PREEMPTION);
         }
     }
 }
 
-/// The jobs whose tasks are borrowed load to a blocked head.
+/// The jobs whose tasks are over-quota load to a blocked head.
 #[derive(Debug, Default)]
-pub(in crate::core) struct BorrowedLoad {
+pub(super) struct OverQuotaLoad {
     jobs: HashSet<JobId>,
     /// Tasks of each job that were passed over so that the job stays begun.
     spared: HashMap<JobId, u32>,
 }
 
-impl BorrowedLoad {
-    /// What is borrowed from the head's point of view: running work of lower
-    /// priority beyond its team's guarantee, for which no time was promised, if
-    /// the head can still be served as its user was told.
-    pub(in crate::core) fn for_head(
-        model: &ClusterModel,
-        head: JobId,
-        ranks: &BTreeMap<JobId, Rank>,
-    ) -> Self {
+impl OverQuotaLoad {
+    /// What is over quota from the head's point of view: running work of lower
+    /// priority beyond its team's quota and without a deadline, if the head can
+    /// still meet its own earliest deadline.
+    pub(super) fn for_head(model: &ClusterModel, head: JobId, ranks: &BTreeMap<JobId, Rank>) -> Self {
         let served_in_time = ranks
             .get(&head)
-            .is_some_and(|rank| matches!(rank.1, Tier::Guaranteed | Tier::InTime));
+            .is_some_and(|rank| matches!(rank.tier, Tier::WithinQuota | Tier::InTime));
         let Some(head) = model.jobs.get(&head).filter(|_| served_in_time) else {
             return Self::default();
         };
         let head_priority = model.priority(head);
-        let beyond_guarantee = |id: &JobId| ranks.get(id).is_some_and(|rank| rank.1 != Tier::Guaranteed);
+        let beyond_quota = |id: &JobId| ranks.get(id).is_some_and(|rank| rank.tier != Tier::WithinQuota);
         let jobs = model
             .jobs
             .iter()
             .filter(|(_, job)| job.placed > STARVED_FIRST_TASKS)
             .filter(|(_, job)| job.spec.kind == JobKind::Array)
             .filter(|(_, job)| model.priority(job) < head_priority)
-            .filter(|(id, _)| beyond_guarantee(id))
-            .filter(|(_, job)| model.deadlines(job).0.is_none())
+            .filter(|(id, _)| beyond_quota(id))
+            .filter(|(_, job)| model.deadlines(job).earliest.is_none())
             .map(|(id, _)| *id)
             .collect();
         Self {
@@ -77,14 +74,14 @@
         }
     }
 
-    /// Whether nothing is borrowed.
-    pub(in crate::core) fn is_empty(&self) -> bool {
+    /// Whether no job runs over quota.
+    pub(super) fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Whether a task may be stopped for the head. Asked once for each task: the
-    /// first few of a job are spared, so that a job once begun stays so.
-    pub(in crate::core) fn admits_stop(
+    /// Whether a task may be preempted for the head. To be called once for each
+    /// task: the first few of a job are spared, so that a job once begun stays so.
+    pub(super) fn admits_preemption(
         &mut self,
         model: &ClusterModel,
         job: JobId,
--- a/src/core/scheduling/placement/mod.rs
+++ b/src/core/scheduling/placement/mod.rs
@@ -9,7 +9,8 @@
 use std::time::{Duration, Instant};
 
 use crate::core::scheduling::capacity::{FreeCapacity, RunningLoad};
-use crate::core::scheduling::ranking::{Rank, Tier, STARVED_FIRST_TASKS};
+use crate::core::scheduling::ranking::starvation::STARVED_FIRST_TASKS;
+use crate::core::scheduling::ranking::{Rank, Tier};
 use crate::core::state::model::ClusterModel;
 use crate::core::state::resources::TeamUsage;
 use crate::core::state::resources::AMOUNT_TOLERANCE;
@@ -313,7 +314,7 @@
                 self.model
                     .stop(&machine, l.task, l.grace, self.now, "shadow of the head");
                 if l.borrowed {
-                    self.model.pause_borrower(l.task.job, self.now);
+                    self.model.pause_after_preemption(l.task.job, self.now);
                 }
             }
         }
--- a/src/core/scheduling/placement/preemption.rs
+++ b/src/core/scheduling/placement/preemption.rs
@@ -4,8 +4,8 @@
 use std::time::Instant;
 
 use super::Planner;
-use crate::core::scheduling::borrowed::BorrowedLoad;
 use crate::core::scheduling::capacity::RunningLoad;
+use crate::core::scheduling::over_quota::OverQuotaLoad;
 use crate::core::scheduling::plan::RoundSummary;
 use crate::core::scheduling::ranking::Rank;
 use crate::core::state::slot::SlotState;
@@ -13,7 +13,7 @@
 
 impl Planner<'_> {
     /// Fills in what runs on the machines; as shadow only what the head outranks.
-    pub(super) fn load(&mut self, head: Rank, mut borrowed: BorrowedLoad) {
+    pub(super) fn load(&mut self, head: Rank, mut borrowed: OverQuotaLoad) {
         self.loaded = true;
         let (model, now) = (&*self.model, self.now);
         for room in &mut self.rooms {
@@ -25,7 +25,7 @@
                 let rank = self.ranks.get(&task.job).copied();
                 let lives = s.stop.is_none() && !matches!(s.state, SlotState::Saving);
                 let outranked = lives && rank.is_some_and(|r| r > head);
-                let lent = outranked && !s.backfilled && borrowed.admits_stop(model, task.job, s, now);
+                let lent = outranked && !s.backfilled && borrowed.admits_preemption(model, task.job, s, now);
                 room.load.push(RunningLoad {
                     end: if s.stop.is_some() {
                         now
@@ -49,7 +49,7 @@
     /// Stops shadow tasks if that starts tasks of the head (a gang: all of
     /// them) at once; lowest priority first, where the least work is lost.
     pub(in crate::core) fn preempt_for(&mut self, head: JobId, rank: Rank, round: &mut RoundSummary) {
-        let borrowed = BorrowedLoad::for_head(self.model, head, &self.ranks);
+        let borrowed = OverQuotaLoad::for_head(self.model, head, &self.ranks);
         if !self.model.shadows && borrowed.is_empty() {
             return;
         }
@@ -57,7 +57,7 @@
         if !self.rooms.iter().any(|r| r.load.iter().any(|l| l.shadow)) {
             return;
         }
-        let mut left = self.first_tasks(head, rank.1);
+        let mut left = self.first_tasks(head, rank.tier);
         while left > 0 {
             let Some(batch) = self.next_batch(head) else {
                 return;
@@ -83,7 +83,7 @@
         let spec = job.spec.clone();
         if !self.loaded {
             let rank = *self.ranks.get(&head)?;
-            self.load(rank, BorrowedLoad::default());
+            self.load(rank, OverQuotaLoad::default());
         }
         let zones = self.zone_rule(&spec);
         let mut best = None;
--- a/src/core/scheduling/placement/rules.rs
+++ b/src/core/scheduling/placement/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::Planner;
-use crate::core::scheduling::admission::type_allowed;
+use crate::core::scheduling::admission::fits_machine_type;
 use crate::core::scheduling::capacity::FreeCapacity;
 use crate::core::state::resources::AMOUNT_TOLERANCE;
 use crate::wire::{JobId, JobSpec};
@@ -63,7 +63,7 @@
 
     pub(super) fn machine_allowed(&self, spec: &JobSpec, room: &FreeCapacity) -> bool {
         (spec.spot || !room.spot)
-            && type_allowed(spec, &self.types[room.kind])
+            && fits_machine_type(spec, &self.types[room.kind])
             && !room.closed
             && room
                 .reclaim_at
--- a/src/core/scheduling/plan.rs
+++ b/src/core/scheduling/plan.rs
@@ -79,7 +79,7 @@
         // In order, until the head stalls.
         let mut head: Option<(usize, Rank)> = None;
         for (at, (rank, id)) in queue.iter().enumerate() {
-            let most = p.first_tasks(*id, rank.1);
+            let most = p.first_tasks(*id, rank.tier);
             let tried = p.place_all(*id, PlacementMode::in_order(most), &mut round.in_order);
             if tried == PlacementOutcome::NoRoom {
                 head = Some((at, *rank));
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::core::scheduling::probation::FailureHistory;
 use crate::core::state::bits::BitSet;
+use crate::core::state::probation::FailureHistory;
 use crate::core::storage::record::JobRecord;
 use crate::wire::{JobKind, JobSpec, MachineId};
 
--- a/src/core/state/mod.rs
+++ b/src/core/state/mod.rs
@@ -2,11 +2,14 @@
 
 pub mod bits;
 pub mod config;
+pub(in crate::core) mod deadlines;
 pub mod dependencies;
 pub mod fleet_state;
 pub mod job;
 pub mod machine;
 pub mod model;
+mod predictions;
+pub mod probation;
 pub mod resources;
 pub mod slot;
 pub(in crate::core) mod token;
--- a/src/core/state/model.rs
+++ b/src/core/state/model.rs
@@ -123,7 +123,7 @@
     }
 
     fn add_dependencies(&mut self, job: &Job) {
-        let (due, latest_due) = self.own_deadlines(job);
+        let own = self.own_deadlines(job);
         let at = |due: Option<f64>| {
             let due = Duration::try_from_secs_f64(due?).ok()?;
             job.arrival.checked_add(due)
@@ -133,8 +133,8 @@
             awaits: &job.spec.awaits,
             urgency: Urgency {
                 priority: job.spec.priority,
-                due: at(due),
-                latest_due: at(latest_due),
+                due: at(own.earliest),
+                latest_due: at(own.latest),
             },
             run_time: self.predict(&job.spec),
         };
@@ -165,10 +165,20 @@
         }
     }
 
-    /// Whether a job has tasks that may be placed as far as the job goes: it is
-    /// neither cancelled nor waiting for others.
+    /// Whether a job has a place in the queue: it is neither cancelled nor waiting
+    /// for other jobs.
+    fn is_ready(&self, job: &Job) -> bool {
+        !job.cancelled && self.dependencies.is_ready(job.spec.id)
+    }
+
+    /// Jobs that have a place in the queue, whether or not tasks of them are placed.
+    pub(in crate::core) fn ready_jobs(&self) -> impl Iterator<Item = &Job> {
+        self.jobs.values().filter(|job| self.is_ready(job))
+    }
+
+    /// Whether a job is ready and has tasks that are not placed yet.
     pub fn is_waiting_for_capacity(&self, job: &Job) -> bool {
-        !job.cancelled && job.waiting.count() > 0 && self.dependencies.is_ready(job.spec.id)
+        job.waiting.count() > 0 && self.is_ready(job)
     }
 
     /// The jobs that want room, see [`ClusterModel::is_waiting_for_capacity`].
--- a/tests/dependencies/readiness.rs
+++ b/tests/dependencies/readiness.rs
@@ -85,17 +85,17 @@
     assert!(!ranks.contains_key(&id(2)), "it has no place in the queue");
     let wanted: Vec<JobId> = m.jobs_waiting_for_capacity().map(|j| j.spec.id).collect();
     assert_eq!(wanted, [id(1), id(3)]);
-    assert_eq!(ranks[&id(3)].1, Tier::Starved, "it waits since it arrived");
+    assert_eq!(ranks[&id(3)].tier, Tier::Starved, "it waits since it arrived");
     m.jobs.get_mut(&id(3)).expect("known").done.insert(0);
     assert_eq!(
-        m.ranks(now)[&id(3)].1,
-        Tier::Guaranteed,
+        m.ranks(now)[&id(3)].tier,
+        Tier::WithinQuota,
         "the one that waits takes no part"
     );
     m.resolve_dependency(id(1), DependencyOutcome::Done(Some(now - secs(5))));
     assert_eq!(m.ready_since(&m.jobs[&id(2)]), now - secs(5));
     assert_ne!(
-        m.ranks(now)[&id(2)].1,
+        m.ranks(now)[&id(2)].tier,
         Tier::Starved,
         "it waits for 5 s, not for 300"
     );
--- a/tests/planner/admission.rs
+++ b/tests/planner/admission.rs
@@ -1,6 +1,6 @@
 //! Which jobs are refused because no cluster could ever run them.
 
-use bitternfold::core::scheduling::admission::{admissible, AdmissionError};
+use bitternfold::core::scheduling::admission::{check_admission, AdmissionError};
 use bitternfold::wire::*;
 
 use crate::support::*;
@@ -10,25 +10,28 @@
     let m = model(1);
     let teams = &m.config.teams;
     let mut j = job(1, 6, 8.0);
-    assert_eq!(admissible(&j, teams, &m.types), Ok(()));
+    assert_eq!(check_admission(&j, teams, &m.types), Ok(()));
     j.team = "red".into();
     assert_eq!(
-        admissible(&j, teams, &m.types),
+        check_admission(&j, teams, &m.types),
         Ok(()),
         "an array only needs room for one task"
     );
     j.kind = JobKind::Service;
     assert_eq!(
-        admissible(&j, teams, &m.types),
+        check_admission(&j, teams, &m.types),
         Err(AdmissionError::ExceedsTeamLimit),
         "48 of 40 CPUs at once"
     );
     j.team = "green".into();
-    assert_eq!(admissible(&j, teams, &m.types), Err(AdmissionError::UnknownTeam));
+    assert_eq!(
+        check_admission(&j, teams, &m.types),
+        Err(AdmissionError::UnknownTeam)
+    );
     let mut big = job(2, 1, 8.0);
     big.memory_gb = 64.5;
     assert_eq!(
-        admissible(&big, teams, &m.types),
+        check_admission(&big, teams, &m.types),
         Err(AdmissionError::FitsNoMachineType)
     );
 }
--- a/tests/planner/generated.rs
+++ b/tests/planner/generated.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use bitternfold::core::scheduling::admission::type_allowed;
+use bitternfold::core::scheduling::admission::fits_machine_type;
 use bitternfold::core::scheduling::ranking::Tier;
 use bitternfold::core::state::job::Job;
 use bitternfold::core::ClusterModel;
@@ -31,7 +31,7 @@
                 c += spec.cpus;
                 mem += spec.memory_gb;
             }
-            prop_assert!(type_allowed(spec, kind), "forbidden type");
+            prop_assert!(fits_machine_type(spec, kind), "forbidden type");
             prop_assert!(spec.spot || !mac.spot, "forbidden kind");
             prop_assert!(
                 spec.zone.as_ref().is_none_or(|z| *z == mac.zone),
@@ -147,10 +147,10 @@
             // Sunny, so it can only have been borrowed load.
             let of = &m.jobs[&task.job];
             let for_higher = m.jobs.values()
-                .any(|j| j.spec.priority > of.spec.priority && ranks[&j.spec.id].1 <= Tier::InTime && gained(j));
+                .any(|j| j.spec.priority > of.spec.priority && ranks[&j.spec.id].tier <= Tier::InTime && gained(j));
             prop_assert!(for_higher, "{task} is stopped for no higher priority");
             prop_assert!(of.spec.kind == JobKind::Array && of.spec.deadline_s.is_none(), "{task} was promised");
-            prop_assert!(own.1 != Tier::Guaranteed, "{task} was within its team's guarantee");
+            prop_assert!(own.tier != Tier::WithinQuota, "{task} was within its team's guarantee");
             let young = m.predict(&of.spec) / 4;
             prop_assert!(s.running_since.is_some_and(|t| later - t < young), "{task} is not young");
             let kept = m.machines.values().flat_map(|x| &x.slots)
--- a/tests/planner/probation.rs
+++ b/tests/planner/probation.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use bitternfold::core::scheduling::probation::FailureHistory;
+use bitternfold::core::state::probation::FailureHistory;
 use bitternfold::core::ClusterModel;
 use proptest::prelude::*;
 
--- a/tests/planner/ranking.rs
+++ b/tests/planner/ranking.rs
@@ -92,10 +92,10 @@
         m.add_job(record(j), now + secs(u64::from(n)));
     }
     let ranks = m.ranks(now + secs(9));
-    let tiers: Vec<Tier> = ranks.values().map(|r| r.1).collect();
+    let tiers: Vec<Tier> = ranks.values().map(|r| r.tier).collect();
     assert_eq!(
         tiers,
-        [Tier::Guaranteed, Tier::Guaranteed, Tier::InTime],
+        [Tier::WithinQuota, Tier::WithinQuota, Tier::InTime],
         "16 CPUs are guaranteed"
     );
 }
