--- /dev/null
+++ b/tests/safety/heartbeats.rs
@@ -0,0 +1,119 @@
+//! Heartbeats that are late, or that name what the leader doesn't know.
+
+use bitternfold::core::evidence::heartbeats::HeartbeatOutcome;
+use bitternfold::core::storage::pending_writes::PendingWrite;
+use bitternfold::wire::*;
+
+use crate::support::*;
+
+#[test]
+fn an_older_message_changes_nothing() {
+    // Reports held back by the network arrive after newer ones; their tasks
+    // are as old as they are.
+    let now = start();
+    let mut m = model(7);
+    let mut r = heartbeat("i-1", "small", "north", false, 7, 5);
+    r.incarnation = 2;
+    m.apply_heartbeat(&r, now);
+    let id = MachineId::from("i-1");
+    for (incarnation, sequence) in [(1, 9), (2, 4), (2, 5)] {
+        let mut old = heartbeat("i-1", "small", "north", false, 7, sequence);
+        old.incarnation = incarnation;
+        old.tasks = vec![ReportedTask {
+            task: "job-000001/0".parse().expect("a task"),
+            attempt: 1,
+            state: TaskState::Running,
+            exit_reason: None,
+            saved: None,
+        }];
+        assert_eq!(m.apply_heartbeat(&old, now), HeartbeatOutcome::Outdated);
+        assert!(m.machines[&id].slots.is_empty());
+        assert_eq!(m.machines[&id].newest_message, (2, 5));
+    }
+}
+
+#[test]
+fn words_older_than_the_fence_make_no_places() {
+    // A new leader may hear late copies first: what they list is not there any
+    // more, and a place made for it would keep its task from starting elsewhere.
+    let now = start();
+    let mut m = model(9);
+    m.add_job(record(job(1, 1, 4.0)), now);
+    let mut late = heartbeat("i-1", "small", "north", false, 8, 400);
+    late.tasks = vec![ReportedTask {
+        task: "job-000001/0".parse().expect("a task"),
+        attempt: (8 << 20) + 1,
+        state: TaskState::Running,
+        exit_reason: None,
+        saved: None,
+    }];
+    m.apply_heartbeat(&late, now);
+    let id = MachineId::from("i-1");
+    assert!(m.machines[&id].slots.is_empty());
+    assert_eq!(m.jobs.values().next().expect("the job").waiting.count(), 1);
+    // In its own words, after the fence, it counts.
+    late.token = 9 << 20;
+    late.sequence += 1;
+    m.apply_heartbeat(&late, now);
+    assert_eq!(m.machines[&id].slots.len(), 1);
+    assert_eq!(m.jobs.values().next().expect("the job").waiting.count(), 0);
+}
+
+#[test]
+fn a_gone_machine_stays_gone_in_the_next_term() {
+    // Late copies of its reports must not bring it back into the fleet.
+    let now = start();
+    let mut m = model(7);
+    m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
+    m.released(&MachineId::from("i-1"), now);
+    let mut next = model(8);
+    for w in m.take_writes(now) {
+        if let PendingWrite::WriteAheadLog(a) = w {
+            for (n, v) in a.segments {
+                assert!(next.log.load(n, v.expect("written")));
+            }
+        }
+    }
+    next.load_log(now);
+    let last_heartbeat = next.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 9), now);
+    assert_eq!(last_heartbeat, HeartbeatOutcome::MachineReleased);
+    assert!(next.machines.is_empty());
+}
+
+#[test]
+fn a_task_that_is_not_known_is_noticed() {
+    let now = start();
+    let mut m = model(7);
+    let id = MachineId::from("i-1");
+    m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
+    let rec = record(job(1, 1, 4.0));
+    let task = TaskId {
+        job: rec.spec.id,
+        index: 0,
+    };
+    m.add_job(rec, now);
+    m.plan(now);
+    let mut r = heartbeat("i-1", "small", "north", false, 7, 2);
+    r.tasks = running(&m, &id);
+    assert_eq!(m.unknown_tasks(&r).count(), 0);
+    // Another attempt than the one that was placed.
+    r.tasks[0].attempt += 1;
+    assert_eq!(m.unknown_tasks(&r).count(), 1);
+    r.tasks[0].attempt -= 1;
+    // Its place is gone, or its job.
+    let slot = m
+        .machines
+        .get_mut(&id)
+        .and_then(|x| x.slots.remove(&task))
+        .expect("placed");
+    assert_eq!(m.unknown_tasks(&r).count(), 1);
+    m.machines.get_mut(&id).expect("there").slots.insert(task, slot);
+    m.remove_job(task.job);
+    assert_eq!(m.unknown_tasks(&r).count(), 1);
+    // What has ended is no matter, nor what a machine says before it obeys.
+    r.tasks[0].state = TaskState::Exited;
+    assert_eq!(m.unknown_tasks(&r).count(), 0);
+    r.tasks[0].state = TaskState::Running;
+    m.term = 8;
+    assert_eq!(m.unknown_tasks(&r).count(), 0);
+}
