--- a/src/leader/active_leader/dependency_lookup.rs
+++ b/src/leader/active_leader/dependency_lookup.rs
@@ -40,7 +40,7 @@
             if failed {
                 sleep(RETRY_PAUSE).await;
             } else {
-                let _ = timeout(Duration::from_secs(1), self.unresolved.notified()).await;
+                let _ = timeout(Duration::from_secs(1), self.lookup_requested.notified()).await;
             }
         }
     }
@@ -74,10 +74,10 @@
         }
         drop((finals, model));
         if resolved < unresolved.len() {
-            self.unresolved.notify_one();
+            self.lookup_requested.notify_one();
         }
         if resolved > 0 {
-            self.wake.notify_one();
+            self.request_round();
         }
     }
 
@@ -89,7 +89,7 @@
             model.resolve_dependency(id, outcome_of(record, now, wall));
         }
         drop(model);
-        self.wake.notify_one();
+        self.request_round();
     }
 }
 
--- a/src/leader/active_leader/fleet_loop.rs
+++ b/src/leader/active_leader/fleet_loop.rs
@@ -44,7 +44,7 @@
                                     .await;
                             }
                         }
-                        self.wake.notify_one();
+                        self.request_round();
                     }
                     Duration::from_secs(30)
                 }
@@ -60,7 +60,7 @@
             if let Ok(list) = self.controller.cloud.machines().await {
                 pages += list.len() as u32 / 500;
                 self.model.lock().listed(&list, Instant::now());
-                self.wake.notify_one();
+                self.request_round();
             }
             // A long list is read less often: rentals and releases share the
             // cloud's rate with it.
@@ -68,7 +68,7 @@
         }
     }
 
-    pub(super) async fn keep_fleet(self: Arc<Self>) {
+    pub(super) async fn manage_fleet(self: Arc<Self>) {
         loop {
             sleep(Duration::from_millis(1000)).await;
             self.controller.check_for_stall();
@@ -129,6 +129,6 @@
                 self.model.lock().release_done(&ids, ok, Instant::now());
             }
         }
-        self.wake.notify_one();
+        self.request_round();
     }
 }
--- a/src/leader/active_leader/heartbeat_routing.rs
+++ b/src/leader/active_leader/heartbeat_routing.rs
@@ -75,7 +75,7 @@
             )
         };
         if outcome == HeartbeatOutcome::Applied {
-            self.wake.notify_one();
+            self.request_round();
         }
         let Some(mut response) = response else {
             // Only an elected one gives out such tokens.
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -145,6 +145,6 @@
         m.add_job(r, now.checked_sub(age).unwrap_or(now));
         drop(m);
         self.resolve_from_memory();
-        self.wake.notify_one();
+        self.request_round();
     }
 }
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -1,69 +1,87 @@
-//! The leader of one term: takeover, scheduling rounds, and answers.
+//! One term of this controller as the leader.
+//!
+//! [`ActiveLeader`] owns the cluster model, the writer, the authority and the
+//! redirects of the term; only the modules of this folder change them. What they
+//! share is each behind a lock of its own, and no lock is held across an await.
+//!
+//! * `term`: the course of a term, from the load of the stored state to its end.
+//! * `takeover`: the load of the stored state.
+//! * `lease_renewal`: keeps the lease, and confirms that this controller leads.
+//! * `rounds`: scheduling rounds; `state_writes` and `command_dispatch` store and
+//!   send what they decide.
+//! * `heartbeat_routing`: heartbeats of workers, and their redirects.
+//! * `submission`, `job_status`, `cancellation`: requests of users.
+//! * `job_intake`, `reconciliation`: jobs that other controllers stored.
+//! * `dependency_lookup`: how jobs ended that others depend on.
+//! * `machine_types`, `machine_list`, `fleet_actions`: the cloud.
+//! * `term_leader`: this type as the controller sees it.
 
 mod dependency_lookup;
 mod fleet_loop;
 mod heartbeat_routing;
 mod job_intake;
+mod lease_renewal;
 mod scheduling_loop;
 mod takeover;
+mod term;
 mod term_leader;
 mod user_requests;
 
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 use parking_lot::Mutex;
-use tokio::sync::{watch, Notify};
-use tokio::task::JoinSet;
-use tokio::time::{sleep, timeout};
-use tracing::{debug, info};
+use tokio::sync::Notify;
 
+use self::lease_renewal::LeaseRenewals;
 use super::redirects::RedirectHistory;
 use crate::clock::read_clocks;
-use crate::controller::{Controller, Role};
+use crate::controller::Controller;
 use crate::core::evidence::authority::{Authority, AuthorityLimits, ClockReading};
-use crate::core::storage::record::{self};
+use crate::core::storage::record;
 use crate::core::ClusterModel;
 use crate::store::writer::Writer;
-use crate::store::StoreError;
-
-/// Share of the state service's requests that may go into confirming answers.
-const CONFIRMING: f64 = 0.1;
-/// How long an answer may wait to be confirmed.
-const CONFIRMED_WITHIN: Duration = Duration::from_millis(500);
 
 /// The leader of one term.
 #[derive(Debug)]
 pub struct ActiveLeader {
-    /// The term.
+    /// The term: the revision at which this controller was elected.
     pub term: u64,
     controller: Arc<Controller>,
+    /// The lease at the state service that the leader's key is attached to.
     lease: u64,
     model: Mutex<ClusterModel>,
     writer: Arc<Writer>,
     authority: Mutex<Authority>,
-    /// Renewals of the lease begun so far, and the latest that ended, with its success.
-    renewals: AtomicU64,
-    renewed: watch::Sender<(u64, bool)>,
-    /// Somebody waits for a renewal.
-    wanted: Notify,
+    renewals: LeaseRenewals,
+    /// The stored state has been read into the model.
     loaded: AtomicBool,
-    /// The state was loaded then, and not all workers known from it obey yet.
-    load_ended: Mutex<Option<Instant>>,
-    over: AtomicBool,
-    ended: Notify,
-    wake: Notify,
-    /// Jobs that others wait for are to be looked up.
-    unresolved: Notify,
+    /// When the stored state was loaded, until all workers known from it have
+    /// accepted a token of this term.
+    fencing_began: Mutex<Option<Instant>>,
+    /// The term has ended: nothing may be decided or stored any more.
+    ended: AtomicBool,
+    /// Wakes the process of the term to stop at its end.
+    end_notify: Notify,
+    /// The model has changed in a way that may need a scheduling round.
+    round_requested: Notify,
+    /// Jobs that others depend on are to be looked up.
+    lookup_requested: Notify,
     redirects: Mutex<RedirectHistory>,
 }
 
 impl ActiveLeader {
-    /// A term that was just won by a request sent at `sent`.
-    pub fn new(controller: Arc<Controller>, term: u64, lease: u64, sent: ClockReading) -> Arc<Self> {
-        let most = controller.config.txn_ops;
-        let writer = Writer::new(controller.store.clone(), record::LEADER, term, most);
+    /// A term that was just won, with its lease granted by a request that was
+    /// sent at `lease_requested`.
+    pub fn new(
+        controller: Arc<Controller>,
+        term: u64,
+        lease: u64,
+        lease_requested: ClockReading,
+    ) -> Arc<Self> {
+        let max_changes = controller.config.txn_ops;
+        let writer = Writer::new(controller.store.clone(), record::LEADER, term, max_changes);
         let model = ClusterModel::new(controller.config.clone(), term);
         let workers = &controller.deployment.cluster.workers;
         let limits = AuthorityLimits {
@@ -77,141 +95,51 @@
             lease,
             model: Mutex::new(model),
             writer,
-            authority: Mutex::new(Authority::new(&limits, sent)),
-            renewals: AtomicU64::new(0),
-            renewed: watch::Sender::new((0, false)),
-            wanted: Notify::new(),
+            authority: Mutex::new(Authority::new(&limits, lease_requested)),
+            renewals: LeaseRenewals::new(),
             loaded: AtomicBool::new(false),
-            load_ended: Mutex::new(None),
-            over: AtomicBool::new(false),
-            ended: Notify::new(),
-            wake: Notify::new(),
-            unresolved: Notify::new(),
+            fencing_began: Mutex::new(None),
+            ended: AtomicBool::new(false),
+            end_notify: Notify::new(),
+            round_requested: Notify::new(),
+            lookup_requested: Notify::new(),
             redirects: Mutex::default(),
             controller,
         })
     }
 
-    /// The process has stood still: what it did not hear meanwhile is no silence.
+    /// Notes that the process has resumed after a pause. Missing heartbeats from
+    /// before that are no evidence against the workers.
     pub fn resumed_after_pause(&self, now: Instant) {
         self.authority.lock().resumed_after_pause(now);
         self.model.lock().ignore_silence_before(now);
     }
 
-    /// Whether this controller may act as the leader now.
+    /// Whether this controller may act as the leader now: decide, store, send
+    /// commands and answer from memory.
     pub fn may_act(&self) -> bool {
         self.loaded.load(Ordering::Relaxed)
-            && !self.over.load(Ordering::Relaxed)
+            && !self.ended.load(Ordering::Relaxed)
             && !self.writer.has_ended()
             && self.authority.lock().may_act(read_clocks())
     }
 
-    /// Whether reports may still be answered, see [`Authority::may_renew_leases`].
+    /// Whether heartbeats may still be answered, see [`Authority::may_renew_leases`].
     fn may_renew_leases(&self) -> bool {
         self.loaded.load(Ordering::Relaxed)
-            && !self.over.load(Ordering::Relaxed)
+            && !self.ended.load(Ordering::Relaxed)
             && self.authority.lock().may_renew_leases(read_clocks())
     }
 
-    /// Ends the term here.
+    /// Ends the term here, for good. It may be called more than once.
     pub fn end(&self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.ended.store(true, Ordering::Relaxed);
         self.writer.end();
-        self.ended.notify_one();
-    }
-
-    /// Leads until the term is over.
-    pub async fn lead(self: Arc<Self>) {
-        let mut tasks = JoinSet::new();
-        tasks.spawn(self.clone().keep_lease());
-        tasks.spawn(self.writer.clone().run());
-        let loading = self.clone();
-        let run = async {
-            let began = Instant::now();
-            while !loading.over.load(Ordering::Relaxed) {
-                match loading.load().await {
-                    Ok(()) => break,
-                    Err(e) => {
-                        info!(error = %e, "can't read the state yet");
-                        sleep(Duration::from_millis(200)).await;
-                    }
-                }
-            }
-            *loading.load_ended.lock() = Some(Instant::now());
-            loading.loaded.store(true, Ordering::Relaxed);
-            loading.controller.set_role(Role::Leading(loading.clone()));
-            {
-                let m = loading.model.lock();
-                info!(
-                    term = loading.term,
-                    jobs = m.jobs.len(),
-                    machines = m.machines.len(),
-                    took_ms = began.elapsed().as_millis() as u64,
-                    "state loaded"
-                );
-            }
-            let mut loops = JoinSet::new();
-            loops.spawn(loading.clone().watch_inbox());
-            loops.spawn(loading.clone().reconcile_jobs());
-            loops.spawn(loading.clone().look_up_dependencies());
-            loops.spawn(loading.clone().refresh_machine_types());
-            loops.spawn(loading.clone().list_machines());
-            loops.spawn(loading.clone().rounds());
-            loops.spawn(loading.clone().keep_fleet());
-            while loops.join_next().await.is_some() {}
-        };
-        tokio::select! {
-            () = run => {}
-            () = self.ended.notified() => {}
-        }
-        self.end();
-        tasks.abort_all();
-        let controller = self.controller.clone();
-        let lease = self.lease;
-        tokio::spawn(async move {
-            let _ = controller.store.revoke_lease(lease).await;
-        });
-    }
-
-    async fn keep_lease(self: Arc<Self>) {
-        let life = self.controller.operator_settings.leader_lease;
-        let spacing =
-            Duration::from_secs_f64(1.0 / (self.controller.deployment.cluster.state.rps * CONFIRMING));
-        loop {
-            let sent = read_clocks();
-            let number = self.renewals.fetch_add(1, Ordering::Relaxed) + 1;
-            let wait = match self.controller.store.renew_lease(self.lease, life / 3).await {
-                Ok(()) => {
-                    self.authority.lock().renewed(sent);
-                    self.renewed.send_replace((number, true));
-                    life / 5
-                }
-                Err(StoreError::NoLease) => {
-                    info!(term = self.term, "the lease is over");
-                    return self.end();
-                }
-                Err(e) => {
-                    debug!(error = %e, "renewal failed");
-                    self.renewed.send_replace((number, false));
-                    life / 15
-                }
-            };
-            // Sooner if somebody waits for it, within a share of the requests.
-            let _ = timeout(wait, self.wanted.notified()).await;
-            sleep(spacing.min(wait).saturating_sub(sent.steady.elapsed())).await;
-        }
+        self.end_notify.notify_one();
     }
 
-    /// Whether this one still led after the call: a renewal that began later has
-    /// succeeded. A process may stand still together with its clocks, and then
-    /// no time tells that what it knows is old; a user who has been told of a
-    /// newer state by another leader must not be told of an older one.
-    async fn confirm(&self) -> bool {
-        let before = self.renewals.load(Ordering::Relaxed);
-        let mut renewed = self.renewed.subscribe();
-        self.wanted.notify_one();
-        let later = renewed.wait_for(|r| r.0 > before);
-        let done = timeout(CONFIRMED_WITHIN, later).await;
-        done.is_ok_and(|r| r.is_ok_and(|r| r.1))
+    /// Lets a scheduling round begin soon.
+    fn request_round(&self) {
+        self.round_requested.notify_one();
     }
 }
--- a/src/leader/active_leader/scheduling_loop.rs
+++ b/src/leader/active_leader/scheduling_loop.rs
@@ -23,10 +23,10 @@
 const PROBES: usize = 64;
 
 impl ActiveLeader {
-    pub(super) async fn rounds(self: Arc<Self>) {
+    pub(super) async fn run_rounds(self: Arc<Self>) {
         let mut acted = true;
         loop {
-            let _ = timeout(Duration::from_millis(500), self.wake.notified()).await;
+            let _ = timeout(Duration::from_millis(500), self.round_requested.notified()).await;
             self.controller.check_for_stall();
             let began = Instant::now();
             let acts = self.may_act();
@@ -51,15 +51,15 @@
         if r != crate::core::scheduling::plan::RoundSummary::default() {
             debug!(?r, "round");
         }
-        let mut load_ended = self.load_ended.lock();
-        if let Some(t) = load_ended.filter(|_| m.all_fenced()) {
+        let mut fencing_began = self.fencing_began.lock();
+        if let Some(t) = fencing_began.filter(|_| m.all_fenced()) {
             info!(
                 took_ms = (now - t).as_millis() as u64,
                 "all workers obey this term"
             );
-            *load_ended = None;
+            *fencing_began = None;
         }
-        drop(load_ended);
+        drop(fencing_began);
         let writes = m.take_writes(now);
         let commands = m.take_due_commands(now, PROBES.min(self.controller.sockets.available_commands() / 2));
         drop(m);
@@ -112,7 +112,7 @@
             model.command_finished(id, heartbeat, Instant::now());
         }
         drop(model);
-        self.wake.notify_one();
+        self.request_round();
     }
 
     /// Stores an append that is refused whole, one segment after the other: the
@@ -150,6 +150,6 @@
             debug!(job = %id, state = ?record.state, "finished");
         }
         self.model.lock().write_finished(&w, ok, Instant::now());
-        self.wake.notify_one();
+        self.request_round();
     }
 }
--- a/src/leader/active_leader/user_requests.rs
+++ b/src/leader/active_leader/user_requests.rs
@@ -81,7 +81,7 @@
         debug!(job = %id, team = s.team, class = s.class, tasks = s.tasks, cpus = s.cpus, "accepted");
         self.model.lock().add_job(rec, Instant::now());
         self.resolve_from_memory();
-        self.wake.notify_one();
+        self.request_round();
         Ok(())
     }
 
@@ -102,7 +102,7 @@
             return Some(ApiResponse::json(200, &view));
         }
         let response = self.known(id)?;
-        if response.status == 200 && !self.confirm().await {
+        if response.status == 200 && !self.confirm_leadership().await {
             return Some(ApiResponse::unavailable("leadership can't be confirmed now"));
         }
         Some(response)
@@ -183,14 +183,14 @@
                 }
             }
         };
-        self.wake.notify_one();
+        self.request_round();
         if let Some(record) = record {
             if !self.store_cancellation(id, &record).await {
                 return ApiResponse::unavailable("the cancellation can't be stored now");
             }
             info!(job = %id, "cancelled");
             self.model.lock().cancel_stored(id);
-            self.wake.notify_one();
+            self.request_round();
         }
         match self.known(id) {
             Some(r) => r,
