--- a/src/core/evidence/heartbeats.rs
+++ b/src/core/evidence/heartbeats.rs
@@ -252,7 +252,7 @@
     }
 
     /// How many tasks of a job may be placed at once, see [`crate::core::state::probation`].
-    pub fn admitted(&self, job: &Job, now: Instant) -> u32 {
+    pub fn placement_limit(&self, job: &Job, now: Instant) -> u32 {
         if !job.on_probation(now) {
             return u32::MAX;
         }
--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -177,7 +177,7 @@
         if job.cancelled || job.pause_until.is_some_and(|t| t > now) {
             return 0;
         }
-        let admitted = match self.admitted(job, now).saturating_sub(job.placed) {
+        let admitted = match self.placement_limit(job, now).saturating_sub(job.placed) {
             // A gang is placed whole or not at all.
             1.. if job.spec.kind == JobKind::Gang => u32::MAX,
             admitted => admitted,
--- a/src/core/scheduling/placement/mod.rs
+++ b/src/core/scheduling/placement/mod.rs
@@ -284,7 +284,7 @@
             || !self.model.dependencies.is_ready(id)
             || job.broken_gang()
             || job.pause_until.is_some_and(|t| t > self.now)
-            || job.placed >= self.model.admitted(job, self.now)
+            || job.placed >= self.model.placement_limit(job, self.now)
             || !self.within_limit(&job.spec, tasks)
     }
 
--- a/src/core/scheduling/ranking/mod.rs
+++ b/src/core/scheduling/ranking/mod.rs
@@ -38,7 +38,7 @@
 
     /// The priority of a job: its own, or a higher one of a job that needs it.
     pub fn priority(&self, job: &Job) -> Priority {
-        let inherited = self.dependencies.inherited(job.spec.id);
+        let inherited = self.dependencies.inherited_urgency(job.spec.id);
         inherited.map_or(job.spec.priority, |i| i.priority.max(job.spec.priority))
     }
 
--- a/src/core/state/deadlines.rs
+++ b/src/core/state/deadlines.rs
@@ -40,7 +40,7 @@
     /// The deadlines of a job and those it inherits from the jobs that depend on it.
     pub(in crate::core) fn deadlines(&self, job: &Job) -> Deadlines {
         let own = self.own_deadlines(job);
-        let Some(inherited) = self.dependencies.inherited(job.spec.id) else {
+        let Some(inherited) = self.dependencies.inherited_urgency(job.spec.id) else {
             return own;
         };
         let from_arrival = |due: Instant| match due.checked_duration_since(job.arrival) {
--- a/src/core/state/dependencies.rs
+++ b/src/core/state/dependencies.rs
@@ -138,12 +138,12 @@
     }
 
     /// Whether some unfinished job waits for this one.
-    pub fn is_needed(&self, id: JobId) -> bool {
+    pub fn has_dependents(&self, id: JobId) -> bool {
         self.dependents.contains_key(&id)
     }
 
     /// What a job inherits from the jobs that need it.
-    pub fn inherited(&self, id: JobId) -> Option<Urgency> {
+    pub fn inherited_urgency(&self, id: JobId) -> Option<Urgency> {
         self.inherited.get(&id).copied()
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// A job's `done` is stored.
-    pub fn done(&mut self, id: JobId, since: Option<Instant>) {
+    pub fn done_stored(&mut self, id: JobId, since: Option<Instant>) {
         self.unresolved.remove(&id);
         self.inherited.remove(&id);
         for dependent in self.dependents.remove(&id).unwrap_or_default() {
@@ -165,13 +165,13 @@
     }
 
     /// A job's cancellation has been asked for, and may be stored at any moment.
-    pub fn cancelling(&mut self, id: JobId) {
+    pub fn cancellation_requested(&mut self, id: JobId) {
         self.cancelling.insert(id);
     }
 
     /// A job's cancellation is stored. All jobs that need it, directly or through
     /// others, are cancelled by that; they never become ready.
-    pub fn cancelled(&mut self, id: JobId) -> Vec<JobId> {
+    pub fn cancellation_stored(&mut self, id: JobId) -> Vec<JobId> {
         self.cancelling.remove(&id);
         let mut all = vec![id];
         let mut seen: HashSet<JobId> = HashSet::from([id]);
@@ -217,7 +217,7 @@
     }
 
     /// A job has ended and is known no more.
-    pub fn forget(&mut self, id: JobId) {
+    pub fn remove(&mut self, id: JobId) {
         self.cancelling.remove(&id);
         self.nodes.remove(&id);
     }
--- a/src/core/state/model.rs
+++ b/src/core/state/model.rs
@@ -147,7 +147,7 @@
     /// Takes what the state service says of a job that others name.
     pub fn resolve_dependency(&mut self, id: JobId, outcome: DependencyOutcome) {
         match outcome {
-            DependencyOutcome::Done(since) => self.dependencies.done(id, since),
+            DependencyOutcome::Done(since) => self.dependencies.done_stored(id, since),
             DependencyOutcome::Cancelled => self.cancel_dependents(id),
         }
     }
@@ -155,7 +155,7 @@
     /// Cancels all jobs that need a job whose cancellation is stored. That record
     /// holds for them, too: theirs need not be stored before anybody is told.
     fn cancel_dependents(&mut self, id: JobId) {
-        for dependent in self.dependencies.cancelled(id) {
+        for dependent in self.dependencies.cancellation_stored(id) {
             // One that its own user cancels meanwhile has its own record on its way.
             if let Some(job) = self.jobs.get_mut(&dependent).filter(|j| !j.cancelled) {
                 job.cancelled = true;
@@ -207,7 +207,7 @@
         job.cancelled = true;
         let places = job.all_places();
         if !job.cancel_stored {
-            self.dependencies.cancelling(id);
+            self.dependencies.cancellation_requested(id);
         }
         for (machine, index) in places {
             self.stop(
@@ -223,7 +223,7 @@
     /// Removes a finished job.
     pub fn remove_job(&mut self, id: JobId) {
         self.jobs.remove(&id);
-        self.dependencies.forget(id);
+        self.dependencies.remove(id);
     }
 
     /// What its user is told; `None` also while a final state or a cancellation,
--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -103,7 +103,7 @@
                     done: job.done.count(),
                     ended_at: Some(job.wall_clock(now)),
                 },
-                needed: state == JobState::Done && self.dependencies.is_needed(*id),
+                needed: state == JobState::Done && self.dependencies.has_dependents(*id),
             });
         }
         for (team, r) in learned {
--- a/tests/dependencies/plain_model.rs
+++ b/tests/dependencies/plain_model.rs
@@ -124,12 +124,12 @@
         let after = |j: &JobId| *j != id && self.needs(*j, id);
         let expected: BTreeSet<JobId> = open.into_iter().filter(after).collect();
         self.end(id, State::Cancelled);
-        let got: BTreeSet<JobId> = self.graph.cancelled(id).into_iter().collect();
+        let got: BTreeSet<JobId> = self.graph.cancellation_stored(id).into_iter().collect();
         assert_eq!(got, expected, "cancelled with {id}");
-        self.graph.forget(id);
+        self.graph.remove(id);
         for dependent in got {
             self.end(dependent, State::Cancelled);
-            self.graph.forget(dependent);
+            self.graph.remove(dependent);
         }
     }
 
@@ -142,11 +142,11 @@
     pub fn resolve(&mut self, id: JobId) {
         match self.jobs[&id].state {
             State::Open => {}
-            State::Done => self.graph.done(id, None),
+            State::Done => self.graph.done_stored(id, None),
             State::Cancelled => {
-                for dependent in self.graph.cancelled(id) {
+                for dependent in self.graph.cancellation_stored(id) {
                     self.end(dependent, State::Cancelled);
-                    self.graph.forget(dependent);
+                    self.graph.remove(dependent);
                 }
             }
         }
@@ -179,8 +179,8 @@
                 let ready = |w: &World, j: &JobId| w.is_ready(*j) && !w.jobs[j].asked;
                 if let Some(ended) = self.nth(which).filter(|j| ready(self, j)) {
                     self.end(ended, State::Done);
-                    self.graph.done(ended, Some(self.start));
-                    self.graph.forget(ended);
+                    self.graph.done_stored(ended, Some(self.start));
+                    self.graph.remove(ended);
                 }
             }
             Operation::Cancel(which) => {
@@ -190,7 +190,7 @@
             }
             Operation::AskToCancel(which) => {
                 if let Some(id) = self.nth(which) {
-                    self.graph.cancelling(id);
+                    self.graph.cancellation_requested(id);
                     self.jobs.get_mut(&id).expect("open").asked = true;
                 }
             }
@@ -223,7 +223,7 @@
             }
             if resolved {
                 prop_assert_eq!(self.graph.is_ready(*id), self.is_ready(*id), "{} is ready", id);
-                let got = self.graph.inherited(*id).map(|u| (u.priority, u.due));
+                let got = self.graph.inherited_urgency(*id).map(|u| (u.priority, u.due));
                 prop_assert_eq!(got, self.inherited(*id), "what {} inherits", id);
             }
         }
--- a/tests/dependencies/readiness.rs
+++ b/tests/dependencies/readiness.rs
@@ -133,7 +133,7 @@
         "it comes first for the sake of the last"
     );
     // The last one's own run is left out of the time that the first has.
-    let inherited = m.dependencies.inherited(id(1)).expect("it is needed");
+    let inherited = m.dependencies.inherited_urgency(id(1)).expect("it is needed");
     assert_eq!(inherited.due, Some(now + secs(40)));
     assert_eq!(m.priority(&m.jobs[&id(1)]), Priority::High);
 }
--- a/tests/planner/cordon.rs
+++ b/tests/planner/cordon.rs
@@ -94,12 +94,12 @@
     }
     let only = m.jobs.values().next().expect("the job");
     assert_eq!(
-        m.admitted(only, now + secs(3)),
+        m.placement_limit(only, now + secs(3)),
         1,
         "so far it may fail everywhere"
     );
     assert!(
-        m.admitted(only, now + secs(60)) >= 4,
+        m.placement_limit(only, now + secs(60)) >= 4,
         "one task runs on and on: all are admitted"
     );
     add(&mut m, "i-5", "small", "north", false, now + secs(60));
