--- a/tests/gap.rs
+++ b/tests/gap/main.rs
@@ -4,18 +4,18 @@
 //! `cancel` after its user was told, whatever the settings, the drift of the
 //! clocks, the delays and the messages lost.
 
-#[path = "support/gap_world.rs"]
-mod gap_world;
+#[path = "../support/mod.rs"]
 mod support;
-#[path = "support/worker.rs"]
+#[path = "../support/worker.rs"]
 mod worker;
+mod world;
 
 use std::time::{Duration, SystemTime};
 
 use bitternfold::core::evidence::authority::{Authority, AuthorityLimits, ClockReading, MARGIN};
-use gap_world::{any_times, Times, World};
 use proptest::prelude::*;
 use support::*;
+use world::{any_times, Times, World};
 
 proptest! {
     #![proptest_config(ProptestConfig {
