--- /dev/null
+++ b/src/leader/active_leader/fleet_actions.rs
@@ -0,0 +1,101 @@
+//! The size of the fleet: machines rented and released as the model decides.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use tokio::time::sleep;
+use tracing::info;
+
+use crate::cloud::CloudError;
+use crate::core::fleet::FleetAction;
+use crate::wire::{MachineId, Rental};
+
+use super::ActiveLeader;
+
+/// Time between two decisions on the fleet.
+const FLEET_INTERVAL: Duration = Duration::from_millis(1000);
+/// How often a rental that may not have been carried out is sent again.
+const MAX_RENTAL_RETRIES: u32 = 3;
+/// Pause before such a rental is sent again.
+const RENTAL_RETRY_PAUSE: Duration = Duration::from_millis(500);
+
+impl ActiveLeader {
+    /// Decides on the fleet from time to time, for as long as the term lasts.
+    /// Resigns if no worker takes commands from here though other controllers
+    /// are connected.
+    pub(super) async fn manage_fleet(self: Arc<Self>) {
+        loop {
+            sleep(FLEET_INTERVAL).await;
+            self.controller.check_for_stall();
+            if !self.may_act() {
+                continue;
+            }
+            if self.is_partitioned_from_workers() {
+                info!(
+                    term = self.term,
+                    "resigning: no worker takes commands from this controller"
+                );
+                return self.end();
+            }
+            let actions = self.model.lock().plan_fleet(Instant::now());
+            for action in actions {
+                let active_leader = self.clone();
+                tokio::spawn(async move { active_leader.run_fleet_action(action).await });
+            }
+        }
+    }
+
+    /// Whether another controller could lead in place of this one, which no
+    /// worker takes commands from.
+    fn is_partitioned_from_workers(&self) -> bool {
+        self.controller.links.iter().any(|link| link.alive())
+            && self.model.lock().is_partitioned_from_workers(Instant::now())
+    }
+
+    async fn run_fleet_action(&self, action: FleetAction) {
+        match action {
+            FleetAction::Rent(rental) => self.rent(&rental).await,
+            FleetAction::Release(machines) => self.release(&machines).await,
+        }
+        self.request_round();
+    }
+
+    /// Rents machines. A request that may or may not have been carried out is
+    /// repeated under the same name, which the cloud carries out once.
+    async fn rent(&self, rental: &Rental) {
+        let mut retries = 0;
+        loop {
+            if !self.may_act() {
+                return self.model.lock().rental_failed(rental, false, Instant::now());
+            }
+            match self.controller.cloud.rent(rental, || self.may_act()).await {
+                Ok(machines) => {
+                    info!(request = rental.request, got = machines.len(), "rented");
+                    return self.model.lock().rental_done(rental, &machines, Instant::now());
+                }
+                Err(CloudError::Unanswered | CloudError::Unavailable) if retries < MAX_RENTAL_RETRIES => {
+                    retries += 1;
+                    sleep(RENTAL_RETRY_PAUSE).await;
+                }
+                Err(error) => {
+                    info!(request = rental.request, %error, "not rented");
+                    let no_capacity = error == CloudError::NoCapacity;
+                    let mut model = self.model.lock();
+                    return model.rental_failed(rental, no_capacity, Instant::now());
+                }
+            }
+        }
+    }
+
+    /// Releases machines; those that were not released stay and are tried again.
+    async fn release(&self, machines: &[MachineId]) {
+        let released = match self.controller.cloud.release(machines, || self.may_act()).await {
+            Ok(()) => true,
+            Err(error) => {
+                info!(machines = machines.len(), %error, "not released yet");
+                false
+            }
+        };
+        self.model.lock().release_done(machines, released, Instant::now());
+    }
+}
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -16,12 +16,16 @@
 //! * `machine_types`, `machine_list`, `fleet_actions`: the cloud.
 //! * `term_leader`: this type as the controller sees it.
 
+mod command_dispatch;
 mod dependency_lookup;
-mod fleet_loop;
+mod fleet_actions;
 mod heartbeat_routing;
 mod job_intake;
 mod lease_renewal;
-mod scheduling_loop;
+mod machine_list;
+mod machine_types;
+mod rounds;
+mod state_writes;
 mod takeover;
 mod term;
 mod term_leader;
--- /dev/null
+++ b/src/leader/active_leader/rounds.rs
@@ -0,0 +1,108 @@
+//! Scheduling rounds: when they run, and the hand-over of what they decide to
+//! `state_writes` and `command_dispatch`.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use tokio::time::{sleep, timeout};
+use tracing::{debug, info};
+
+use crate::clock::read_clocks;
+use crate::core::evidence::commands::DueCommand;
+use crate::core::scheduling::plan::RoundSummary;
+use crate::core::storage::pending_writes::PendingWrite;
+use crate::core::ClusterModel;
+
+use super::ActiveLeader;
+
+/// Machines without other commands that are sent one in a round at the most, to
+/// learn what runs on them: a new leader has to ask them all, and the renewal
+/// of its lease must not wait behind them.
+const MAX_PROBES: usize = 64;
+/// Longest time between two rounds if nothing requests one.
+const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause after a round, as a multiple of the time that the round took.
+const PAUSE_PER_ROUND_TIME: u32 = 4;
+/// Upper bound of that pause, as a multiple of the pause of the settings.
+const MAX_PAUSE_FACTOR: u32 = 10;
+
+/// What one round decided.
+struct RoundDecisions {
+    writes: Vec<PendingWrite>,
+    commands: Vec<DueCommand>,
+}
+
+impl ActiveLeader {
+    /// Runs rounds, on request and from time to time, for as long as the term
+    /// lasts; rounds are left out while this controller may not act.
+    pub(super) async fn run_rounds(self: Arc<Self>) {
+        let mut could_act = true;
+        loop {
+            let _ = timeout(MAX_ROUND_INTERVAL, self.round_requested.notified()).await;
+            self.controller.check_for_stall();
+            let began = Instant::now();
+            let may_act = self.may_act();
+            if may_act {
+                self.run_round();
+            }
+            if may_act != could_act {
+                could_act = may_act;
+                self.log_authority(may_act);
+            }
+            // A round that took long is followed by a longer pause, so that
+            // users and workers are answered meanwhile.
+            let pause = self.controller.operator_settings.plan_pause;
+            let longer_pause = (began.elapsed() * PAUSE_PER_ROUND_TIME).min(pause * MAX_PAUSE_FACTOR);
+            sleep(pause.max(longer_pause)).await;
+        }
+    }
+
+    /// Plans one round and starts to store and send what it decided. Nothing of
+    /// it is awaited here: a slow worker must not hold up the next round.
+    fn run_round(self: &Arc<Self>) {
+        let decisions = self.plan_round(Instant::now());
+        for write in decisions.writes {
+            let active_leader = self.clone();
+            tokio::spawn(async move { active_leader.store_write(write).await });
+        }
+        for due in decisions.commands {
+            let active_leader = self.clone();
+            tokio::spawn(async move { active_leader.send_command(&due).await });
+        }
+    }
+
+    fn plan_round(&self, now: Instant) -> RoundDecisions {
+        let mut model = self.model.lock();
+        let summary = model.plan(now);
+        if summary != RoundSummary::default() {
+            debug!(?summary, "round");
+        }
+        self.log_fencing_completed(&model, now);
+        let writes = model.take_writes(now);
+        let max_probes = MAX_PROBES.min(self.controller.sockets.available_commands() / 2);
+        let commands = model.take_due_commands(now, max_probes);
+        RoundDecisions { writes, commands }
+    }
+
+    /// Logs once how long it took after the load until all workers were fenced.
+    fn log_fencing_completed(&self, model: &ClusterModel, now: Instant) {
+        let mut fencing_began = self.fencing_began.lock();
+        if let Some(began) = fencing_began.filter(|_| model.all_fenced()) {
+            info!(
+                took_ms = (now - began).as_millis() as u64,
+                "all workers have accepted this term"
+            );
+            *fencing_began = None;
+        }
+    }
+
+    fn log_authority(&self, may_act: bool) {
+        let since_renewal = self.authority.lock().since_renewal(read_clocks());
+        info!(
+            term = self.term,
+            may_act,
+            since_renewal_ms = since_renewal.as_millis() as u64,
+            "the authority to act has changed"
+        );
+    }
+}
