--- a/src/core/evidence/commands.rs
+++ b/src/core/evidence/commands.rs
@@ -105,7 +105,7 @@
     pub(in crate::core) fn note_due(&mut self, id: &MachineId) {
         let due = |m: &Machine| !m.command_in_flight && m.wants_command();
         if self.machines.get(id).is_some_and(due) {
-            self.due.insert(id.clone());
+            self.command_candidates.insert(id.clone());
         }
     }
 
@@ -114,10 +114,10 @@
     pub fn take_due_commands(&mut self, now: Instant, max_probes: usize) -> Vec<DueCommand> {
         let mut out = Vec::new();
         let mut left = max_probes;
-        for id in std::mem::take(&mut self.due) {
+        for id in std::mem::take(&mut self.command_candidates) {
             let Some(m) = self.machines.get(&id) else { continue };
             if left == 0 && m.needs_probe && !m.fenced(self.term) {
-                self.due.insert(id);
+                self.command_candidates.insert(id);
                 continue;
             }
             let probe = m.needs_probe;
@@ -139,7 +139,7 @@
     /// The next command to a worker, if one is due. The token is fresh.
     pub fn next_command(&mut self, machine: &MachineId, now: Instant) -> Option<AddressedBatch> {
         let term = self.term;
-        let types = &self.types;
+        let types = &self.machine_types;
         let (log, jobs, dependencies) = (&self.log, &self.jobs, &self.dependencies);
         let patience = self.config.heartbeat_interval * 2;
         let m = self.machines.get_mut(machine)?;
@@ -243,7 +243,7 @@
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
-        self.due.insert(machine.clone());
+        self.command_candidates.insert(machine.clone());
         m.command_in_flight = false;
         if heartbeat.is_some() {
             m.commands_unanswered_since = None;
--- a/src/core/evidence/heartbeats.rs
+++ b/src/core/evidence/heartbeats.rs
@@ -35,7 +35,7 @@
         }
         let term = self.term;
         let cache_gb = self
-            .types
+            .machine_types
             .iter()
             .find(|t| t.name == r.machine_type)
             .map_or(f64::MAX, |t| t.cache_gb);
--- a/src/core/evidence/permission.rs
+++ b/src/core/evidence/permission.rs
@@ -112,7 +112,7 @@
     pub fn command_withheld(&mut self, machine: &MachineId) {
         if let Some(m) = self.machines.get_mut(machine) {
             m.command_in_flight = false;
-            self.due.insert(machine.clone());
+            self.command_candidates.insert(machine.clone());
         }
     }
 }
--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -35,7 +35,7 @@
 impl ClusterModel {
     /// Decides what to rent and to return.
     pub fn plan_fleet(&mut self, now: Instant) -> Vec<FleetAction> {
-        if self.types.is_empty() {
+        if self.machine_types.is_empty() {
             return Vec::new();
         }
         self.expire_leases(now);
@@ -210,7 +210,7 @@
     }
 
     fn kind_of(&self, m: &Machine) -> Option<usize> {
-        self.types.iter().position(|t| t.name == m.machine_type)
+        self.machine_types.iter().position(|t| t.name == m.machine_type)
     }
 
     /// Free and used CPUs of machines that are up or boot.
@@ -224,7 +224,7 @@
             }
             used += mine;
             if m.phase == MachinePhase::Booting || (self.usable(m, now) && m.reclaim_at.is_none()) {
-                free += self.types[k].cpus - mine;
+                free += self.machine_types[k].cpus - mine;
             }
         }
         (free, used)
--- a/src/core/fleet/releases.rs
+++ b/src/core/fleet/releases.rs
@@ -56,7 +56,7 @@
             let reason = match m.phase {
                 MachinePhase::Releasing => continue,
                 MachinePhase::Booting => {
-                    let boot = self.kind_of(m).map_or(30.0, |k| self.types[k].boot_s);
+                    let boot = self.kind_of(m).map_or(30.0, |k| self.machine_types[k].boot_s);
                     let most = Duration::from_secs_f64(boot * 4.0 + 10.0) + self.config.list_lag;
                     if now.saturating_duration_since(m.since) <= most {
                         continue;
@@ -98,7 +98,7 @@
             let long = m
                 .idle_since
                 .is_some_and(|t| now.saturating_duration_since(t) > self.hold_idle(m));
-            let cpus = self.types[k].cpus;
+            let cpus = self.machine_types[k].cpus;
             if long && free - cpus >= keep {
                 free -= cpus;
                 debug!(machine = %m.id, reason = "idle", "releasing");
@@ -112,7 +112,7 @@
     /// the cheapest are kept longest and the dear ones go soon.
     fn hold_idle(&self, m: &Machine) -> Duration {
         let cheapest = self
-            .types
+            .machine_types
             .iter()
             .map(|t| if t.spot_price > 0.0 { t.spot_price.min(t.price) } else { t.price } / t.cpus.max(1.0))
             .fold(f64::MAX, f64::min);
@@ -122,7 +122,7 @@
 
     fn price(&self, m: &Machine) -> f64 {
         self.kind_of(m).map_or(0.0, |k| {
-            let t = &self.types[k];
+            let t = &self.machine_types[k];
             (if m.spot { t.spot_price } else { t.price }) / t.cpus.max(1.0)
         })
     }
--- a/src/core/fleet/rentals.rs
+++ b/src/core/fleet/rentals.rs
@@ -136,7 +136,11 @@
     /// Machines that are usable, boot or are being rented, with their room: what
     /// falls free well before another machine could boot counts as free.
     fn open_machines(&self, cut: &BTreeSet<String>, now: Instant) -> Vec<OpenMachine> {
-        let boot = self.types.iter().map(|t| t.boot_s).fold(f64::MAX, f64::min);
+        let boot = self
+            .machine_types
+            .iter()
+            .map(|t| t.boot_s)
+            .fold(f64::MAX, f64::min);
         let soon = now + Duration::from_secs_f64((boot * SOON_FREE).clamp(0.0, 60.0));
         let mut open_machines = Vec::new();
         for m in self.machines.values() {
@@ -145,7 +149,7 @@
             if !(booting || self.usable(m, now) && m.reclaim_at.is_none()) || cut.contains(&m.zone) {
                 continue;
             }
-            let mut open = OpenMachine::empty(kind, &self.types[kind], &m.zone, m.spot);
+            let mut open = OpenMachine::empty(kind, &self.machine_types[kind], &m.zone, m.spot);
             let stays = |s: &&Slot| s.takes_room() && s.state != SlotState::Unknown;
             let long = |s: &&Slot| self.predicted_end(s, now) > soon;
             let specs = m.slots.values().filter(stays).filter(long);
@@ -203,10 +207,13 @@
     }
 
     fn open_machine(&self, offer: &Offer) -> Option<OpenMachine> {
-        let kind = self.types.iter().position(|t| t.name == offer.machine_type)?;
+        let kind = self
+            .machine_types
+            .iter()
+            .position(|t| t.name == offer.machine_type)?;
         Some(OpenMachine::empty(
             kind,
-            &self.types[kind],
+            &self.machine_types[kind],
             &offer.zone,
             offer.spot,
         ))
@@ -218,14 +225,14 @@
             && b.memory + AMOUNT_TOLERANCE >= s.memory_gb
             && (s.spot || !b.spot)
             && s.zone.as_ref().is_none_or(|z| *z == b.zone)
-            && fits_machine_type(s, &self.types[b.kind])
+            && fits_machine_type(s, &self.machine_types[b.kind])
     }
 
     /// The offer that runs a job's tasks for the least money, among those not
     /// refused of late; spread over the zones.
     fn best_offer(&self, s: &JobSpec, left: u32, rentals: &RentalPlan, now: Instant) -> Option<Offer> {
         let mut best: Option<((bool, f64, u32), Offer)> = None;
-        for t in self.types.iter().filter(|t| fits_machine_type(s, t)) {
+        for t in self.machine_types.iter().filter(|t| fits_machine_type(s, t)) {
             let per = |have: f64, need: f64| {
                 if need > 0.0 {
                     (have + AMOUNT_TOLERANCE) / need
--- a/src/core/scheduling/placement/mod.rs
+++ b/src/core/scheduling/placement/mod.rs
@@ -86,7 +86,7 @@
         plainly: bool,
     ) -> Self {
         let usage = model.usage();
-        let types = model.types.clone();
+        let types = model.machine_types.clone();
         let mut names: Vec<String> = Vec::new();
         // The least that any waiting task takes.
         let least = model
--- a/src/core/scheduling/placement/preemption.rs
+++ b/src/core/scheduling/placement/preemption.rs
@@ -50,7 +50,7 @@
     /// them) at once; lowest priority first, where the least work is lost.
     pub(in crate::core) fn preempt_for(&mut self, head: JobId, rank: Rank, round: &mut RoundSummary) {
         let borrowed = OverQuotaLoad::for_head(self.model, head, &self.ranks);
-        if !self.model.shadows && borrowed.is_empty() {
+        if !self.model.has_backfilled && borrowed.is_empty() {
             return;
         }
         self.load(rank, borrowed);
--- a/src/core/scheduling/plan.rs
+++ b/src/core/scheduling/plan.rs
@@ -147,7 +147,7 @@
     }
 
     fn all_sunny(&mut self) {
-        if !std::mem::take(&mut self.shadows) {
+        if !std::mem::take(&mut self.has_backfilled) {
             return;
         }
         for s in self.machines.values_mut().flat_map(|m| m.slots.values_mut()) {
@@ -157,7 +157,7 @@
 
     /// A backfilled task that no waiting job outranks any more is sunny.
     fn settle_shadow(&mut self, ranks: &BTreeMap<JobId, Rank>, now: Instant) {
-        if !self.shadows {
+        if !self.has_backfilled {
             return;
         }
         let top = self
--- a/src/core/state/mod.rs
+++ b/src/core/state/mod.rs
@@ -11,6 +11,7 @@
 mod predictions;
 pub mod probation;
 pub mod resources;
+pub mod set_up;
 pub mod slot;
 pub(in crate::core) mod token;
 pub mod tombstones;
--- a/src/core/state/model.rs
+++ b/src/core/state/model.rs
@@ -32,39 +32,39 @@
 #[derive(Debug)]
 pub struct ClusterModel {
     /// What it was told once.
-    pub config: Arc<SchedulerConfig>,
+    pub(in crate::core) config: Arc<SchedulerConfig>,
     /// The leader's term.
-    pub term: u64,
+    pub(in crate::core) term: u64,
     /// Machine types; empty until known.
-    pub types: Vec<MachineType>,
+    pub(in crate::core) machine_types: Vec<MachineType>,
     /// Unfinished jobs.
-    pub jobs: BTreeMap<JobId, Job>,
+    pub(in crate::core) jobs: BTreeMap<JobId, Job>,
     /// Which of them wait for which jobs.
-    pub dependencies: Dependencies,
+    pub(in crate::core) dependencies: Dependencies,
     /// Machines.
-    pub machines: BTreeMap<MachineId, Machine>,
+    pub(in crate::core) machines: BTreeMap<MachineId, Machine>,
     /// Run-to-estimate ratio of each team's last finished job.
-    pub ratios: BTreeMap<String, f64>,
+    pub(in crate::core) run_time_ratios: BTreeMap<String, f64>,
     /// The ratios changed since they were last taken for storing.
-    pub ratios_dirty: bool,
+    pub(in crate::core) run_time_ratios_changed: bool,
     /// When they were last written.
-    pub ratios_written: Option<Instant>,
+    pub(in crate::core) run_time_ratios_taken_at: Option<Instant>,
     /// The write-ahead log.
-    pub log: WriteAheadLog,
+    pub(in crate::core) log: WriteAheadLog,
     /// When an append was last taken from it.
-    pub log_taken: Option<Instant>,
+    pub(in crate::core) log_append_taken_at: Option<Instant>,
     /// Machines that a command may be due for.
-    pub due: BTreeSet<MachineId>,
+    pub(in crate::core) command_candidates: BTreeSet<MachineId>,
     /// Machines that are gone; late words of them mean nothing.
-    pub released_machines: Tombstones,
+    pub(in crate::core) released_machines: Tombstones,
     /// Some task may have been started by backfilling.
-    pub shadows: bool,
+    pub(in crate::core) has_backfilled: bool,
     /// This process has listened since then without a pause of its own.
-    pub listening_since: Option<Instant>,
+    pub(in crate::core) listening_since: Option<Instant>,
     /// Attempts given out.
     attempts: u64,
     /// Rentals under way and pauses, see [`FleetState`].
-    pub fleet: FleetState,
+    pub(in crate::core) fleet: FleetState,
 }
 
 impl ClusterModel {
@@ -72,25 +72,76 @@
     pub fn new(config: Arc<SchedulerConfig>, term: u64) -> Self {
         Self {
             log: WriteAheadLog::new(config.value_bytes),
-            log_taken: None,
-            due: BTreeSet::new(),
+            log_append_taken_at: None,
+            command_candidates: BTreeSet::new(),
             config,
             term,
-            types: Vec::new(),
+            machine_types: Vec::new(),
             jobs: BTreeMap::new(),
             dependencies: Dependencies::default(),
             machines: BTreeMap::new(),
-            ratios: BTreeMap::new(),
-            ratios_dirty: false,
-            ratios_written: None,
+            run_time_ratios: BTreeMap::new(),
+            run_time_ratios_changed: false,
+            run_time_ratios_taken_at: None,
             released_machines: Tombstones::default(),
-            shadows: false,
+            has_backfilled: false,
             listening_since: None,
             attempts: 0,
             fleet: FleetState::default(),
         }
     }
 
+    /// What the settings say that its rules need.
+    pub fn config(&self) -> &SchedulerConfig {
+        &self.config
+    }
+
+    /// The term of the leader that it belongs to.
+    pub fn term(&self) -> u64 {
+        self.term
+    }
+
+    /// The machine types that the cloud offers; empty until known.
+    pub fn machine_types(&self) -> &[MachineType] {
+        &self.machine_types
+    }
+
+    /// Takes the machine types as the cloud or the state service lists them.
+    pub fn set_machine_types(&mut self, machine_types: Vec<MachineType>) {
+        self.machine_types = machine_types;
+    }
+
+    /// The unfinished jobs.
+    pub fn jobs(&self) -> &BTreeMap<JobId, Job> {
+        &self.jobs
+    }
+
+    /// Which of the unfinished jobs wait for which others.
+    pub fn dependencies(&self) -> &Dependencies {
+        &self.dependencies
+    }
+
+    /// The rented machines, until the cloud confirms their release.
+    pub fn machines(&self) -> &BTreeMap<MachineId, Machine> {
+        &self.machines
+    }
+
+    /// The Last Model: run-to-estimate ratio of each team's last finished job.
+    pub fn run_time_ratios(&self) -> &BTreeMap<String, f64> {
+        &self.run_time_ratios
+    }
+
+    /// Takes the ratios that an earlier term stored.
+    pub fn load_run_time_ratios(&mut self, ratios: BTreeMap<String, f64>) {
+        self.run_time_ratios = ratios;
+    }
+
+    /// Takes a stored segment of the log, before [`ClusterModel::replay_log`].
+    /// False: it can't be read, so that what may be where is unknown.
+    pub fn load_log_segment(&mut self, number: u64, value: serde_json::Value) -> bool {
+        self.log.load(number, value)
+    }
+
     /// Adds an accepted job. A job that is known already stays as it is.
     pub fn add_job(&mut self, record: JobRecord, arrival: Instant) {
         let id = record.spec.id;
@@ -264,7 +315,7 @@
             return;
         };
         job.occupy(task.index, machine);
-        self.shadows |= backfilled;
+        self.has_backfilled |= backfilled;
         m.idle_since = None;
         let logged = self.log.push(Logged::Start(
             machine.clone(),
@@ -289,7 +340,7 @@
                 stop_at: None,
             },
         );
-        self.due.insert(machine.clone());
+        self.command_candidates.insert(machine.clone());
         debug!(%task, attempt, machine = %machine, backfilled, "placed");
     }
 
@@ -311,7 +362,7 @@
         }
         debug!(%task, attempt = slot.attempt, machine = %machine, reason, "stopping");
         slot.order_stop(grace, now);
-        self.due.insert(machine.clone());
+        self.command_candidates.insert(machine.clone());
     }
 
     /// Removes a slot on evidence; its task waits again unless done.
@@ -333,7 +384,7 @@
     }
 
     /// Takes what the log of earlier terms says, once the jobs are known.
-    pub fn load_log(&mut self, now: Instant) {
+    pub fn replay_log(&mut self, now: Instant) {
         let replay = self.log.replay();
         for (id, indices) in &replay.done {
             if let Some(job) = self.jobs.get_mut(id) {
@@ -382,7 +433,7 @@
         if m.needs_probe {
             // It was up: silence from now on counts as silence, not as boot.
             m.phase = MachinePhase::Up;
-            self.due.insert(id.clone());
+            self.command_candidates.insert(id.clone());
         }
         for (task, attempt) in tasks {
             let job = self.jobs.get_mut(&task.job);
@@ -459,7 +510,7 @@
                 m.needs_probe = true;
             }
             if m.needs_probe {
-                self.due.insert(l.id.clone());
+                self.command_candidates.insert(l.id.clone());
             }
             if l.state == CloudState::Failed {
                 m.cordoned_since.get_or_insert(now);
@@ -478,7 +529,7 @@
         if self.machines.remove(id).is_some() {
             self.log.push(Logged::Released(id.clone()));
         }
-        self.due.remove(id);
+        self.command_candidates.remove(id);
         self.released_machines.insert(id.clone());
     }
 
--- a/src/core/state/predictions.rs
+++ b/src/core/state/predictions.rs
@@ -22,7 +22,7 @@
         if spec.kind == JobKind::Service || spec.estimate_s <= 0.0 {
             return UNBOUNDED_RUN_TIME;
         }
-        let ratio = self.ratios.get(&spec.team).copied().unwrap_or(1.0);
+        let ratio = self.run_time_ratios.get(&spec.team).copied().unwrap_or(1.0);
         Duration::from_secs_f64(spec.estimate_s * ratio.min(1.0))
     }
 
--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -64,8 +64,10 @@
     /// Takes the writes that are due now.
     pub fn take_writes(&mut self, now: Instant) -> Vec<PendingWrite> {
         let mut out = Vec::new();
-        let idle = self.log_taken.is_none_or(|t| now >= t + LOG_PAUSE);
-        let paced = self.log_taken.is_none_or(|t| now >= t + self.config.log_pause);
+        let idle = self.log_append_taken_at.is_none_or(|t| now >= t + LOG_PAUSE);
+        let paced = self
+            .log_append_taken_at
+            .is_none_or(|t| now >= t + self.config.log_pause);
         if paced && self.log.wants(idle) {
             out.extend(self.take_log(now).map(PendingWrite::WriteAheadLog));
         }
@@ -107,16 +109,16 @@
             });
         }
         for (team, r) in learned {
-            self.ratios.insert(team, r);
-            self.ratios_dirty = true;
+            self.run_time_ratios.insert(team, r);
+            self.run_time_ratios_changed = true;
         }
-        if self.ratios_dirty
+        if self.run_time_ratios_changed
             && self
-                .ratios_written
+                .run_time_ratios_taken_at
                 .is_none_or(|t| now >= t + Duration::from_secs(3))
         {
-            self.ratios_dirty = false;
-            self.ratios_written = Some(now);
+            self.run_time_ratios_changed = false;
+            self.run_time_ratios_taken_at = Some(now);
             out.push(PendingWrite::Ratios(self.ratios_that_fit()));
         }
         out
@@ -127,7 +129,7 @@
     fn ratios_that_fit(&self) -> BTreeMap<String, f64> {
         let bytes = |entry: &(&String, &f64)| serde_json::to_string(entry).map_or(0, |text| text.len());
         let mut left = self.config.value_bytes;
-        let fitting = self.ratios.iter().take_while(|entry| {
+        let fitting = self.run_time_ratios.iter().take_while(|entry| {
             left = left.saturating_sub(bytes(entry));
             left > 0
         });
@@ -176,7 +178,7 @@
             LogEntry::Unknown(_) => Some(e.clone()),
         };
         let a = self.log.take(most, live_bytes, live)?;
-        self.log_taken = Some(now);
+        self.log_append_taken_at = Some(now);
         Some(a)
     }
 
--- a/src/leader/active_leader/dependency_lookup.rs
+++ b/src/leader/active_leader/dependency_lookup.rs
@@ -30,7 +30,7 @@
         loop {
             let unresolved: Vec<JobId> = {
                 let model = self.model.lock();
-                model.dependencies.unresolved().iter().copied().collect()
+                model.dependencies().unresolved().iter().copied().collect()
             };
             let mut failed = false;
             for id in unresolved {
@@ -62,7 +62,7 @@
         let (now, wall) = (Instant::now(), unix_time_ms());
         let mut model = self.model.lock();
         let finals = self.controller.finals.lock();
-        let unresolved: Vec<JobId> = model.dependencies.unresolved().iter().copied().collect();
+        let unresolved: Vec<JobId> = model.dependencies().unresolved().iter().copied().collect();
         let mut resolved = 0;
         for id in &unresolved {
             // What passed by in an answer tells no time; the stored record may.
--- a/src/leader/active_leader/heartbeat_routing.rs
+++ b/src/leader/active_leader/heartbeat_routing.rs
@@ -46,7 +46,7 @@
         let (outcome, response, stops) = {
             let mut m = self.model.lock();
             let outcome = m.apply_heartbeat(&r, now);
-            let known = m.machines.get(&r.machine);
+            let known = m.machines().get(&r.machine);
             if known.is_some_and(|m| m.phase == MachinePhase::Releasing) {
                 return ApiResponse::unavailable("this machine is being returned");
             }
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -72,7 +72,7 @@
                     .trim_start_matches(record::JOBS)
                     .parse::<JobId>()
                     .is_ok_and(|id| {
-                        self.model.lock().jobs.contains_key(&id)
+                        self.model.lock().jobs().contains_key(&id)
                             || self.controller.finals.lock().status(id).is_some()
                     });
                 if known {
@@ -93,7 +93,7 @@
         let model = self.model.lock();
         self.redirects
             .lock()
-            .retain(|machine| model.machines.contains_key(machine));
+            .retain(|machine| model.machines().contains_key(machine));
     }
 
     /// False: it has to be tried again.
@@ -118,7 +118,7 @@
 
     /// Reads a job that is not known here. False: it could not be read.
     pub(super) async fn load_job(&self, id: JobId) -> bool {
-        if self.model.lock().jobs.contains_key(&id) || self.controller.finals.lock().status(id).is_some() {
+        if self.model.lock().jobs().contains_key(&id) || self.controller.finals.lock().status(id).is_some() {
             return true;
         }
         match self.controller.lookup(id).await {
@@ -137,7 +137,7 @@
         let age = Duration::from_millis(unix_time_ms().saturating_sub(r.at));
         let mut m = self.model.lock();
         // Between the reading and now it may have become known or finished.
-        if m.jobs.contains_key(&id) || self.controller.finals.lock().status(id).is_some() {
+        if m.jobs().contains_key(&id) || self.controller.finals.lock().status(id).is_some() {
             return;
         }
         self.writer.set_known_version(&record::job_key(id), version);
--- a/src/leader/active_leader/machine_types.rs
+++ b/src/leader/active_leader/machine_types.rs
@@ -35,12 +35,12 @@
     }
 
     async fn apply_machine_types(&self, types: Vec<MachineType>) {
-        let known = self.model.lock().types.clone();
+        let known = self.model.lock().machine_types().to_vec();
         if known == types {
             return;
         }
         let must_store = shapes(&known) != shapes(&types);
-        self.model.lock().types = types.clone();
+        self.model.lock().set_machine_types(types.clone());
         *self.controller.types.lock() = Arc::new(types.clone());
         if must_store {
             info!(types = types.len(), "machine types read");
--- a/src/leader/active_leader/takeover.rs
+++ b/src/leader/active_leader/takeover.rs
@@ -33,25 +33,25 @@
         for item in segments {
             self.writer.set_known_version(&item.key, item.version);
             let number = item.key.trim_start_matches(record::WAL).parse();
-            let read = number.is_ok_and(|n| m.log.load(n, item.value));
+            let read = number.is_ok_and(|n| m.load_log_segment(n, item.value));
             if !read {
                 // What it names is unknown: nothing may be placed.
                 info!(key = item.key, "a segment of the log can't be read");
                 return Err(StoreError::Unanswered);
             }
         }
-        m.load_log(now);
+        m.replay_log(now);
         if let KeyRead::Found(item) = ratios {
             self.writer.set_known_version(record::RATIOS, item.version);
             if let Ok(r) = serde_json::from_value(item.value) {
-                m.ratios = r;
+                m.load_run_time_ratios(r);
             }
         }
         if let KeyRead::Found(item) = types {
             self.writer.set_known_version(record::TYPES, item.version);
             if let Ok(t) = serde_json::from_value(item.value) {
-                m.types = t;
-                *self.controller.types.lock() = Arc::new(m.types.clone());
+                m.set_machine_types(t);
+                *self.controller.types.lock() = Arc::new(m.machine_types().to_vec());
             }
         }
         Ok(())
--- a/src/leader/active_leader/term.rs
+++ b/src/leader/active_leader/term.rs
@@ -61,8 +61,8 @@
         let model = self.model.lock();
         info!(
             term = self.term,
-            jobs = model.jobs.len(),
-            machines = model.machines.len(),
+            jobs = model.jobs().len(),
+            machines = model.machines().len(),
             took_ms = load_began.elapsed().as_millis() as u64,
             "state loaded"
         );
--- a/src/leader/active_leader/user_requests.rs
+++ b/src/leader/active_leader/user_requests.rs
@@ -46,7 +46,7 @@
             let bad = ApiResponse::error(400, "the job's description is too long");
             return self.unless_known(id, bad).await;
         }
-        let in_memory = |named| self.model.lock().jobs.get(&named).map(|j| j.spec.kind);
+        let in_memory = |named| self.model.lock().jobs().get(&named).map(|j| j.spec.kind);
         if let Err(bad) = self.controller.check_awaits(&rec.spec, in_memory).await {
             return self.unless_known(id, bad).await;
         }
@@ -155,7 +155,7 @@
             let finishing = self
                 .model
                 .lock()
-                .jobs
+                .jobs()
                 .get(&id)
                 .is_some_and(|j| j.is_complete() && !j.cancelled);
             if !finishing {
@@ -165,7 +165,7 @@
         }
         let record = {
             let mut m = self.model.lock();
-            match m.jobs.get(&id) {
+            match m.jobs().get(&id) {
                 None => {
                     drop(m);
                     return match self.controller.finals.lock().status(id) {
@@ -179,7 +179,7 @@
                 Some(j) if j.cancellation_is_stored() => None,
                 Some(_) => {
                     m.cancel(id, Instant::now());
-                    m.jobs.get(&id).map(|j| j.record())
+                    m.jobs().get(&id).map(|j| j.record())
                 }
             }
         };
--- a/tests/dependencies/cancellation.rs
+++ b/tests/dependencies/cancellation.rs
@@ -62,12 +62,12 @@
     m.plan(now);
     end_tasks(&mut m, &machine, 2, now);
     // Its last task is done before the cancellation arrives.
-    assert!(m.jobs[&id(1)].is_complete());
+    assert!(m.jobs()[&id(1)].is_complete());
     store_all(&mut m, now);
     m.cancel(id(1), now);
     assert_eq!(standing(&m, 2), Some(JobState::Queued));
     m.plan(now);
-    assert_eq!(m.jobs[&id(2)].placed, 1);
+    assert_eq!(m.jobs()[&id(2)].placed, 1);
 }
 
 #[test]
@@ -77,12 +77,12 @@
     m.add_job(chained(2, &[1]), now);
     m.add_job(chained(3, &[2]), now);
     m.plan(now);
-    assert_eq!(m.jobs[&id(2)].placed, 0);
+    assert_eq!(m.jobs()[&id(2)].placed, 0);
     assert_eq!((standing(&m, 2), standing(&m, 3)), (None, None));
-    assert_eq!(m.dependencies.unresolved().iter().collect::<Vec<_>>(), [&id(1)]);
+    assert_eq!(m.dependencies().unresolved().iter().collect::<Vec<_>>(), [&id(1)]);
     m.resolve_dependency(id(1), DependencyOutcome::Cancelled);
     assert_eq!(standing(&m, 3), Some(JobState::Cancelled));
-    assert!(m.dependencies.unresolved().is_empty());
+    assert!(m.dependencies().unresolved().is_empty());
 }
 
 /// Tasks of a job that waits, which a version without dependencies has started,
@@ -103,6 +103,6 @@
     m.cancel(id(1), now);
     m.cancel_stored(id(1));
     store_all(&mut m, now);
-    assert!(m.machines[&machine].slots[&task].stop.is_some());
-    assert!(m.jobs.contains_key(&id(2)), "not over before its task is gone");
+    assert!(m.machines()[&machine].slots[&task].stop.is_some());
+    assert!(m.jobs().contains_key(&id(2)), "not over before its task is gone");
 }
--- a/tests/dependencies/fixtures.rs
+++ b/tests/dependencies/fixtures.rs
@@ -42,7 +42,7 @@
 /// Lets the tasks on a machine end.
 pub fn end_tasks(m: &mut ClusterModel, machine: &MachineId, sequence: u64, now: Instant) {
     let mut r = heartbeat(machine, "large", "north", false, 7, sequence);
-    r.token = m.machines[machine].seen_token.max((7 << 20) + 1000);
+    r.token = m.machines()[machine].seen_token.max((7 << 20) + 1000);
     r.tasks = ended(m, machine, usize::MAX);
     m.apply_heartbeat(&r, now);
 }
--- a/tests/dependencies/readiness.rs
+++ b/tests/dependencies/readiness.rs
@@ -16,7 +16,7 @@
     m.add_job(chained(1, &[]), now);
     m.add_job(chained(2, &[1]), now);
     m.plan(now);
-    let placed = |m: &ClusterModel, n: usize| m.jobs.get(&id(n)).map_or(0, |j| j.placed);
+    let placed = |m: &ClusterModel, n: usize| m.jobs().get(&id(n)).map_or(0, |j| j.placed);
     assert_eq!((placed(&m, 1), placed(&m, 2)), (1, 0));
     end_tasks(&mut m, &machine, 2, now);
     // All tasks are done, which isn't stored yet.
@@ -26,7 +26,7 @@
     assert_eq!(store_all(&mut m, ended), [(id(1), JobState::Done)]);
     m.plan(ended);
     assert_eq!(placed(&m, 2), 1);
-    assert_eq!(m.ready_since(&m.jobs[&id(2)]), ended);
+    assert_eq!(m.ready_since(&m.jobs()[&id(2)]), ended);
 }
 
 #[test]
@@ -86,14 +86,14 @@
     let wanted: Vec<JobId> = m.jobs_waiting_for_capacity().map(|j| j.spec.id).collect();
     assert_eq!(wanted, [id(1), id(3)]);
     assert_eq!(ranks[&id(3)].tier, Tier::Starved, "it waits since it arrived");
-    m.jobs.get_mut(&id(3)).expect("known").done.insert(0);
+    m.set_up().jobs.get_mut(&id(3)).expect("known").done.insert(0);
     assert_eq!(
         m.ranks(now)[&id(3)].tier,
         Tier::WithinQuota,
         "the one that waits takes no part"
     );
     m.resolve_dependency(id(1), DependencyOutcome::Done(Some(now - secs(5))));
-    assert_eq!(m.ready_since(&m.jobs[&id(2)]), now - secs(5));
+    assert_eq!(m.ready_since(&m.jobs()[&id(2)]), now - secs(5));
     assert_ne!(
         m.ranks(now)[&id(2)].tier,
         Tier::Starved,
@@ -133,7 +133,7 @@
         "it comes first for the sake of the last"
     );
     // The last one's own run is left out of the time that the first has.
-    let inherited = m.dependencies.inherited_urgency(id(1)).expect("it is needed");
+    let inherited = m.dependencies().inherited_urgency(id(1)).expect("it is needed");
     assert_eq!(inherited.due, Some(now + secs(40)));
-    assert_eq!(m.priority(&m.jobs[&id(1)]), Priority::High);
+    assert_eq!(m.priority(&m.jobs()[&id(1)]), Priority::High);
 }
--- a/tests/dependencies/size.rs
+++ b/tests/dependencies/size.rs
@@ -36,7 +36,7 @@
         for record in records.iter().rev() {
             m.add_job(record.clone(), now);
         }
-        assert!(m.dependencies.unresolved().is_empty(), "{shape}");
+        assert!(m.dependencies().unresolved().is_empty(), "{shape}");
         m.cancel(id(0), now);
         m.cancel_stored(id(0));
         let cancelled = |n: &usize| standing(&m, *n) == Some(JobState::Cancelled);
@@ -54,14 +54,14 @@
                 records.len() - stored.len()
             );
             assert!(
-                finals.len() <= m.config.txn_ops,
+                finals.len() <= m.config().txn_ops,
                 "{shape}: {} at once",
                 finals.len()
             );
             assert!(finals.iter().all(|f| f.1 == JobState::Cancelled), "{shape}");
             stored.extend(finals.into_iter().map(|f| f.0));
         }
-        assert!(m.jobs.is_empty(), "{shape}");
+        assert!(m.jobs().is_empty(), "{shape}");
     }
 }
 
@@ -82,13 +82,13 @@
             }
         }
         while let Some(ended) = next.pop() {
-            assert!(m.dependencies.is_ready(ended), "{shape}: {ended} is ready");
+            assert!(m.dependencies().is_ready(ended), "{shape}: {ended} is ready");
             m.resolve_dependency(ended, DependencyOutcome::Done(Some(now)));
             m.remove_job(ended);
             done.insert(ended);
             for dependent in after.get(&ended).into_iter().flatten() {
-                let all = m.jobs[dependent].spec.awaits.iter().all(|n| done.contains(n));
-                assert_eq!(m.dependencies.is_ready(*dependent), all, "{shape}: {dependent}");
+                let all = m.jobs()[dependent].spec.awaits.iter().all(|n| done.contains(n));
+                assert_eq!(m.dependencies().is_ready(*dependent), all, "{shape}: {dependent}");
                 if all && !done.contains(dependent) && !next.contains(dependent) {
                     next.push(*dependent);
                 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -43,7 +43,7 @@
     w.iter().for_each(|w| m.write_finished(w, true, now));
     for due in m.take_due_commands(now, 0) {
         let id = due.machine;
-        let mut r = heartbeat(&id, "small", &m.machines[&id].zone.clone(), false, 7, 2);
+        let mut r = heartbeat(&id, "small", &m.machines()[&id].zone.clone(), false, 7, 2);
         r.token = due.batch.token;
         r.tasks = running(&m, &id);
         m.command_finished(&id, Some(&r), now);
@@ -54,14 +54,14 @@
 /// Each machine of a zone reports what it holds, and is answered.
 fn speak(m: &mut ClusterModel, zone: &str, sequence: u64, now: Instant) {
     let ids: Vec<MachineId> = m
-        .machines
+        .machines()
         .keys()
         .filter(|id| id.contains(zone))
         .cloned()
         .collect();
     for id in ids {
         let mut r = heartbeat(&id, "small", zone, false, 7, sequence);
-        r.token = m.machines[&id].seen_token;
+        r.token = m.machines()[&id].seen_token;
         r.tasks = running(m, &id);
         m.apply_heartbeat(&r, now);
         m.heartbeat_response(&id, r.token, now);
@@ -79,28 +79,28 @@
     for s in 1..=20 {
         speak(&mut m, "north", 10 + s, now + secs(s));
         assert_eq!(released(&mut m, now + secs(s)), Vec::<String>::new(), "{s} s");
-        assert!(m.machines.values().all(|x| x.slots.len() == 1), "{s} s");
+        assert!(m.machines().values().all(|x| x.slots.len() == 1), "{s} s");
     }
     // The lease is 20 s: not sooner, and with a margin, their tasks are gone.
     speak(&mut m, "north", 40, now + secs(22));
     assert_eq!(released(&mut m, now + secs(22)), Vec::<String>::new());
     let cut = |m: &ClusterModel| {
-        m.machines
+        m.machines()
             .values()
             .filter(|x| x.zone == "south" && x.slots.is_empty())
             .count()
     };
     assert_eq!(cut(&m), 5);
-    assert_eq!(m.jobs.values().next().expect("the job").waiting.count(), 5);
+    assert_eq!(m.jobs().values().next().expect("the job").waiting.count(), 5);
     // Words of the session that is over come late and change nothing.
     let id = MachineId::from("i-south-0");
     let mut late = heartbeat(&id, "small", "south", false, 7, 30);
-    late.token = m.machines[&id].seen_token;
+    late.token = m.machines()[&id].seen_token;
     assert_eq!(
         m.apply_heartbeat(&late, now + secs(23)),
         HeartbeatOutcome::Outdated
     );
-    assert!(m.machines[&id].incarnation_ended(1));
+    assert!(m.machines()[&id].incarnation_ended(1));
     late.incarnation = 2;
     late.sequence = 1;
     assert_eq!(
@@ -122,11 +122,11 @@
     for s in 1..=9 {
         speak(&mut m, "north", 10 + s, now + secs(s));
         speak(&mut m, "south", 10 + s, now + secs(s));
-        let x = m.machines.get_mut(&odd).expect("known");
+        let x = m.set_up().machines.get_mut(&odd).expect("known");
         x.last_heartbeat = Some(now);
     }
     assert_eq!(released(&mut m, now + secs(9)), Vec::<String>::new());
-    m.machines.get_mut(&odd).expect("known").last_heartbeat = Some(now - secs(1));
+    m.set_up().machines.get_mut(&odd).expect("known").last_heartbeat = Some(now - secs(1));
     assert_eq!(released(&mut m, now + secs(9)), ["i-north-3"]);
 }
 
@@ -144,7 +144,7 @@
         assert!(c.silent > longest + Duration::from_secs(2), "{report_s}");
         assert!(c.silent <= c.lease);
         let mut m = ClusterModel::new(Arc::new(c), 7);
-        m.types = types();
+        m.set_machine_types(types());
         let now = start();
         for i in 0..4 {
             m.apply_heartbeat(&heartbeat(&format!("i-{i}"), "small", "north", true, 7, 1), now);
@@ -162,12 +162,12 @@
     let id = MachineId::from("i-north-0");
     let noticed = |m: &mut ClusterModel, sequence: u64, reclaim_at: f64, now: Instant| {
         let mut r = heartbeat(&id, "small", "north", false, 7, sequence);
-        r.token = m.machines[&id].seen_token;
+        r.token = m.machines()[&id].seen_token;
         r.tasks = running(m, &id);
         r.notice_s = Some(reclaim_at);
         m.apply_heartbeat(&r, now);
         m.plan_fleet(now);
-        m.machines[&id].slots.values().any(|s| s.stop.is_some())
+        m.machines()[&id].slots.values().any(|s| s.stop.is_some())
     };
     // No room elsewhere: it may still end in time.
     assert!(!noticed(&mut m, 10, 15.0, now + secs(1)));
@@ -187,17 +187,17 @@
     let now = start();
     let mut m = cluster(3, now);
     let id = MachineId::from("i-south-1");
-    m.machines.get_mut(&id).expect("known").needs_probe = true;
-    m.due.insert(id.clone());
+    m.set_up().machines.get_mut(&id).expect("known").needs_probe = true;
+    m.set_up().command_candidates.insert(id.clone());
     let sent = m.take_due_commands(now, 5);
     assert!(sent.iter().any(|due| due.machine == id));
     m.command_finished(&id, None, now);
-    assert!(!m.usable(&m.machines[&id], now + secs(1)));
+    assert!(!m.usable(&m.machines()[&id], now + secs(1)));
     // A later session than its start was sent to: the task is gone.
     let mut r = heartbeat(&id, "small", "south", false, 7, 1);
     r.incarnation = 2;
     m.apply_heartbeat(&r, now + secs(12));
-    assert!(m.machines[&id].slots.is_empty());
+    assert!(m.machines()[&id].slots.is_empty());
     for s in 13..30 {
         r.sequence += 1;
         m.apply_heartbeat(&r, now + secs(s));
@@ -205,7 +205,7 @@
         speak(&mut m, "south", s * 10, now + secs(s));
     }
     assert_eq!(released(&mut m, now + secs(29)), ["i-south-1"]);
-    assert_eq!(m.machines[&id].phase, MachinePhase::Releasing);
+    assert_eq!(m.machines()[&id].phase, MachinePhase::Releasing);
 }
 
 #[test]
@@ -227,16 +227,16 @@
     assert_eq!(released(&mut m, woke + secs(1)), Vec::<String>::new());
     assert!(!m.is_partitioned_from_workers(woke + secs(1)));
     assert!(m
-        .machines
+        .machines()
         .values()
         .all(|x| x.cordoned_since.is_none() && x.slots.len() == 1));
     // One that stays silent from then on is released as ever.
     for s in 1..=12 {
         speak(&mut m, "south", 30 + s, woke + secs(s));
-        let ids: Vec<MachineId> = m.machines.keys().cloned().collect();
+        let ids: Vec<MachineId> = m.machines().keys().cloned().collect();
         for id in ids.iter().filter(|i| i.contains("north") && ***i != *"i-north-0") {
             let mut r = heartbeat(id, "small", "north", false, 7, 30 + s);
-            r.token = m.machines[id].seen_token;
+            r.token = m.machines()[id].seen_token;
             r.tasks = running(&m, id);
             m.apply_heartbeat(&r, woke + secs(s));
             m.heartbeat_response(id, r.token, woke + secs(s));
@@ -251,11 +251,14 @@
     let now = start();
     let mut m = cluster(1, now);
     let id = MachineId::from("i-north-0");
-    m.machines.get_mut(&id).expect("known").seen_token = 6 << 20;
+    m.set_up().machines.get_mut(&id).expect("known").seen_token = 6 << 20;
     m.expire_leases(now + secs(90));
-    assert_eq!(m.machines[&id].slots.len(), 1);
+    assert_eq!(m.machines()[&id].slots.len(), 1);
     let other = MachineId::from("i-south-0");
-    assert!(m.machines[&other].slots.is_empty(), "this one obeys: it is over");
+    assert!(
+        m.machines()[&other].slots.is_empty(),
+        "this one obeys: it is over"
+    );
 }
 
 #[test]
@@ -284,7 +287,7 @@
 
     let mut paused = idle_fleet();
     paused.add_job(record(job(1, 50, 8.0)), later);
-    let bad = paused.jobs.values_mut().next().expect("the job");
+    let bad = paused.set_up().jobs.values_mut().next().expect("the job");
     fail_on_three_machines(bad, secs(1), later);
     let pause = bad.failures.pause();
     bad.pause_until = Some(later + pause);
@@ -292,10 +295,10 @@
 
     let mut tried = idle_fleet();
     tried.add_job(record(job(1, 50, 8.0)), later);
-    let bad = tried.jobs.values_mut().next().expect("the job");
+    let bad = tried.set_up().jobs.values_mut().next().expect("the job");
     fail_on_three_machines(bad, secs(1), later);
     tried.plan(later);
-    assert_eq!(tried.jobs.values().next().expect("the job").placed, 1);
+    assert_eq!(tried.jobs().values().next().expect("the job").placed, 1);
     assert!(released(&mut tried, later).len() >= 17, "one task is tried");
 
     let mut limited = idle_fleet();
@@ -304,7 +307,7 @@
     limited.add_job(record(spec), later);
     limited.plan(later);
     assert_eq!(
-        limited.jobs.values().next().expect("the job").placed,
+        limited.jobs().values().next().expect("the job").placed,
         5,
         "40 CPUs"
     );
--- a/tests/gap/world/leaders.rs
+++ b/tests/gap/world/leaders.rs
@@ -31,14 +31,14 @@
         self.held = Some((who, self.clock(7) + Duration::from_secs_f64(self.times.hold)));
         let now = self.clock(who);
         let mut model = ClusterModel::new(self.config.clone(), self.term);
-        model.types = types();
+        model.set_machine_types(types());
         for r in self.jobs.values() {
             model.add_job(r.clone(), now);
         }
         for (n, v) in &self.wal {
-            assert!(model.log.load(*n, v.clone()));
+            assert!(model.load_log_segment(*n, v.clone()));
         }
-        model.load_log(now);
+        model.replay_log(now);
         let limits = AuthorityLimits {
             lease: Duration::from_secs_f64(self.times.hold),
             worker_lease: self.config.lease,
@@ -133,7 +133,7 @@
             .as_mut()
             .filter(|l| !l.over && l.authority.may_act(clocks) && !l.cancelled)
         {
-            let ids: Vec<JobId> = l.model.jobs.keys().copied().collect();
+            let ids: Vec<JobId> = l.model.jobs().keys().copied().collect();
             ids.into_iter().for_each(|id| l.model.cancel(id, now));
             l.cancelled = true;
         }
--- a/tests/planner/backfilling.rs
+++ b/tests/planner/backfilling.rs
@@ -45,7 +45,7 @@
     m.add_job(record(long), now);
     let r = m.plan(now);
     assert_eq!(r.backfilled, 1);
-    assert!(m.machines[&MachineId::from("i-1")]
+    assert!(m.machines()[&MachineId::from("i-1")]
         .slots
         .values()
         .any(|s| s.backfilled));
@@ -64,9 +64,9 @@
     // A sunny task ends: now the shadow's 8 and the free 8 start the head.
     let id = MachineId::from("i-1");
     let task = "job-000001/0".parse().expect("a task");
-    let attempt = m.machines[&id].slots[&task].attempt;
+    let attempt = m.machines()[&id].slots[&task].attempt;
     let mut r = heartbeat("i-1", "large", "north", false, 1, 2);
-    for (t, s) in &m.machines[&id].slots {
+    for (t, s) in &m.machines()[&id].slots {
         r.tasks.push(ReportedTask {
             task: *t,
             attempt: s.attempt,
--- a/tests/planner/cordon.rs
+++ b/tests/planner/cordon.rs
@@ -16,14 +16,14 @@
             m.add_job(record(job(n, 2, 1.0)), now);
         }
         if fine {
-            let first = m.jobs.values_mut().next().expect("a job");
+            let first = m.set_up().jobs.values_mut().next().expect("a job");
             first.waiting.remove(1);
             first.done.insert(1);
         }
         m.plan(now);
         let id = MachineId::from("i-1");
         all_ended(&mut m, "i-1", ExitReason::Failed, 2, now + secs(1));
-        assert!(m.machines[&id].cordoned_since.is_some(), "{jobs} jobs");
+        assert!(m.machines()[&id].cordoned_since.is_some(), "{jobs} jobs");
         add(&mut m, "i-2", "small", "north", false, now + secs(1));
         m.plan(now + secs(1));
         assert!(!tasks_on(&m, "i-2").is_empty() && tasks_on(&m, "i-1").is_empty());
@@ -42,7 +42,7 @@
     for n in [1, 2] {
         m.add_job(record(job(n, 16, 4.0)), now);
     }
-    let bad: Vec<JobId> = m.jobs.keys().copied().collect();
+    let bad: Vec<JobId> = m.jobs().keys().copied().collect();
     let mut tries = 0;
     for i in 0..300u64 {
         now += secs(1);
@@ -52,24 +52,24 @@
             all_ended(&mut m, id, ExitReason::Failed, 10 + i * 2, now);
         }
     }
-    assert!(m.machines.values().all(|x| x.cordoned_since.is_none()));
+    assert!(m.machines().values().all(|x| x.cordoned_since.is_none()));
     assert!((18..80).contains(&tries), "{tries} tries in 300 s");
     let longest = m
-        .jobs
+        .jobs()
         .values()
         .filter_map(|j| j.pause_until)
         .max()
         .expect("a pause");
     assert!(longest <= now + secs(20));
     // One was only unlucky: it is tried again in time, and then runs in full.
-    let job = m.jobs.get_mut(&bad[0]).expect("known");
+    let job = m.set_up().jobs.get_mut(&bad[0]).expect("known");
     job.done.insert(0);
     job.waiting.remove(0);
     job.failures.clear();
     job.pause_until = None;
     m.plan(now + secs(1));
     assert_eq!(
-        m.jobs[&bad[0]].waiting.count(),
+        m.jobs()[&bad[0]].waiting.count(),
         0,
         "15 tasks on 8 machines of 8 CPUs"
     );
@@ -92,7 +92,7 @@
     for id in &ids[1..] {
         all_ended(&mut m, id, ExitReason::Failed, 2, now + secs(2));
     }
-    let only = m.jobs.values().next().expect("the job");
+    let only = m.jobs().values().next().expect("the job");
     assert_eq!(
         m.placement_limit(only, now + secs(3)),
         1,
@@ -122,7 +122,7 @@
             m.plan(now);
         }
         let id = MachineId::from("i-1");
-        m.machines.get_mut(&id).expect("known").cordoned_since = Some(now);
+        m.set_up().machines.get_mut(&id).expect("known").cordoned_since = Some(now);
         m.add_job(record(job(2, 1, 4.0)), now);
         m.plan(now + secs(30));
         assert_eq!(tasks_on(&m, "i-1").len(), usize::from(busy), "still cordoned");
--- a/tests/planner/fixtures.rs
+++ b/tests/planner/fixtures.rs
@@ -10,11 +10,11 @@
 
 /// Adds a machine that may be placed on.
 pub fn add(m: &mut ClusterModel, id: &str, kind: &str, zone: &str, spot: bool, now: Instant) {
-    m.apply_heartbeat(&heartbeat(id, kind, zone, spot, m.term, 1), now);
+    m.apply_heartbeat(&heartbeat(id, kind, zone, spot, m.term(), 1), now);
 }
 
 pub fn tasks_on(m: &ClusterModel, id: &str) -> Vec<String> {
-    m.machines[&MachineId::from(id)]
+    m.machines()[&MachineId::from(id)]
         .slots
         .keys()
         .map(|t| t.to_string())
@@ -23,11 +23,17 @@
 
 /// Marks all that is placed as running since `now`.
 pub fn run_all(m: &mut ClusterModel, now: Instant) {
-    for s in m.machines.values_mut().flat_map(|m| m.slots.values_mut()) {
+    let term = m.term();
+    for s in m
+        .set_up()
+        .machines
+        .values_mut()
+        .flat_map(|m| m.slots.values_mut())
+    {
         if s.state == SlotState::Placed {
             s.state = SlotState::Running;
             s.running_since = Some(now);
-            s.start_token = m.term << 20;
+            s.start_token = term << 20;
         }
     }
 }
@@ -39,7 +45,7 @@
         let mut r = heartbeat(&format!("i-{i}"), "small", "north", false, 5, s + 10);
         r.token = (5 << 20) + 900;
         let id = MachineId::from(format!("i-{i}").as_str());
-        r.tasks = m.machines[&id]
+        r.tasks = m.machines()[&id]
             .slots
             .iter()
             .filter(|(_, x)| x.takes_room())
@@ -61,7 +67,12 @@
         m.apply_heartbeat(&r, t);
     }
     m.plan(t);
-    for x in m.machines.values_mut().flat_map(|x| x.slots.values_mut()) {
+    for x in m
+        .set_up()
+        .machines
+        .values_mut()
+        .flat_map(|x| x.slots.values_mut())
+    {
         x.start_token = 5 << 20;
     }
 }
--- a/tests/planner/gangs.rs
+++ b/tests/planner/gangs.rs
@@ -20,10 +20,10 @@
     add(&mut m, "i-2", "small", "south", false, now);
     m.plan(now);
     let attempts: BTreeSet<u64> = m
-        .machines
+        .machines()
         .values()
         .flat_map(|x| x.slots.values().map(|s| s.attempt))
         .collect();
-    assert_eq!(m.jobs.values().next().expect("the job").places.len(), 3);
+    assert_eq!(m.jobs().values().next().expect("the job").places.len(), 3);
     assert_eq!(attempts.len(), 1, "a gang's tasks share their attempt");
 }
--- a/tests/planner/generated.rs
+++ b/tests/planner/generated.rs
@@ -16,9 +16,9 @@
 fn check_placements(m: &ClusterModel) -> Result<(), TestCaseError> {
     let mut cpus: HashMap<String, f64> = HashMap::new();
     let mut places: HashMap<TaskId, u32> = HashMap::new();
-    for mac in m.machines.values() {
+    for mac in m.machines().values() {
         let kind = m
-            .types
+            .machine_types()
             .iter()
             .find(|t| t.name == mac.machine_type)
             .expect("a type");
@@ -48,10 +48,10 @@
         cpus.get("red").copied().unwrap_or(0.0) <= 40.0 + 1e-6,
         "above the team's limit"
     );
-    for (id, job) in &m.jobs {
+    for (id, job) in m.jobs() {
         let mut zones: HashMap<&str, u32> = HashMap::new();
         for mac in job.places.values().flatten() {
-            *zones.entry(m.machines[mac].zone.as_str()).or_default() += 1;
+            *zones.entry(m.machines()[mac].zone.as_str()).or_default() += 1;
         }
         if job.spec.one_zone {
             prop_assert!(zones.len() <= 1, "{id} in two zones");
@@ -130,30 +130,30 @@
             j.id = format!("{}9", j.id).parse().expect("an id");
             m.add_job(record(j), later);
         }
-        let shadow_before: HashMap<TaskId, bool> = m.machines.values()
+        let shadow_before: HashMap<TaskId, bool> = m.machines().values()
             .flat_map(|x| x.slots.iter().map(|(t, s)| (*t, s.backfilled))).collect();
-        let waiting: HashMap<JobId, u32> = m.jobs.iter().map(|(id, j)| (*id, j.waiting.count())).collect();
+        let waiting: HashMap<JobId, u32> = m.jobs().iter().map(|(id, j)| (*id, j.waiting.count())).collect();
         m.plan(later);
         check_placements(&m)?;
         let ranks = m.ranks(later);
-        for (task, s) in m.machines.values().flat_map(|x| &x.slots) {
+        for (task, s) in m.machines().values().flat_map(|x| &x.slots) {
             if s.stop.is_none() { continue; }
-            if m.jobs[&task.job].broken_gang() { continue; }
+            if m.jobs()[&task.job].broken_gang() { continue; }
             let own = ranks[&task.job];
             let gained = |j: &Job| j.waiting.count() < waiting[&j.spec.id];
-            let for_better = m.jobs.values().any(|j| ranks[&j.spec.id] < own && gained(j));
+            let for_better = m.jobs().values().any(|j| ranks[&j.spec.id] < own && gained(j));
             prop_assert!(for_better, "{task} is stopped for nobody above it");
             if shadow_before[task] { continue; }
             // Sunny, so it can only have been borrowed load.
-            let of = &m.jobs[&task.job];
-            let for_higher = m.jobs.values()
+            let of = &m.jobs()[&task.job];
+            let for_higher = m.jobs().values()
                 .any(|j| j.spec.priority > of.spec.priority && ranks[&j.spec.id].tier <= Tier::InTime && gained(j));
             prop_assert!(for_higher, "{task} is stopped for no higher priority");
             prop_assert!(of.spec.kind == JobKind::Array && of.spec.deadline_s.is_none(), "{task} was promised");
             prop_assert!(own.tier != Tier::WithinQuota, "{task} was within its team's guarantee");
             let young = m.predict(&of.spec) / 4;
             prop_assert!(s.running_since.is_some_and(|t| later - t < young), "{task} is not young");
-            let kept = m.machines.values().flat_map(|x| &x.slots)
+            let kept = m.machines().values().flat_map(|x| &x.slots)
                 .filter(|(t, s)| t.job == task.job && s.stop.is_none()).count();
             prop_assert!(kept >= 2, "{task} is stopped though its job has hardly begun");
         }
@@ -181,7 +181,7 @@
             m
         };
         let places = |m: &ClusterModel| -> Vec<(MachineId, TaskId, bool, bool)> {
-            m.machines.values()
+            m.machines().values()
                 .flat_map(|x| x.slots.iter().map(|(t, s)| (x.id.clone(), *t, s.backfilled, s.stop.is_some())))
                 .collect()
         };
--- a/tests/planner/overload.rs
+++ b/tests/planner/overload.rs
@@ -22,7 +22,7 @@
     let mut arrived: HashMap<JobId, (u64, u32)> = HashMap::new();
     let mut n = 0;
     let mut s = 0;
-    while s < 600 || m.jobs.values().any(|j| !j.is_complete()) {
+    while s < 600 || m.jobs().values().any(|j| !j.is_complete()) {
         let t = now + secs(s);
         let mut come = |m: &mut ClusterModel, every: u64, tasks: u32, priority: Priority| {
             if s < 600 && s % every == 0 {
@@ -41,7 +41,7 @@
         come(&mut m, 40, 8, Priority::Normal);
         come(&mut m, 120, 24, Priority::Low);
         turn(&mut m, s, t, 20);
-        for j in m.jobs.values().filter(|j| !j.has_started()) {
+        for j in m.jobs().values().filter(|j| !j.has_started()) {
             let waited = s - arrived[&j.spec.id].0;
             assert!(
                 waited < 220,
@@ -96,7 +96,7 @@
             }
             turn(&mut m, s, t, run);
             for id in &low {
-                if m.jobs.get(id).is_none_or(|j| j.has_started()) {
+                if m.jobs().get(id).is_none_or(|j| j.has_started()) {
                     begun.entry(*id).or_insert(s);
                 }
             }
--- a/tests/planner/prediction.rs
+++ b/tests/planner/prediction.rs
@@ -1,5 +1,7 @@
 //! The Last Model: how long a job will run, learnt from its team's finished jobs.
 
+use std::collections::BTreeMap;
+
 use bitternfold::wire::*;
 
 use crate::fixtures::*;
@@ -10,9 +12,9 @@
     let mut m = model(1);
     let j = job(1, 1, 1.0);
     assert_eq!(m.predict(&j), secs(60), "no finished job of the team yet");
-    m.ratios.insert("blue".into(), 0.5);
+    m.load_run_time_ratios(BTreeMap::from([("blue".into(), 0.5)]));
     assert_eq!(m.predict(&j), secs(30));
-    m.ratios.insert("blue".into(), 3.0);
+    m.load_run_time_ratios(BTreeMap::from([("blue".into(), 3.0)]));
     assert_eq!(m.predict(&j), secs(60));
 }
 
@@ -31,7 +33,7 @@
         (ExitReason::Failed, 0, None),
         (ExitReason::Done, 30, Some(33.0 / 60.0)),
     ] {
-        let (task, slot) = m.machines[&id]
+        let (task, slot) = m.machines()[&id]
             .slots
             .iter()
             .next()
@@ -58,7 +60,7 @@
         sequence = r.sequence + 1;
         let w = m.take_writes(base + secs(ran));
         w.iter().for_each(|w| m.write_finished(w, true, base));
-        assert_eq!(m.ratios.get("blue").copied(), expect);
+        assert_eq!(m.run_time_ratios().get("blue").copied(), expect);
         m.plan(base + secs(ran));
         run_all(&mut m, base + secs(ran));
     }
--- a/tests/planner/preemption.rs
+++ b/tests/planner/preemption.rs
@@ -40,7 +40,7 @@
     urgent(&mut spec);
     m.add_job(record(spec), later);
     m.plan(later);
-    let slots = m.machines.values().flat_map(|x| x.slots.values());
+    let slots = m.machines().values().flat_map(|x| x.slots.values());
     let stopped = slots.filter(|s| s.stop.is_some()).count();
     (m, stopped)
 }
@@ -52,10 +52,10 @@
     let as_is = |_: &mut JobSpec| {};
     let (m, stopped) = stopped_for_urgent_work(as_is, as_is, secs(20));
     assert_eq!(stopped, 3);
-    let ids: Vec<JobId> = m.jobs.keys().copied().collect();
-    assert_eq!(m.jobs[&ids[1]].waiting.count(), 0, "they are placed at once");
+    let ids: Vec<JobId> = m.jobs().keys().copied().collect();
+    assert_eq!(m.jobs()[&ids[1]].waiting.count(), 0, "they are placed at once");
     assert!(
-        m.jobs[&ids[0]].pause_until.is_some(),
+        m.jobs()[&ids[0]].pause_until.is_some(),
         "the guest's refills no gaps"
     );
     // More is asked for than may be stopped: two of the guest's go on.
@@ -84,8 +84,8 @@
     let as_is = |_: &mut JobSpec| {};
     let (mut m, stopped) = stopped_for_urgent_work(as_is, as_is, secs(20));
     assert_eq!(stopped, 3);
-    let guest = *m.jobs.keys().next().expect("the guest's job");
-    let end = m.jobs[&guest].pause_until.expect("a pause");
+    let guest = *m.jobs().keys().next().expect("the guest's job");
+    let end = m.jobs()[&guest].pause_until.expect("a pause");
     let mut again = job(3, 1, 4.0);
     again.deadline_s = Some(120.0);
     let at = end - secs(1);
@@ -97,11 +97,11 @@
     }
     m.add_job(record(again), at);
     m.plan(at);
-    let slots = m.machines.values().flat_map(|x| x.slots.values());
+    let slots = m.machines().values().flat_map(|x| x.slots.values());
     assert_eq!(
         slots.filter(|s| s.stop.is_some()).count(),
         4,
         "one more is stopped"
     );
-    assert_eq!(m.jobs[&guest].pause_until, Some(end));
+    assert_eq!(m.jobs()[&guest].pause_until, Some(end));
 }
--- a/tests/planner/probation.rs
+++ b/tests/planner/probation.rs
@@ -15,7 +15,7 @@
 fn failed_on_three_machines(tasks: u32, run: Duration, now: Instant) -> ClusterModel {
     let mut m = model(1);
     m.add_job(record(job(1, tasks, 4.0)), now);
-    let only = m.jobs.values_mut().next().expect("the job");
+    let only = m.set_up().jobs.values_mut().next().expect("the job");
     fail_on_three_machines(only, run, now);
     only.pause_until = Some(now + only.failures.pause());
     for i in 1..=8 {
@@ -42,7 +42,7 @@
             m.apply_heartbeat(&r, at);
         }
         m.plan(at);
-        placed.push(m.jobs.values().next().expect("the job").placed);
+        placed.push(m.jobs().values().next().expect("the job").placed);
     }
     placed
 }
--- a/tests/safety/cluster/delivery.rs
+++ b/tests/safety/cluster/delivery.rs
@@ -38,7 +38,7 @@
             }
             Message::Heartbeat(r, sent) => {
                 let outcome = self.model.apply_heartbeat(&r, self.now);
-                let known = self.model.machines.get(&r.machine);
+                let known = self.model.machines().get(&r.machine);
                 let over = known.is_none_or(|m| {
                     m.newest_message.0 != r.incarnation || m.incarnation_ended(r.incarnation)
                 });
--- a/tests/safety/cluster/invariants.rs
+++ b/tests/safety/cluster/invariants.rs
@@ -23,7 +23,7 @@
 
     pub fn spec_tasks(&self, id: JobId) -> u32 {
         self.model
-            .jobs
+            .jobs()
             .get(&id)
             .map_or_else(|| self.finals[&id].done, |j| j.spec.tasks)
     }
@@ -46,10 +46,10 @@
     pub fn renews_nothing_unknown(&self, r: &Heartbeat, orders: &[Command]) {
         let unknown: Vec<_> = self.model.unknown_tasks(r).collect();
         assert!(unknown.is_empty(), "{unknown:?} run on {} unknown", r.machine);
-        let slots = &self.model.machines[&r.machine].slots;
+        let slots = &self.model.machines()[&r.machine].slots;
         for t in r.tasks.iter().filter(|t| t.state != TaskState::Exited) {
             let slot = slots.get(&t.task).filter(|slot| slot.attempt == t.attempt);
-            let open = self.model.jobs.get(&t.task.job).is_some_and(|j| !j.cancelled);
+            let open = self.model.jobs().get(&t.task.job).is_some_and(|j| !j.cancelled);
             let stopped = orders.iter().any(
                 |o| matches!(o, Command::Stop { task, attempt, .. } if *task == t.task && *attempt == t.attempt),
             );
@@ -76,7 +76,7 @@
     /// What the leader tells from memory agrees with what is stored, also of the
     /// jobs before the one asked for.
     pub fn told_as_stored(&self) {
-        for id in self.model.jobs.keys() {
+        for id in self.model.jobs().keys() {
             let Some(view) = self.model.status(*id) else {
                 continue;
             };
@@ -127,7 +127,7 @@
         let waits = |r: &&JobRecord| {
             let s = &r.spec;
             let here = all.iter().filter(|t| t.job == s.id).count() as u32;
-            let done = self.model.jobs.get(&s.id).map_or(s.tasks, |j| j.done.count());
+            let done = self.model.jobs().get(&s.id).map_or(s.tasks, |j| j.done.count());
             let is_done = |needed: &JobId| self.finals.get(needed).is_some_and(|f| f.state == JobState::Done);
             !r.cancelled
                 && s.awaits.iter().all(is_done)
--- a/tests/safety/cluster/mod.rs
+++ b/tests/safety/cluster/mod.rs
@@ -138,9 +138,12 @@
             m.add_job(r.clone(), self.now);
         }
         for (n, v) in &self.wal {
-            assert!(m.log.load(*n, v.clone()), "a segment is read as it was written");
+            assert!(
+                m.load_log_segment(*n, v.clone()),
+                "a segment is read as it was written"
+            );
         }
-        m.load_log(self.now);
+        m.replay_log(self.now);
         self.old = Some(std::mem::replace(&mut self.model, m));
     }
 
--- a/tests/safety/cluster/step.rs
+++ b/tests/safety/cluster/step.rs
@@ -13,7 +13,7 @@
 impl World {
     /// The leader reads how a job ended that others wait for.
     pub fn resolve(&mut self, which: usize) {
-        let unresolved = self.model.dependencies.unresolved();
+        let unresolved = self.model.dependencies().unresolved();
         let Some(id) = unresolved.iter().nth(which % unresolved.len().max(1)).copied() else {
             return;
         };
@@ -64,7 +64,7 @@
                 let id = self.submitted[i % self.submitted.len()];
                 let open = self
                     .model
-                    .jobs
+                    .jobs()
                     .get(&id)
                     .is_some_and(|j| !j.is_complete() && !j.cancelled);
                 if open {
@@ -86,7 +86,7 @@
                 }
                 let open = |j: &JobId| {
                     self.model
-                        .jobs
+                        .jobs()
                         .get(j)
                         .is_some_and(|j| !j.is_complete() && !j.cancelled)
                 };
@@ -226,7 +226,7 @@
             Op::Release(i) => {
                 // The cloud's 200: the machine is gone, another takes its name's place.
                 let id = self.workers[i % n].id.clone();
-                if self.model.machines.contains_key(&id) {
+                if self.model.machines().contains_key(&id) {
                     self.workers[i % n].alive = false;
                     self.model.released(&id, self.now);
                     let fresh = format!("{id}x");
--- a/tests/safety/commands.rs
+++ b/tests/safety/commands.rs
@@ -28,14 +28,14 @@
     m.command_finished(&id, None, now + secs(2));
     m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 2), now + secs(2));
     assert_eq!(
-        m.machines[&id].slots.len(),
+        m.machines()[&id].slots.len(),
         1,
         "unanswered is unknown, not failed"
     );
     let mut later = heartbeat("i-1", "small", "north", false, 7, 3);
     later.token = c.token;
     m.apply_heartbeat(&later, now + secs(3));
-    assert!(m.machines[&id].slots.is_empty());
+    assert!(m.machines()[&id].slots.is_empty());
 }
 
 #[test]
@@ -46,10 +46,10 @@
     let mut m = model(7);
     let id = MachineId::from("i-1");
     m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
-    m.machines.get_mut(&id).expect("known").needs_probe = true;
+    m.set_up().machines.get_mut(&id).expect("known").needs_probe = true;
     let c = m.next_command(&id, now).expect("a command").batch;
     assert!(m.heartbeat_response(&id, 7 << 20, now).expect("a token").token < c.token);
-    m.machines.get_mut(&id).expect("known").seen_token = 3 << 20;
+    m.set_up().machines.get_mut(&id).expect("known").seen_token = 3 << 20;
     let response = m.heartbeat_response(&id, 3 << 20, now).expect("a token");
     assert!(
         response.token > c.token,
@@ -93,7 +93,7 @@
     assert!(token > c.token, "the start is refused from now on");
     (r.token, r.sequence) = (token, 3);
     m.apply_heartbeat(&r, now + secs(9));
-    assert!(m.machines[&id].slots.is_empty(), "and that settles its place");
+    assert!(m.machines()[&id].slots.is_empty(), "and that settles its place");
     // A task that is there is stopped by the answer itself.
     r.tasks = vec![ReportedTask {
         task: TaskId { job, index: 0 },
--- a/tests/safety/generated.rs
+++ b/tests/safety/generated.rs
@@ -82,7 +82,13 @@
         };
         // What the fleet does with silent machines.
         let alive = |id: &MachineId| w.workers.iter().any(|x| x.alive && x.id == *id);
-        let dead: Vec<MachineId> = w.model.machines.keys().filter(|id| !alive(id)).cloned().collect();
+        let dead: Vec<MachineId> = w
+            .model
+            .machines()
+            .keys()
+            .filter(|id| !alive(id))
+            .cloned()
+            .collect();
         for id in dead {
             w.model.released(&id, w.now);
         }
--- a/tests/safety/heartbeats.rs
+++ b/tests/safety/heartbeats.rs
@@ -27,8 +27,8 @@
             saved: None,
         }];
         assert_eq!(m.apply_heartbeat(&old, now), HeartbeatOutcome::Outdated);
-        assert!(m.machines[&id].slots.is_empty());
-        assert_eq!(m.machines[&id].newest_message, (2, 5));
+        assert!(m.machines()[&id].slots.is_empty());
+        assert_eq!(m.machines()[&id].newest_message, (2, 5));
     }
 }
 
@@ -49,14 +49,14 @@
     }];
     m.apply_heartbeat(&late, now);
     let id = MachineId::from("i-1");
-    assert!(m.machines[&id].slots.is_empty());
-    assert_eq!(m.jobs.values().next().expect("the job").waiting.count(), 1);
+    assert!(m.machines()[&id].slots.is_empty());
+    assert_eq!(m.jobs().values().next().expect("the job").waiting.count(), 1);
     // In its own words, after the fence, it counts.
     late.token = 9 << 20;
     late.sequence += 1;
     m.apply_heartbeat(&late, now);
-    assert_eq!(m.machines[&id].slots.len(), 1);
-    assert_eq!(m.jobs.values().next().expect("the job").waiting.count(), 0);
+    assert_eq!(m.machines()[&id].slots.len(), 1);
+    assert_eq!(m.jobs().values().next().expect("the job").waiting.count(), 0);
 }
 
 #[test]
@@ -70,14 +70,14 @@
     for w in m.take_writes(now) {
         if let PendingWrite::WriteAheadLog(a) = w {
             for (n, v) in a.segments {
-                assert!(next.log.load(n, v.expect("written")));
+                assert!(next.load_log_segment(n, v.expect("written")));
             }
         }
     }
-    next.load_log(now);
+    next.replay_log(now);
     let last_heartbeat = next.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 9), now);
     assert_eq!(last_heartbeat, HeartbeatOutcome::MachineReleased);
-    assert!(next.machines.is_empty());
+    assert!(next.machines().is_empty());
 }
 
 #[test]
@@ -102,18 +102,24 @@
     r.tasks[0].attempt -= 1;
     // Its place is gone, or its job.
     let slot = m
+        .set_up()
         .machines
         .get_mut(&id)
         .and_then(|x| x.slots.remove(&task))
         .expect("placed");
     assert_eq!(m.unknown_tasks(&r).count(), 1);
-    m.machines.get_mut(&id).expect("there").slots.insert(task, slot);
+    m.set_up()
+        .machines
+        .get_mut(&id)
+        .expect("there")
+        .slots
+        .insert(task, slot);
     m.remove_job(task.job);
     assert_eq!(m.unknown_tasks(&r).count(), 1);
     // What has ended is no matter, nor what a machine says before it obeys.
     r.tasks[0].state = TaskState::Exited;
     assert_eq!(m.unknown_tasks(&r).count(), 0);
     r.tasks[0].state = TaskState::Running;
-    m.term = 8;
+    *m.set_up().term = 8;
     assert_eq!(m.unknown_tasks(&r).count(), 0);
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -81,7 +81,7 @@
         r.tasks = running(&m, &due.machine);
         m.command_finished(&due.machine, Some(&r), now);
     }
-    let running: usize = m.jobs.values().map(|j| j.running.len()).sum();
+    let running: usize = m.jobs().values().map(|j| j.running.len()).sum();
     assert_eq!(running, machines * 2, "all machines are full");
     (m, segments)
 }
@@ -89,7 +89,7 @@
 /// The report of a machine in which the first task has ended.
 fn one_ended(m: &ClusterModel, i: usize, sequence: u64) -> Heartbeat {
     let mut r = heartbeat(&id(i), "small", "north", false, 7, sequence);
-    r.token = m.machines[&id(i)].seen_token;
+    r.token = m.machines()[&id(i)].seen_token;
     r.tasks = ended(m, &id(i), 1);
     r
 }
@@ -152,7 +152,7 @@
     let [small, large] = [SMALL, LARGE].map(|machines| {
         let (mut m, _) = full(machines, now);
         let waiting: Vec<JobId> = m
-            .jobs
+            .jobs()
             .values()
             .filter(|j| j.waiting.count() > 0)
             .map(|j| j.spec.id)
@@ -172,16 +172,16 @@
         let stored: std::collections::BTreeMap<_, _> = segments.into_iter().collect();
         let mut next = model(8);
         let (cost, ()) = work(|| {
-            for j in old.jobs.values() {
+            for j in old.jobs().values() {
                 next.add_job(j.record(), now);
             }
             for (n, v) in stored.iter().filter_map(|(n, v)| Some((n, v.clone()?))) {
-                assert!(next.log.load(*n, v));
+                assert!(next.load_log_segment(*n, v));
             }
-            next.load_log(now);
+            next.replay_log(now);
         });
-        assert_eq!(next.machines.len(), machines);
-        let places: usize = next.jobs.values().map(|j| j.placed as usize).sum();
+        assert_eq!(next.machines().len(), machines);
+        let places: usize = next.jobs().values().map(|j| j.placed as usize).sum();
         assert_eq!(places, machines * 2, "every place is known");
         cost
     });
@@ -196,14 +196,14 @@
     let now = start();
     let (old, segments) = full(LARGE, now);
     let mut m = model(8);
-    for j in old.jobs.values() {
+    for j in old.jobs().values() {
         m.add_job(j.record(), now);
     }
     let stored: std::collections::BTreeMap<_, _> = segments.into_iter().collect();
     for (n, v) in stored {
-        assert!(m.log.load(n, v.expect("written")));
+        assert!(m.load_log_segment(n, v.expect("written")));
     }
-    m.load_log(now);
+    m.replay_log(now);
     assert!(!m.all_fenced());
     let first = m.take_due_commands(now, 64);
     assert_eq!(first.len(), 64);
@@ -248,16 +248,16 @@
         .collect();
     let mut m = model(7);
     m.listed(&listed, now);
-    assert_eq!(m.machines.len(), LARGE);
+    assert_eq!(m.machines().len(), LARGE);
     let segments = store(&mut m, now);
     let mut next = model(8);
     for (number, value) in segments.into_iter().collect::<std::collections::BTreeMap<_, _>>() {
-        assert!(next.log.load(number, value.expect("written")));
+        assert!(next.load_log_segment(number, value.expect("written")));
     }
-    next.load_log(now);
-    assert_eq!(next.machines.len(), LARGE, "the log names them all");
+    next.replay_log(now);
+    assert_eq!(next.machines().len(), LARGE, "the log names them all");
     let (again, ()) = work(|| next.listed(&listed, now));
-    assert_eq!(next.machines.len(), LARGE);
+    assert_eq!(next.machines().len(), LARGE);
     assert!(
         again <= LARGE as u64 / 2,
         "{again} allocations for a list that tells nothing new"
@@ -279,7 +279,7 @@
         for i in 0..40 {
             // What ended in the turn before is forgotten.
             let mut r = heartbeat(&id(i), "small", "north", false, 7, 2 + u64::from(turn) * 2);
-            r.token = m.machines[&id(i)].seen_token;
+            r.token = m.machines()[&id(i)].seen_token;
             m.apply_heartbeat(&r, at);
         }
         m.plan(at);
@@ -301,7 +301,7 @@
             r.tasks = ended(&m, &due.machine, usize::MAX);
             m.command_finished(&due.machine, Some(&r), at);
         }
-        m.jobs.retain(|_, j| !j.is_complete());
+        m.set_up().jobs.retain(|_, j| !j.is_complete());
     }
     let bytes: usize = stored.values().sum();
     assert!(
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -73,7 +73,7 @@
         Arc::new(SchedulerConfig::new(&deployment(), OperatorSettings::default())),
         term,
     );
-    m.types = types();
+    m.set_machine_types(types());
     m
 }
 
@@ -163,7 +163,7 @@
 }
 
 fn all_in_state(m: &ClusterModel, id: &MachineId, state: TaskState) -> Vec<ReportedTask> {
-    m.machines[id]
+    m.machines()[id]
         .slots
         .iter()
         .map(|(t, s)| ReportedTask {
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -171,12 +171,22 @@
     waiting.refused_for(StartRefusal::NotPlaced);
 
     let mut waiting = Waiting::new();
-    let machine = waiting.model.machines.get_mut(&waiting.machine).expect("there");
+    let machine = waiting
+        .model
+        .set_up()
+        .machines
+        .get_mut(&waiting.machine)
+        .expect("there");
     machine.phase = MachinePhase::Releasing;
     waiting.refused_for(StartRefusal::NotPlaced);
 
     let mut waiting = Waiting::new();
-    let machine = waiting.model.machines.get_mut(&waiting.machine).expect("there");
+    let machine = waiting
+        .model
+        .set_up()
+        .machines
+        .get_mut(&waiting.machine)
+        .expect("there");
     machine.slots.get_mut(&waiting.task).expect("placed").attempt += 1;
     waiting.refused_for(StartRefusal::NotPlaced);
 }
