--- a/src/controller/job_lookup.rs
+++ b/src/controller/job_lookup.rs
@@ -10,7 +10,7 @@
 use crate::core::scheduling::admission::AdmissionError;
 use crate::core::storage::record::{self, FinalRecord, JobRecord};
 use crate::response::ApiResponse;
-use crate::store::{KeyRead, StoreError};
+use crate::store::{parse_value, KeyRead, StoreError};
 use crate::wire::{JobId, JobKind, JobSpec, JobState, JobStatus};
 
 /// Final states kept at hand; the rest is read from the state service.
@@ -78,12 +78,12 @@
     /// come first: a job moves from there to the finished ones, never back.
     pub async fn lookup(&self, id: JobId) -> Result<StoredJob, StoreError> {
         if let KeyRead::Found(item) = self.store.get_soon(&record::job_key(id)).await? {
-            let record = serde_json::from_value(item.value).map_err(|_| StoreError::Unanswered)?;
-            return Ok(StoredJob::Unfinished(Box::new(record), item.version));
+            let version = item.version;
+            let record = parse_value(item)?;
+            return Ok(StoredJob::Unfinished(Box::new(record), version));
         }
         if let KeyRead::Found(item) = self.store.get_soon(&record::final_key(id)).await? {
-            let record: FinalRecord =
-                serde_json::from_value(item.value).map_err(|_| StoreError::Unanswered)?;
+            let record: FinalRecord = parse_value(item)?;
             let view = terminal_status(id, &record);
             self.finals.lock().keep(id, record);
             return Ok(StoredJob::Finished(view));
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,6 +1,11 @@
-//! Small HTTP clients. Every call has a deadline; a call that is given up
-//! closes its connection, so that a late answer can't be taken for another's.
+//! HTTP/1.1 clients: pooled connections for the services that are called often
+//! ([`HttpClient`]), a connection for one request otherwise ([`post_once`]).
+//!
+//! Every request has a deadline. A request that is given up closes its connection,
+//! so that a late response can't be taken for that of another request.
 
+use std::error::Error;
+use std::io;
 use std::time::Duration;
 
 use bytes::Bytes;
@@ -13,59 +18,126 @@
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use tokio::net::TcpStream;
 
-/// Why there is no response.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+/// Why a request got no response. The two cases differ in what may have become of
+/// the request.
+#[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// No connection: the request was never sent.
-    #[error("no connection")]
-    Unsent,
-    /// No answer: it may have been carried out, or may still be.
-    #[error("no answer")]
-    Unanswered,
+    /// The request was never sent, so it was not executed.
+    #[error("no connection to {address}: {source}")]
+    Unsent {
+        /// Address of the server, as `host:port`.
+        address: String,
+        /// What failed.
+        source: TransportError,
+    },
+    /// The request was sent, or part of it: it may have been executed, or may
+    /// still be.
+    #[error("no response from {address}: {source}")]
+    Unanswered {
+        /// Address of the server, as `host:port`.
+        address: String,
+        /// What failed.
+        source: TransportError,
+    },
 }
 
-/// A response.
+impl HttpError {
+    fn unsent(address: &str, source: impl Into<TransportError>) -> Self {
+        Self::Unsent {
+            address: address.to_owned(),
+            source: source.into(),
+        }
+    }
+
+    fn unanswered(address: &str, source: impl Into<TransportError>) -> Self {
+        Self::Unanswered {
+            address: address.to_owned(),
+            source: source.into(),
+        }
+    }
+}
+
+/// The step of an exchange that failed.
+#[derive(Debug, thiserror::Error)]
+pub enum TransportError {
+    /// The request can't be built, as of a malformed path.
+    #[error("malformed request: {0}")]
+    Request(#[from] hyper::http::Error),
+    /// The connection was not accepted.
+    #[error("can't connect: {0}")]
+    Connect(#[from] io::Error),
+    /// The connection broke, or what came is not HTTP/1.1.
+    #[error("{0}")]
+    Connection(#[from] hyper::Error),
+    /// The same on a pooled connection, or no such connection could be opened.
+    #[error("{0}")]
+    Pool(#[from] hyper_util::client::legacy::Error),
+    /// The body broke off, or exceeds the limit.
+    #[error("response body: {0}")]
+    Body(#[source] Box<dyn Error + Send + Sync>),
+    /// Not done in time.
+    #[error("not done within {0:?}")]
+    TimedOut(Duration),
+}
+
+/// Why [`post_once`] has no response; `R` is the caller's reason not to send.
+#[derive(Debug, thiserror::Error)]
+pub enum PostError<R> {
+    /// The caller refused to send once the connection stood; nothing was sent.
+    #[error("withheld: {0}")]
+    Withheld(R),
+    /// The exchange failed.
+    #[error(transparent)]
+    Http(#[from] HttpError),
+}
+
+/// A response, read as a whole.
 #[derive(Debug, Clone)]
 pub struct Response {
-    /// Its status.
+    /// HTTP status.
     pub status: u16,
-    /// Its body.
+    /// Body, at most [`MAX_RESPONSE_BYTES`] long.
     pub body: Bytes,
 }
 
 impl Response {
-    async fn of(response: hyper::Response<Incoming>) -> Result<Self, HttpError> {
+    async fn read(response: hyper::Response<Incoming>, address: &str) -> Result<Self, HttpError> {
         let status = response.status().as_u16();
-        let body = Limited::new(response.into_body(), MAX_BYTES)
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
             .collect()
             .await
-            .map_err(|_| HttpError::Unanswered)?
+            .map_err(|e| HttpError::unanswered(address, TransportError::Body(e)))?
             .to_bytes();
         Ok(Self { status, body })
     }
 }
 
-/// Largest response taken.
-const MAX_BYTES: usize = 64 * 1024 * 1024;
-/// How long a connection may take.
-const CONNECT: Duration = Duration::from_millis(800);
+/// Largest body of a response that is read, in bytes.
+pub const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
+/// How long opening a connection may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+/// How long an unused connection stays in the pool.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Unused connections that the pool keeps for each server.
+const MAX_IDLE_PER_HOST: usize = 4;
 
-fn request(
+fn build_request(
     method: Method,
     uri: String,
-    host: &str,
+    address: &str,
     body: Option<Vec<u8>>,
 ) -> Result<Request<Full<Bytes>>, HttpError> {
     Request::builder()
         .method(method)
         .uri(uri)
-        .header("host", host)
+        .header("host", address)
         .header("content-type", "application/json")
         .body(Full::new(Bytes::from(body.unwrap_or_default())))
-        .map_err(|_| HttpError::Unsent)
+        .map_err(|e| HttpError::unsent(address, e))
 }
 
-/// A client for the few services that are asked often, over pooled connections.
+/// Client for the few services that are called often, over pooled connections.
+/// Clones share the pool.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -73,85 +145,92 @@
 
 impl Default for HttpClient {
     fn default() -> Self {
-        let mut tcp = HttpConnector::new();
-        tcp.set_nodelay(true);
-        tcp.set_connect_timeout(Some(CONNECT));
+        let mut connector = HttpConnector::new();
+        connector.set_nodelay(true);
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(Duration::from_secs(20))
-            .pool_max_idle_per_host(4)
-            .build(tcp);
+            .pool_idle_timeout(POOL_IDLE_TIMEOUT)
+            .pool_max_idle_per_host(MAX_IDLE_PER_HOST)
+            .build(connector);
         Self { client }
     }
 }
 
 impl HttpClient {
-    /// Sends a request and waits for the whole response, at most `timeout`.
+    /// Sends a request to `address` (`host:port`) and waits for the whole response,
+    /// at most `timeout`.
     pub async fn call(
         &self,
         method: Method,
-        addr: &str,
+        address: &str,
         path: &str,
         body: Option<Vec<u8>>,
         timeout: Duration,
     ) -> Result<Response, HttpError> {
-        let request = request(method, format!("http://{addr}{path}"), addr, body)?;
+        let request = build_request(method, format!("http://{address}{path}"), address, body)?;
         let exchange = async {
             let response = self.client.request(request).await.map_err(|e| {
                 if e.is_connect() {
-                    HttpError::Unsent
+                    HttpError::unsent(address, e)
                 } else {
-                    HttpError::Unanswered
+                    HttpError::unanswered(address, e)
                 }
             })?;
-            Response::of(response).await
+            Response::read(response, address).await
         };
         tokio::time::timeout(timeout, exchange)
             .await
-            .unwrap_or(Err(HttpError::Unanswered))
+            .unwrap_or_else(|_| Err(HttpError::unanswered(address, TransportError::TimedOut(timeout))))
     }
 }
 
-/// Posts over a connection of its own, closed at once after: for the many
-/// whom keeping a connection each would cost too many sockets. `go` is asked
-/// when the connection stands and the request is about to be handed over: what
-/// was decided before the process stood still must not be sent after.
-pub async fn post_once(
-    addr: &str,
+async fn connect(address: &str) -> Result<TcpStream, HttpError> {
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
+        .await
+        .map_err(|_| HttpError::unsent(address, TransportError::TimedOut(CONNECT_TIMEOUT)))?
+        .map_err(|e| HttpError::unsent(address, e))?;
+    let _ = stream.set_nodelay(true);
+    Ok(stream)
+}
+
+/// Posts over a connection of its own, which is closed right after: for servers so
+/// many that a pooled connection to each would take too many sockets.
+///
+/// `permit` is called once the connection stands and the request is about to be
+/// handed over. A decision made before a pause of the process must not be sent
+/// after it, so this is where it is checked again.
+pub async fn post_once<R>(
+    address: &str,
     path: &str,
     body: Vec<u8>,
     timeout: Duration,
-    go: impl Fn() -> bool,
-) -> Result<Response, HttpError> {
-    let request = request(Method::POST, path.to_owned(), addr, Some(body))?;
+    permit: impl FnOnce() -> Result<(), R>,
+) -> Result<Response, PostError<R>> {
+    let request = build_request(Method::POST, path.to_owned(), address, Some(body))?;
     let exchange = async {
-        let stream = tokio::time::timeout(CONNECT, TcpStream::connect(addr))
-            .await
-            .map_err(|_| HttpError::Unsent)?
-            .map_err(|_| HttpError::Unsent)?;
-        let _ = stream.set_nodelay(true);
+        let stream = connect(address).await?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|_| HttpError::Unsent)?;
-        if !go() {
-            return Err(HttpError::Unsent);
-        }
-        let answer = async {
+            .map_err(|e| HttpError::unsent(address, e))?;
+        permit().map_err(PostError::Withheld)?;
+        let response = async {
             let response = sender
                 .send_request(request)
                 .await
-                .map_err(|_| HttpError::Unanswered)?;
-            Response::of(response).await
+                .map_err(|e| HttpError::unanswered(address, e))?;
+            Response::read(response, address).await
         };
         // The connection is driven here and ends with the exchange.
-        tokio::pin!(answer);
-        tokio::select! {
+        tokio::pin!(response);
+        let outcome = tokio::select! {
             biased;
-            r = &mut answer => r,
-            _ = connection => answer.await,
-        }
+            outcome = &mut response => outcome,
+            _ = connection => response.await,
+        };
+        Ok(outcome?)
     };
     tokio::time::timeout(timeout, exchange)
         .await
-        .unwrap_or(Err(HttpError::Unanswered))
+        .unwrap_or_else(|_| Err(HttpError::unanswered(address, TransportError::TimedOut(timeout)).into()))
 }
--- a/src/leader/active_leader/dependency_lookup.rs
+++ b/src/leader/active_leader/dependency_lookup.rs
@@ -10,7 +10,7 @@
 use crate::clock::unix_time_ms;
 use crate::controller::job_lookup::StoredJob;
 use crate::core::state::dependencies::DependencyOutcome;
-use crate::core::storage::record::FinalRecord;
+use crate::core::storage::record::{self, FinalRecord};
 use crate::store::StoreError;
 use crate::wire::{JobId, JobState};
 
@@ -51,7 +51,9 @@
             StoredJob::Finished(_) => self.resolve(id),
             StoredJob::NeverAccepted => {
                 info!(job = %id, "jobs wait for one that is not stored; it is looked up again");
-                return Err(StoreError::Unanswered);
+                return Err(StoreError::NotFound {
+                    key: record::job_key(id),
+                });
             }
         }
         Ok(())
--- a/src/leader/active_leader/fleet_actions.rs
+++ b/src/leader/active_leader/fleet_actions.rs
@@ -73,13 +73,13 @@
                     info!(request = rental.request, got = machines.len(), "rented");
                     return self.model.lock().rental_done(rental, &machines, Instant::now());
                 }
-                Err(CloudError::Unanswered | CloudError::Unavailable) if retries < MAX_RENTAL_RETRIES => {
+                Err(error) if error.is_retryable() && retries < MAX_RENTAL_RETRIES => {
                     retries += 1;
                     sleep(RENTAL_RETRY_PAUSE).await;
                 }
                 Err(error) => {
                     info!(request = rental.request, %error, "not rented");
-                    let no_capacity = error == CloudError::NoCapacity;
+                    let no_capacity = matches!(error, CloudError::NoCapacity { .. });
                     let mut model = self.model.lock();
                     return model.rental_failed(rental, no_capacity, Instant::now());
                 }
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -48,7 +48,7 @@
                             }
                         }
                     }
-                    Err(StoreError::TooOld) => break,
+                    Err(StoreError::TooOld { .. }) => break,
                     Err(_) => sleep(Duration::from_millis(300)).await,
                 }
             }
--- a/src/leader/active_leader/takeover.rs
+++ b/src/leader/active_leader/takeover.rs
@@ -37,7 +37,10 @@
             if !read {
                 // What it names is unknown: nothing may be placed.
                 info!(key = item.key, "a segment of the log can't be read");
-                return Err(StoreError::Unanswered);
+                return Err(StoreError::UnreadableValue {
+                    key: item.key,
+                    source: None,
+                });
             }
         }
         m.replay_log(now);
--- a/src/leader/election.rs
+++ b/src/leader/election.rs
@@ -75,7 +75,7 @@
     loop {
         match controller.store.watch(LEADER, since, WATCH_TIMEOUT).await {
             Ok(watched) if watched.events.is_empty() => since = since.max(watched.revision),
-            Ok(_) | Err(StoreError::TooOld) => return,
+            Ok(_) | Err(StoreError::TooOld { .. }) => return,
             Err(error) => {
                 // The leader may well go on leading. Its key is read afresh as
                 // soon as that works.
@@ -136,7 +136,7 @@
     };
     match controller.store.transact(&transaction, PUT_TIMEOUT).await {
         Ok(revision) => Some(revision),
-        Err(StoreError::Unanswered) => read_term(controller, &record, version).await,
+        Err(StoreError::Unanswered { .. }) => read_term(controller, &record, version).await,
         Err(error) => {
             debug!(%error, "not elected");
             None
--- /dev/null
+++ b/src/store/leases.rs
@@ -0,0 +1,67 @@
+//! Leases: keys attached to one are deleted when it expires or is revoked.
+
+use std::time::{Duration, Instant};
+
+use hyper::Method;
+
+use super::client::{parse, Store, StoreRequest, REQUEST_TIMEOUT};
+use super::error::{Operation, StoreError};
+use crate::wire::LeaseGrant;
+
+impl Store {
+    /// Grants a lease that expires `life` after its last renewal; its number.
+    pub async fn grant_lease(&self, life: Duration) -> Result<u64, StoreError> {
+        self.requests.acquire(1.0).await;
+        let operation = || Operation::GrantLease;
+        let body = format!("{{\"life_ms\":{}}}", life.as_millis()).into_bytes();
+        let request = StoreRequest {
+            method: Method::POST,
+            path: "/holds",
+            body: Some(body),
+            timeout: REQUEST_TIMEOUT,
+        };
+        let response = self.call(request, operation).await?;
+        match response.status {
+            200 => Ok(parse::<LeaseGrant>(&response, operation)?.lease),
+            status => Err(StoreError::refused(operation(), status)),
+        }
+    }
+
+    /// Renews a lease. It counts against the budget but never waits for it, as it
+    /// must not queue behind other requests.
+    pub async fn renew_lease(&self, lease: u64, timeout: Duration) -> Result<(), StoreError> {
+        self.requests.take(1.0, Instant::now());
+        let operation = || Operation::RenewLease { lease };
+        let request = StoreRequest {
+            method: Method::POST,
+            path: &format!("/holds/{lease}/touch"),
+            body: Some(b"{}".to_vec()),
+            timeout,
+        };
+        let response = self.call(request, operation).await?;
+        match response.status {
+            200 => Ok(()),
+            404 => Err(StoreError::NoLease {
+                operation: operation(),
+            }),
+            status => Err(StoreError::refused(operation(), status)),
+        }
+    }
+
+    /// Ends a lease at once; succeeds as well if it has ended before. Outside the
+    /// budget.
+    pub async fn revoke_lease(&self, lease: u64) -> Result<(), StoreError> {
+        let operation = || Operation::RevokeLease { lease };
+        let request = StoreRequest {
+            method: Method::DELETE,
+            path: &format!("/holds/{lease}"),
+            body: None,
+            timeout: REQUEST_TIMEOUT,
+        };
+        let response = self.call(request, operation).await?;
+        match response.status {
+            200 | 404 => Ok(()),
+            status => Err(StoreError::refused(operation(), status)),
+        }
+    }
+}
--- /dev/null
+++ b/src/store/reads.rs
@@ -0,0 +1,147 @@
+//! Reads of keys and watches.
+
+use std::time::Duration;
+
+use hyper::Method;
+use serde::de::DeserializeOwned;
+
+use super::client::{parse, Store, StoreRequest, REQUEST_TIMEOUT};
+use super::error::{Failure, Operation, StoreError};
+use crate::wire::{KeyPage, KeyValue, TransactionResult, WatchResponse};
+
+/// How long a user's read may wait for the budget.
+const MAX_BUDGET_WAIT: Duration = Duration::from_millis(250);
+/// How long a user's read may take once it is sent.
+const USER_READ_TIMEOUT: Duration = Duration::from_millis(900);
+/// Keys read with one request of a listing.
+const PAGE_SIZE: usize = 500;
+/// How much longer than the state service holds a watch its response may take.
+const WATCH_MARGIN: Duration = Duration::from_secs(3);
+
+/// What a read of one key found.
+#[derive(Debug, Clone, PartialEq)]
+pub enum KeyRead {
+    /// The key exists.
+    Found(KeyValue),
+    /// The key does not exist at this revision of the store.
+    Missing {
+        /// The store's revision at the time of the read.
+        revision: u64,
+    },
+}
+
+/// Reads the value of a key; [`StoreError::UnreadableValue`] if it is not what the
+/// key is for.
+pub fn parse_value<T: DeserializeOwned>(item: KeyValue) -> Result<T, StoreError> {
+    let KeyValue { key, value, .. } = item;
+    serde_json::from_value(value).map_err(|e| StoreError::UnreadableValue { key, source: Some(e) })
+}
+
+/// All keys with a prefix, as of one or more pages read one after the other.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Listing {
+    /// The keys with their values, in key order.
+    pub items: Vec<KeyValue>,
+    /// The store's revision when the last page was read.
+    pub revision: u64,
+}
+
+impl Store {
+    /// Reads a key, once the budget allows it.
+    pub async fn get(&self, key: &str) -> Result<KeyRead, StoreError> {
+        self.requests.acquire(1.0).await;
+        self.read_key(key, REQUEST_TIMEOUT).await
+    }
+
+    /// [`Store::get`] for a user who waits for the response: if the budget is used
+    /// up for longer than [`MAX_BUDGET_WAIT`], as in a flood of polls, it fails with
+    /// [`StoreError::Unavailable`] at once, so that the leader's own requests don't
+    /// queue behind it.
+    pub async fn get_soon(&self, key: &str) -> Result<KeyRead, StoreError> {
+        if !self.requests.acquire_within(1.0, MAX_BUDGET_WAIT).await {
+            let operation = Operation::Get { key: key.to_owned() };
+            return Err(StoreError::unavailable(operation, Failure::BudgetExhausted));
+        }
+        self.read_key(key, USER_READ_TIMEOUT).await
+    }
+
+    async fn read_key(&self, key: &str, timeout: Duration) -> Result<KeyRead, StoreError> {
+        let operation = || Operation::Get { key: key.to_owned() };
+        let request = StoreRequest {
+            method: Method::GET,
+            path: &format!("/kv/{key}"),
+            body: None,
+            timeout,
+        };
+        let response = self.call(request, operation).await?;
+        match response.status {
+            200 => Ok(KeyRead::Found(parse(&response, operation)?)),
+            404 => Ok(KeyRead::Missing {
+                revision: parse::<TransactionResult>(&response, operation)?.revision,
+            }),
+            status => Err(StoreError::refused(operation(), status)),
+        }
+    }
+
+    /// Reads all keys with a prefix, page by page. Each page is current when it is
+    /// read; the whole is no snapshot.
+    pub async fn list(&self, prefix: &str) -> Result<Listing, StoreError> {
+        let mut items: Vec<KeyValue> = Vec::new();
+        loop {
+            let page = self.read_page(prefix, items.last()).await?;
+            let is_last = page.items.is_empty() || !page.more;
+            items.extend(page.items);
+            if is_last {
+                return Ok(Listing {
+                    items,
+                    revision: page.revision,
+                });
+            }
+        }
+    }
+
+    async fn read_page(&self, prefix: &str, after: Option<&KeyValue>) -> Result<KeyPage, StoreError> {
+        self.requests.acquire(1.0).await;
+        let operation = || Operation::List {
+            prefix: prefix.to_owned(),
+        };
+        let since = after
+            .map(|item| format!("&since={}", item.key))
+            .unwrap_or_default();
+        let request = StoreRequest {
+            method: Method::GET,
+            path: &format!("/kv?starts={prefix}{since}&limit={PAGE_SIZE}"),
+            body: None,
+            timeout: REQUEST_TIMEOUT * 2,
+        };
+        let response = self.call(request, operation).await?;
+        if response.status != 200 {
+            return Err(StoreError::refused(operation(), response.status));
+        }
+        parse(&response, operation)
+    }
+
+    /// Waits up to `hold` for changes of keys with the prefix after the revision
+    /// `since`. The response has no events if there were none.
+    pub async fn watch(&self, prefix: &str, since: u64, hold: Duration) -> Result<WatchResponse, StoreError> {
+        self.requests.acquire(1.0).await;
+        let operation = || Operation::Watch {
+            prefix: prefix.to_owned(),
+        };
+        let hold_ms = hold.as_millis();
+        let request = StoreRequest {
+            method: Method::GET,
+            path: &format!("/watch?starts={prefix}&since={since}&hold_ms={hold_ms}"),
+            body: None,
+            timeout: hold + WATCH_MARGIN,
+        };
+        let response = self.call(request, operation).await?;
+        match response.status {
+            200 => parse(&response, operation),
+            410 => Err(StoreError::TooOld {
+                operation: operation(),
+            }),
+            status => Err(StoreError::refused(operation(), status)),
+        }
+    }
+}
--- a/src/store/writer.rs
+++ b/src/store/writer.rs
@@ -248,11 +248,13 @@
                     self.applied(batch, revision);
                     batch = Vec::new();
                 }
-                Err(StoreError::Conflict(failed)) if failed.iter().any(|k| k == self.leader_key) => {
+                Err(StoreError::Conflict { failed_keys: failed })
+                    if failed.iter().any(|k| k == self.leader_key) =>
+                {
                     info!(term = self.term, "a write was refused: another leads");
                     self.end();
                 }
-                Err(StoreError::Conflict(failed)) => {
+                Err(StoreError::Conflict { failed_keys: failed }) => {
                     if let Some(rest) = self.resolve(batch, failed, uncertain).await {
                         batch = rest;
                     } else {
@@ -260,12 +262,12 @@
                     }
                     uncertain = false;
                 }
-                Err(StoreError::Unanswered) => {
+                Err(StoreError::Unanswered { .. }) => {
                     uncertain = true;
                     debug!("a write was not answered, trying again");
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
-                Err(StoreError::Unavailable) => tokio::time::sleep(Duration::from_millis(150)).await,
+                Err(StoreError::Unavailable { .. }) => tokio::time::sleep(Duration::from_millis(150)).await,
                 Err(e) if batch.len() > 1 => {
                     // The limits may be lower than was announced. Nothing of it
                     // was executed, so it goes again in smaller parts.
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -1,60 +1,55 @@
-//! Client of the workers: commands straight to their address.
+//! Client of the workers' agents: sends commands straight to a worker's address.
 
-use std::sync::OnceLock;
 use std::time::Duration;
 
 use crate::core::evidence::permission::{SendPermit, SendRefusal};
-use crate::http::{post_once, HttpError};
+use crate::http::{post_once, PostError};
 use crate::sockets::SocketBudget;
 use crate::wire::{CommandBatch, Heartbeat};
 
-/// What came of a command.
+/// What became of a batch of commands.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommandOutcome {
-    /// Executed; the report after it.
+    /// The worker executed the batch; its state after that.
     Executed(Heartbeat),
-    /// Nothing executed: the token or the session is not the worker's.
+    /// The worker executed nothing, as the fencing token or the incarnation is not
+    /// the one it expects; its state.
     Refused(Heartbeat),
-    /// No answer: it may have been executed, or may still be.
+    /// There is no response, or none that can be read: the batch may have been
+    /// executed, or may still be.
     Unanswered,
-    /// It was never handed over.
+    /// The batch was never sent.
     Withheld(SendRefusal),
 }
 
-/// How long a command may take.
-const PATIENCE: Duration = Duration::from_millis(1500);
+/// How long a batch may take, from the connection's begin to the whole response.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Sends commands to a worker if `permit` still allows it once it is connected,
-/// however long that took.
+/// Sends commands to the worker at `address` (`host:port`). Waits for a socket of
+/// the share for commands and connects; only then `permit` is asked whether they
+/// may still be sent, however long that took.
 pub async fn send_commands(
     sockets: &SocketBudget,
-    addr: &str,
+    address: &str,
     commands: &CommandBatch,
-    permit: impl Fn() -> Result<SendPermit, SendRefusal>,
+    permit: impl FnOnce() -> Result<SendPermit, SendRefusal>,
 ) -> CommandOutcome {
     let Ok(body) = serde_json::to_vec(commands) else {
         return CommandOutcome::Unanswered;
     };
     let _socket = sockets.acquire_command().await;
-    let withheld = OnceLock::new();
-    let go = || match permit() {
-        Ok(permit) => {
-            permit.spend();
-            true
-        }
-        Err(reason) => {
-            let _ = withheld.set(reason);
-            false
-        }
+    let spend_permit = || permit().map(SendPermit::spend);
+    let response = match post_once(address, "/commands", body, COMMAND_TIMEOUT, spend_permit).await {
+        Ok(response) => response,
+        Err(PostError::Withheld(reason)) => return CommandOutcome::Withheld(reason),
+        Err(PostError::Http(_)) => return CommandOutcome::Unanswered,
     };
-    let answer = post_once(addr, "/commands", body, PATIENCE, go).await;
-    if let Some(reason) = withheld.into_inner() {
-        return CommandOutcome::Withheld(reason);
-    }
-    let heartbeat = |r: &bytes::Bytes| serde_json::from_slice::<Heartbeat>(r);
-    match answer.map(|r| (r.status, heartbeat(&r.body))) {
-        Ok((200, Ok(heartbeat))) => CommandOutcome::Executed(heartbeat),
-        Ok((409, Ok(heartbeat))) => CommandOutcome::Refused(heartbeat),
-        Ok(_) | Err(HttpError::Unsent | HttpError::Unanswered) => CommandOutcome::Unanswered,
+    let Ok(heartbeat) = serde_json::from_slice::<Heartbeat>(&response.body) else {
+        return CommandOutcome::Unanswered;
+    };
+    match response.status {
+        200 => CommandOutcome::Executed(heartbeat),
+        409 => CommandOutcome::Refused(heartbeat),
+        _ => CommandOutcome::Unanswered,
     }
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use bitternfold::api::ConnectionTimeouts;
-use bitternfold::http::{post_once, HttpError};
+use bitternfold::http::{post_once, PostError};
 use bitternfold::sockets::SocketBudget;
 use serde_json::json;
 use site::{on_loopback, Site, LONG};
@@ -180,9 +180,10 @@
             }
             lengths
         });
-        let send = |go: bool| post_once(&addr, "/commands", b"{}".to_vec(), LONG, move || go);
-        assert_eq!(send(false).await.err(), Some(HttpError::Unsent));
-        assert_eq!(send(true).await.map(|r| r.status), Ok(200));
+        let send =
+            |permit: Result<(), ()>| post_once(&addr, "/commands", b"{}".to_vec(), LONG, move || permit);
+        assert!(matches!(send(Err(())).await, Err(PostError::Withheld(()))));
+        assert_eq!(send(Ok(())).await.expect("a response").status, 200);
         let lengths = server.await.expect("it ran");
         assert_eq!(lengths[0], 0, "not a byte");
         assert!(lengths[1] > 0);
