--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -15,8 +15,6 @@
 use standins::ask;
 use tokio::time::sleep;
 
-pub use support::types;
-
 async fn accept(site: &Site, at: usize, body: Value) {
     let (status, v) = site.insist("POST", at, "/v2/runs", Some(body)).await;
     assert!([200, 201].contains(&status), "at {at}: {status} {v}");
--- a/tests/guest.rs
+++ b/tests/guest.rs
@@ -12,8 +12,6 @@
 use serde_json::{json, Value};
 use site::{on_loopback, Site};
 
-pub use support::types;
-
 /// Largest value that the settings allow, in bytes.
 const VALUE_BYTES: usize = 4096;
 /// The settings' time for a cancellation.
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -16,8 +16,6 @@
 use site::{on_loopback, Site};
 use standins::ask;
 
-pub use support::types;
-
 const TEXTS: [&str; 6] = ["name_id", "lot_class", "desk", "sort", "urgency", "kit"];
 const FLAGS: [&str; 3] = ["one_zone", "spread", "loaners"];
 const AMOUNTS: [&str; 6] = [
@@ -112,7 +110,7 @@
 #[test]
 fn what_is_malformed_is_named() {
     let controller = Controller::new(support::deployment(), Default::default());
-    let types = types();
+    let types = support::types();
     assert!(controller
         .judge(&serde_json::to_vec(&good()).expect("json"), &types)
         .is_ok());
@@ -182,7 +180,7 @@
         let only_small = rig == json!(["small"]);
         v.insert("rigs".into(), rig);
         let controller = Controller::new(support::deployment(), Default::default());
-        let judged = controller.judge(Value::Object(v).to_string().as_bytes(), &types());
+        let judged = controller.judge(Value::Object(v).to_string().as_bytes(), &support::types());
         let sane = cpus.is_finite() && cpus > 0.0 && memory.is_finite() && memory >= 0.0 && (1..=100_000).contains(&lots);
         let (most_cpus, most_memory) = if only_small { (8.0, 16.0) } else { (32.0, 64.0) };
         let all = if service { lots as f64 } else { 1.0 };
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -18,8 +18,6 @@
 use site::{on_loopback, Site};
 use tokio::time::sleep;
 
-pub use support::types;
-
 const NEXT: &str = "\n[cluster.state.next]\nwrite_rps = 60.0\nvalue_kb = 2.0\ntxn_ops = 4\n\n[cluster.cloud]";
 
 /// Tasks of each array, so many that the log fills segments as large as it may.
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -13,8 +13,6 @@
 use standins::ask;
 use tokio::time::sleep;
 
-pub use support::types;
-
 #[test]
 fn a_leader_past_its_authority_still_stops_what_is_cancelled() {
     // The stops are lost, the state service is out, the authority ends, and the
--- a/tests/questions.rs
+++ b/tests/questions.rs
@@ -13,8 +13,6 @@
 use standins::ask;
 use tokio::time::sleep;
 
-pub use support::types;
-
 /// Asks so many times about a job, at these controllers in turn; the answers.
 async fn ask_often(site: &Site, job: &str, at: &[usize], times: usize) -> Vec<(u16, serde_json::Value)> {
     let mut questions = tokio::task::JoinSet::new();
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -14,8 +14,6 @@
 use standins::ask;
 use tokio::time::sleep;
 
-pub use support::types;
-
 #[test]
 fn users_are_served_by_every_controller() {
     on_loopback(async {
--- a/tests/support/processes.rs
+++ b/tests/soak/processes.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::proxy::{PlacementMode, Proxy};
+use crate::proxy::{LinkMode, Proxy};
 use crate::site::Site;
 
 /// Three controllers, each a process; links between them go through proxies.
@@ -107,7 +107,7 @@
     }
 
     /// Changes the links of a controller to and from the others.
-    pub fn set_links(&self, of: usize, mode: PlacementMode) {
+    pub fn set_links(&self, of: usize, mode: LinkMode) {
         let concerned = self.links.iter().filter(|(link, _)| link.0 == of || link.1 == of);
         concerned.for_each(|(_, link)| link.set(mode));
     }
--- a/tests/support/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -12,7 +12,7 @@
 
 /// What becomes of what is sent over a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PlacementMode {
+pub enum LinkMode {
     /// It arrives.
     Pass,
     /// Connections are closed, new ones at once.
@@ -28,7 +28,7 @@
 pub struct Proxy {
     /// Where the link is entered.
     pub addr: SocketAddr,
-    mode: watch::Sender<PlacementMode>,
+    mode: watch::Sender<LinkMode>,
 }
 
 impl Proxy {
@@ -36,10 +36,10 @@
     pub async fn start(to: SocketAddr) -> Arc<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
-        let (mode, modes) = watch::channel(PlacementMode::Pass);
+        let (mode, modes) = watch::channel(LinkMode::Pass);
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                if *modes.borrow() != PlacementMode::Refuse {
+                if *modes.borrow() != LinkMode::Refuse {
                     tokio::spawn(pass_on(stream, to, modes.clone()));
                 }
             }
@@ -48,12 +48,12 @@
     }
 
     /// Changes what becomes of the link.
-    pub fn set(&self, mode: PlacementMode) {
+    pub fn set(&self, mode: LinkMode) {
         self.mode.send_replace(mode);
     }
 }
 
-async fn pass_on(near: TcpStream, to: SocketAddr, modes: watch::Receiver<PlacementMode>) {
+async fn pass_on(near: TcpStream, to: SocketAddr, modes: watch::Receiver<LinkMode>) {
     let Ok(far) = TcpStream::connect(to).await else {
         return;
     };
@@ -63,25 +63,25 @@
     tokio::select! {
         () = copy(near_read, far_write, modes.clone()) => {}
         () = copy(far_read, near_write, modes) => {}
-        _ = refused.wait_for(|mode| *mode == PlacementMode::Refuse) => {}
+        _ = refused.wait_for(|mode| *mode == LinkMode::Refuse) => {}
     }
 }
 
 async fn copy(
     mut from: impl AsyncReadExt + Unpin,
     mut to: impl AsyncWriteExt + Unpin,
-    mut modes: watch::Receiver<PlacementMode>,
+    mut modes: watch::Receiver<LinkMode>,
 ) {
     let mut buffer = vec![0; 16 * 1024];
     loop {
         let Ok(n) = from.read(&mut buffer).await else {
             return;
         };
-        if n == 0 || modes.wait_for(|mode| *mode != PlacementMode::Hold).await.is_err() {
+        if n == 0 || modes.wait_for(|mode| *mode != LinkMode::Hold).await.is_err() {
             return;
         }
         let mode = *modes.borrow();
-        if let PlacementMode::Delay(by) = mode {
+        if let LinkMode::Delay(by) = mode {
             sleep(by).await;
         }
         if to.write_all(&buffer[..n]).await.is_err() {
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -140,7 +140,7 @@
         let with = warp::any().map(move || c.clone());
         let types = warp::get()
             .and(warp::path!("machine_types"))
-            .map(|| answer((200, json!({"rigs": crate::types()}))));
+            .map(|| answer((200, json!({"rigs": crate::support::types()}))));
         let list = warp::get()
             .and(warp::path!("hosts"))
             .and(with.clone())
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -17,8 +17,6 @@
 use site::{job_name, on_loopback, Site};
 use tokio::time::sleep;
 
-pub use support::types;
-
 const ROOT: &str = env!("CARGO_MANIFEST_DIR");
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -16,8 +16,6 @@
 use site::{job_name, on_loopback, Site, LONG};
 use tokio::time::sleep;
 
-pub use support::types;
-
 /// Machines that hang with stops due, more than there are sockets for commands.
 const HANGING: u32 = 60;
 /// So many of them at least have to run a task before they hang.
