--- a/src/api.rs
+++ b/src/api.rs
@@ -48,7 +48,7 @@
     let mut http = http1::Builder::new();
     http.timer(TokioTimer::new()).header_read_timeout(timeouts.idle);
     loop {
-        let permit = controller.sockets.acquire_incoming().await;
+        let permit = controller.sockets().acquire_incoming().await;
         match listener.accept().await {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
@@ -151,7 +151,7 @@
         .and(with)
         .then(|body: Bytes, controller: Arc<Controller>| async move {
             let mut r = respond(controller.heartbeat(&body).await);
-            if controller.sockets.is_overloaded() {
+            if controller.sockets().is_overloaded() {
                 // The worker comes back on a new connection; meanwhile its socket serves another.
                 r.headers_mut()
                     .insert("connection", HeaderValue::from_static("close"));
--- a/src/controller/job_lookup.rs
+++ b/src/controller/job_lookup.rs
@@ -85,7 +85,7 @@
         if let KeyRead::Found(item) = self.store.get_soon(&record::final_key(id)).await? {
             let record: FinalRecord = parse_value(item)?;
             let view = terminal_status(id, &record);
-            self.finals.lock().keep(id, record);
+            self.terminal_states().keep(id, record);
             return Ok(StoredJob::Finished(view));
         }
         Ok(StoredJob::NeverAccepted)
@@ -110,7 +110,7 @@
         let mut seen: HashSet<JobId> = jobs.iter().copied().collect();
         let mut next: VecDeque<JobId> = jobs.iter().copied().collect();
         while let Some(id) = next.pop_front() {
-            let known = self.finals.lock().status(id);
+            let known = self.terminal_states().status(id);
             let found = match known {
                 Some(view) => StoredJob::Finished(view),
                 None => self.lookup(id).await?,
@@ -157,7 +157,7 @@
     ) -> Result<(), ApiResponse> {
         for named in &spec.awaits {
             let mut kind = in_memory(*named);
-            if kind.is_none() && self.finals.lock().record(*named).is_none() {
+            if kind.is_none() && self.terminal_states().record(*named).is_none() {
                 kind = match self.lookup(*named).await {
                     Ok(StoredJob::Unfinished(record, _)) => Some(record.spec.kind),
                     Ok(StoredJob::Finished(_)) => None,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use parking_lot::Mutex;
+use parking_lot::{Mutex, MutexGuard};
 use tracing::info;
 
 use crate::cloud::Cloud;
@@ -49,30 +49,24 @@
 /// A controller.
 #[derive(Debug)]
 pub struct Controller {
-    /// The platform's settings.
-    pub deployment: DeploymentSettings,
-    /// The operators' settings.
-    pub operator_settings: OperatorSettings,
-    /// What the model needs of both.
-    pub config: Arc<SchedulerConfig>,
-    /// Tells this process from its earlier self.
-    pub nonce: u64,
-    /// The state service.
-    pub store: Arc<Store>,
-    /// The cloud.
-    pub cloud: Arc<Cloud>,
-    /// The budget of sockets.
-    pub sockets: SocketBudget,
-    /// Whether this process runs as it should.
-    pub stall_detector: StallDetector,
-    /// Links to the other controllers.
-    pub links: Vec<Arc<PeerLink>>,
-    /// Final states.
-    pub finals: Mutex<TerminalStates>,
-    /// Machine types, once known.
-    pub types: Mutex<Arc<Vec<MachineType>>>,
+    deployment: DeploymentSettings,
+    operator_settings: OperatorSettings,
+    config: Arc<SchedulerConfig>,
+    /// Drawn at the start: tells this process from earlier ones on the same host.
+    nonce: u64,
+    store: Arc<Store>,
+    cloud: Arc<Cloud>,
+    sockets: SocketBudget,
+    stall_detector: StallDetector,
+    /// One link to each other controller.
+    links: Vec<Arc<PeerLink>>,
+    terminal_states: Mutex<TerminalStates>,
+    /// Empty until they are known.
+    machine_types: Mutex<Arc<Vec<MachineType>>>,
     role: Mutex<Role>,
+    /// The highest term known.
     term: Mutex<u64>,
+    /// When each other controller last sent a frame on its link to this one.
     peers: Mutex<HashMap<String, Instant>>,
 }
 
@@ -101,8 +95,8 @@
             store: Arc::new(store),
             cloud: Arc::new(cloud),
             links,
-            finals: Mutex::default(),
-            types: Mutex::default(),
+            terminal_states: Mutex::default(),
+            machine_types: Mutex::default(),
             role: Mutex::new(Role::Unknown),
             term: Mutex::new(0),
             peers: Mutex::default(),
@@ -116,6 +110,67 @@
         &self.deployment.host
     }
 
+    /// The deployment's settings.
+    pub fn deployment(&self) -> &DeploymentSettings {
+        &self.deployment
+    }
+
+    /// The operators' settings.
+    pub fn operator_settings(&self) -> &OperatorSettings {
+        &self.operator_settings
+    }
+
+    /// What the scheduler needs of both settings.
+    pub fn config(&self) -> &Arc<SchedulerConfig> {
+        &self.config
+    }
+
+    /// Drawn at random by this process, which tells it from earlier ones on this host.
+    pub fn nonce(&self) -> u64 {
+        self.nonce
+    }
+
+    /// The client of the state service.
+    pub fn store(&self) -> &Arc<Store> {
+        &self.store
+    }
+
+    /// The client of the cloud.
+    pub fn cloud(&self) -> &Arc<Cloud> {
+        &self.cloud
+    }
+
+    /// The sockets of this process, shared out by use.
+    pub fn sockets(&self) -> &SocketBudget {
+        &self.sockets
+    }
+
+    /// The links to the other controllers, one each.
+    pub fn links(&self) -> &[Arc<PeerLink>] {
+        &self.links
+    }
+
+    /// The terminal states kept here, locked until the guard is dropped. A caller that
+    /// also locks the model does so first.
+    pub fn terminal_states(&self) -> MutexGuard<'_, TerminalStates> {
+        self.terminal_states.lock()
+    }
+
+    /// The machine types that may be rented; empty until they are known.
+    pub fn machine_types(&self) -> Arc<Vec<MachineType>> {
+        self.machine_types.lock().clone()
+    }
+
+    /// Replaces the machine types.
+    pub fn set_machine_types(&self, types: Arc<Vec<MachineType>>) {
+        *self.machine_types.lock() = types;
+    }
+
+    /// Whether a request could be sent to any other controller now.
+    pub fn any_peer_reachable(&self) -> bool {
+        self.links.iter().any(|link| link.alive())
+    }
+
     /// Who leads, as far as is known.
     pub fn role(&self) -> Role {
         self.role.lock().clone()
@@ -153,6 +208,11 @@
         }
     }
 
+    /// The timer that the stall detector watches has fired.
+    pub fn stall_timer_fired(&self, now: Instant) {
+        self.stall_detector.timer_fired(now);
+    }
+
     /// Notices that the process has stood still. Asked wherever something is
     /// about to follow from what was heard, or not heard, of late.
     pub fn check_for_stall(&self) {
@@ -199,7 +259,7 @@
     /// Whether this controller can be of use to a user: it leads, or another
     /// can be asked, or the state service can.
     pub fn can_serve(&self) -> bool {
-        self.active_leader().is_some() || self.links.iter().any(|l| l.alive()) || self.store.is_reachable()
+        self.active_leader().is_some() || self.any_peer_reachable() || self.store.is_reachable()
     }
 
     /// The leader of the current term, if this one leads and may act now.
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -42,7 +42,7 @@
         if let Some(active_leader) = self.active_leader() {
             return active_leader.submit(body).await;
         }
-        if let Some(view) = id_in(body).and_then(|id| self.finals.lock().status(id)) {
+        if let Some(view) = id_in(body).and_then(|id| self.terminal_states().status(id)) {
             return ApiResponse::json(200, &view);
         }
         let asked = self
@@ -58,7 +58,7 @@
     pub async fn poll(&self, id: JobId) -> ApiResponse {
         self.check_for_stall();
         if self.stall_detector.is_overloaded(Instant::now()) {
-            return match self.finals.lock().status(id) {
+            return match self.terminal_states().status(id) {
                 Some(view) => ApiResponse::json(200, &view),
                 None => ApiResponse::unavailable("too much to do"),
             };
@@ -66,7 +66,7 @@
         if let Some(active_leader) = self.active_leader() {
             return active_leader.poll(id).await;
         }
-        if let Some(view) = self.finals.lock().status(id) {
+        if let Some(view) = self.terminal_states().status(id) {
             return ApiResponse::json(200, &view);
         }
         let asked = self
@@ -96,7 +96,7 @@
                     done: v.done,
                     ended_at: None,
                 };
-                self.finals.lock().keep(v.id, record);
+                self.terminal_states().keep(v.id, record);
             }
         }
     }
@@ -106,7 +106,7 @@
         if let Some(active_leader) = self.active_leader() {
             return active_leader.cancel(id).await;
         }
-        if let Some(view) = self.finals.lock().status(id) {
+        if let Some(view) = self.terminal_states().status(id) {
             return ApiResponse::json(200, &view);
         }
         let asked = self
@@ -133,16 +133,16 @@
 
     /// The machine types, read from the state service if need be.
     pub async fn known_types(&self) -> Arc<Vec<MachineType>> {
-        let known = self.types.lock().clone();
+        let known = self.machine_types();
         if !known.is_empty() {
             return known;
         }
         if let Ok(KeyRead::Found(item)) = self.store.get_soon(record::TYPES).await {
             if let Ok(types) = serde_json::from_value::<Vec<MachineType>>(item.value) {
-                *self.types.lock() = Arc::new(types);
+                self.set_machine_types(Arc::new(types));
             }
         }
-        self.types.lock().clone()
+        self.machine_types()
     }
 
     /// Judges a submission: its job, or the answer.
--- a/src/leader/active_leader/command_dispatch.rs
+++ b/src/leader/active_leader/command_dispatch.rs
@@ -18,7 +18,7 @@
             let may_act = self.may_act();
             self.model.lock().permit_send(&due.machine, &due.batch, may_act)
         };
-        let sockets = &self.controller.sockets;
+        let sockets = self.controller.sockets();
         let outcome = worker::send_commands(sockets, &due.address, &due.batch, permit).await;
         log_outcome(due, &outcome);
         let mut model = self.model.lock();
--- a/src/leader/active_leader/dependency_lookup.rs
+++ b/src/leader/active_leader/dependency_lookup.rs
@@ -25,7 +25,7 @@
 impl ActiveLeader {
     /// Looks up unresolved jobs, one after the other, as long as the term lasts.
     pub(super) async fn look_up_dependencies(self: Arc<Self>) {
-        let rps = self.controller.deployment.cluster.state.rps;
+        let rps = self.controller.deployment().cluster.state.rps;
         let spacing = Duration::from_secs_f64(1.0 / (rps * LOOKUP_SHARE));
         loop {
             let unresolved: Vec<JobId> = {
@@ -63,7 +63,7 @@
     pub(super) fn resolve_from_memory(&self) {
         let (now, wall) = (Instant::now(), unix_time_ms());
         let mut model = self.model.lock();
-        let finals = self.controller.finals.lock();
+        let finals = self.controller.terminal_states();
         let unresolved: Vec<JobId> = model.dependencies().unresolved().iter().copied().collect();
         let mut resolved = 0;
         for id in &unresolved {
@@ -87,7 +87,7 @@
     fn resolve(&self, id: JobId) {
         let (now, wall) = (Instant::now(), unix_time_ms());
         let mut model = self.model.lock();
-        if let Some(record) = self.controller.finals.lock().record(id) {
+        if let Some(record) = self.controller.terminal_states().record(id) {
             model.resolve_dependency(id, outcome_of(record, now, wall));
         }
         drop(model);
--- a/src/leader/active_leader/fleet_actions.rs
+++ b/src/leader/active_leader/fleet_actions.rs
@@ -48,8 +48,7 @@
     /// Whether another controller could lead in place of this one, which no
     /// worker takes commands from.
     fn is_partitioned_from_workers(&self) -> bool {
-        self.controller.links.iter().any(|link| link.alive())
-            && self.model.lock().is_partitioned_from_workers(Instant::now())
+        self.controller.any_peer_reachable() && self.model.lock().is_partitioned_from_workers(Instant::now())
     }
 
     async fn run_fleet_action(&self, action: FleetAction) {
@@ -68,7 +67,7 @@
             if !self.may_act() {
                 return self.model.lock().rental_failed(rental, false, Instant::now());
             }
-            match self.controller.cloud.rent(rental, || self.may_act()).await {
+            match self.controller.cloud().rent(rental, || self.may_act()).await {
                 Ok(machines) => {
                     info!(request = rental.request, got = machines.len(), "rented");
                     return self.model.lock().rental_done(rental, &machines, Instant::now());
@@ -89,7 +88,7 @@
 
     /// Releases machines; those that were not released stay and are tried again.
     async fn release(&self, machines: &[MachineId]) {
-        let released = match self.controller.cloud.release(machines, || self.may_act()).await {
+        let released = match self.controller.cloud().release(machines, || self.may_act()).await {
             Ok(()) => true,
             Err(error) => {
                 info!(machines = machines.len(), %error, "not released yet");
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -23,7 +23,7 @@
     /// Picks up the jobs that followers stored.
     pub(super) async fn watch_inbox(self: Arc<Self>) {
         loop {
-            let Ok(inbox) = self.controller.store.list(record::INBOX).await else {
+            let Ok(inbox) = self.controller.store().list(record::INBOX).await else {
                 sleep(Duration::from_millis(300)).await;
                 continue;
             };
@@ -36,7 +36,7 @@
             while all {
                 match self
                     .controller
-                    .store
+                    .store()
                     .watch(record::INBOX, since, Duration::from_secs(20))
                     .await
                 {
@@ -63,7 +63,7 @@
         loop {
             sleep(RECONCILE_INTERVAL).await;
             self.forget_gone_workers();
-            let Ok(jobs) = self.controller.store.list(record::JOBS).await else {
+            let Ok(jobs) = self.controller.store().list(record::JOBS).await else {
                 continue;
             };
             for i in jobs.items {
@@ -73,7 +73,7 @@
                     .parse::<JobId>()
                     .is_ok_and(|id| {
                         self.model.lock().jobs().contains_key(&id)
-                            || self.controller.finals.lock().status(id).is_some()
+                            || self.controller.terminal_states().status(id).is_some()
                     });
                 if known {
                     continue;
@@ -118,7 +118,9 @@
 
     /// Reads a job that is not known here. False: it could not be read.
     pub(super) async fn load_job(&self, id: JobId) -> bool {
-        if self.model.lock().jobs().contains_key(&id) || self.controller.finals.lock().status(id).is_some() {
+        if self.model.lock().jobs().contains_key(&id)
+            || self.controller.terminal_states().status(id).is_some()
+        {
             return true;
         }
         match self.controller.lookup(id).await {
@@ -137,7 +139,7 @@
         let age = Duration::from_millis(unix_time_ms().saturating_sub(r.at));
         let mut m = self.model.lock();
         // Between the reading and now it may have become known or finished.
-        if m.jobs().contains_key(&id) || self.controller.finals.lock().status(id).is_some() {
+        if m.jobs().contains_key(&id) || self.controller.terminal_states().status(id).is_some() {
             return;
         }
         self.writer.set_known_version(&record::job_key(id), version);
--- a/src/leader/active_leader/lease_renewal.rs
+++ b/src/leader/active_leader/lease_renewal.rs
@@ -91,15 +91,15 @@
     /// Renews the lease until the state service no longer has it, which ends the
     /// term.
     pub(super) async fn renew_lease(self: Arc<Self>) {
-        let lifetime = self.controller.operator_settings.leader_lease;
-        let request_rate = self.controller.deployment.cluster.state.rps;
+        let lifetime = self.controller.operator_settings().leader_lease;
+        let request_rate = self.controller.deployment().cluster.state.rps;
         let min_interval = Duration::from_secs_f64(1.0 / (request_rate * CONFIRMATION_SHARE));
         loop {
             let sent = read_clocks();
             let number = self.renewals.begin();
             let renewal = self
                 .controller
-                .store
+                .store()
                 .renew_lease(self.lease, lifetime / RENEWAL_TIMEOUT_DIVISOR);
             let pause = match renewal.await {
                 Ok(()) => {
--- a/src/leader/active_leader/machine_types.rs
+++ b/src/leader/active_leader/machine_types.rs
@@ -23,7 +23,7 @@
     /// Reads the machine types from time to time, for as long as the term lasts.
     pub(super) async fn refresh_machine_types(self: Arc<Self>) {
         loop {
-            let pause = match self.controller.cloud.machine_types().await {
+            let pause = match self.controller.cloud().machine_types().await {
                 Ok(types) if !types.is_empty() => {
                     self.apply_machine_types(types).await;
                     REFRESH_INTERVAL
@@ -41,7 +41,7 @@
         }
         let must_store = shapes(&known) != shapes(&types);
         self.model.lock().set_machine_types(types.clone());
-        *self.controller.types.lock() = Arc::new(types.clone());
+        self.controller.set_machine_types(Arc::new(types.clone()));
         if must_store {
             info!(types = types.len(), "machine types read");
             self.store_machine_types(&types).await;
@@ -53,7 +53,7 @@
     /// next leader reads them from the cloud as well.
     async fn store_machine_types(&self, types: &[MachineType]) {
         let value = serde_json::to_value(types).unwrap_or(Value::Null);
-        if value.to_string().len() >= self.controller.config.value_bytes {
+        if value.to_string().len() >= self.controller.config().value_bytes {
             return;
         }
         let write = AtomicWrite {
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -84,15 +84,15 @@
         lease: u64,
         lease_requested: ClockReading,
     ) -> Arc<Self> {
-        let max_changes = controller.config.txn_ops;
-        let writer = Writer::new(controller.store.clone(), record::LEADER, term, max_changes);
-        let model = ClusterModel::new(controller.config.clone(), term);
-        let workers = &controller.deployment.cluster.workers;
+        let max_changes = controller.config().txn_ops;
+        let writer = Writer::new(controller.store().clone(), record::LEADER, term, max_changes);
+        let model = ClusterModel::new(controller.config().clone(), term);
+        let workers = &controller.deployment().cluster.workers;
         let limits = AuthorityLimits {
-            lease: controller.operator_settings.leader_lease,
+            lease: controller.operator_settings().leader_lease,
             worker_lease: workers.lease,
             cancel: workers.cancel,
-            clock_error: controller.deployment.cluster.clock_error,
+            clock_error: controller.deployment().cluster.clock_error,
         };
         Arc::new(Self {
             term,
--- a/src/leader/active_leader/rounds.rs
+++ b/src/leader/active_leader/rounds.rs
@@ -51,7 +51,7 @@
             }
             // A round that took long is followed by a longer pause, so that
             // users and workers are answered meanwhile.
-            let pause = self.controller.operator_settings.plan_pause;
+            let pause = self.controller.operator_settings().plan_pause;
             let longer_pause = (began.elapsed() * PAUSE_PER_ROUND_TIME).min(pause * MAX_PAUSE_FACTOR);
             sleep(pause.max(longer_pause)).await;
         }
@@ -79,7 +79,7 @@
         }
         self.log_fencing_completed(&model, now);
         let writes = model.take_writes(now);
-        let max_probes = MAX_PROBES.min(self.controller.sockets.available_commands() / 2);
+        let max_probes = MAX_PROBES.min(self.controller.sockets().available_commands() / 2);
         let commands = model.take_due_commands(now, max_probes);
         RoundDecisions { writes, commands }
     }
--- a/src/leader/active_leader/state_writes.rs
+++ b/src/leader/active_leader/state_writes.rs
@@ -30,7 +30,7 @@
         if let (true, PendingWrite::Final { id, record, .. }) = (stored, &write) {
             // Before the job leaves the model, or a poll in between would find
             // it in neither.
-            self.controller.finals.lock().keep(*id, record.clone());
+            self.controller.terminal_states().keep(*id, record.clone());
             debug!(job = %id, state = ?record.state, "finished");
         }
         self.model.lock().write_finished(&write, stored, Instant::now());
--- a/src/leader/active_leader/takeover.rs
+++ b/src/leader/active_leader/takeover.rs
@@ -13,7 +13,7 @@
 
 impl ActiveLeader {
     pub(super) async fn load(&self) -> Result<(), StoreError> {
-        let store = &self.controller.store;
+        let store = self.controller.store();
         let jobs = store.list(record::JOBS).await?.items;
         let segments = store.list(record::WAL).await?.items;
         let ratios = store.get(record::RATIOS).await?;
@@ -54,7 +54,8 @@
             self.writer.set_known_version(record::TYPES, item.version);
             if let Ok(t) = serde_json::from_value(item.value) {
                 m.set_machine_types(t);
-                *self.controller.types.lock() = Arc::new(m.machine_types().to_vec());
+                self.controller
+                    .set_machine_types(Arc::new(m.machine_types().to_vec()));
             }
         }
         Ok(())
--- a/src/leader/active_leader/term.rs
+++ b/src/leader/active_leader/term.rs
@@ -86,7 +86,7 @@
         let controller = self.controller.clone();
         let lease = self.lease;
         tokio::spawn(async move {
-            let _ = controller.store.revoke_lease(lease).await;
+            let _ = controller.store().revoke_lease(lease).await;
         });
     }
 }
--- a/src/leader/active_leader/user_requests.rs
+++ b/src/leader/active_leader/user_requests.rs
@@ -31,7 +31,7 @@
         if let Some(r) = self.known_for_sure(id).await {
             return r;
         }
-        let types = self.controller.types.lock().clone();
+        let types = self.controller.machine_types();
         let spec = match self.controller.judge(body, &types) {
             Ok(s) => s,
             // Only an unknown job is judged: a follower may have stored it.
@@ -51,7 +51,7 @@
             return self.unless_known(id, bad).await;
         }
         // What can't be stored in time is refused at once.
-        let within = self.controller.store.max_changes_within(STORED_WITHIN);
+        let within = self.controller.store().max_changes_within(STORED_WITHIN);
         if self.writer.queued_urgent_changes() as f64 > within {
             return ApiResponse::unavailable("too many jobs are being stored");
         }
@@ -91,14 +91,14 @@
             return Some(ApiResponse::unavailable("leadership is in doubt"));
         }
         let active = self.model.lock().status(id);
-        let view = active.or_else(|| self.controller.finals.lock().status(id))?;
+        let view = active.or_else(|| self.controller.terminal_states().status(id))?;
         Some(ApiResponse::json(200, &view))
     }
 
     /// The same, if it can't be older than what another leader has told since:
     /// final states never are.
     pub(super) async fn known_for_sure(&self, id: JobId) -> Option<ApiResponse> {
-        if let Some(view) = self.controller.finals.lock().status(id) {
+        if let Some(view) = self.controller.terminal_states().status(id) {
             return Some(ApiResponse::json(200, &view));
         }
         let response = self.known(id)?;
@@ -168,7 +168,7 @@
             match m.jobs().get(&id) {
                 None => {
                     drop(m);
-                    return match self.controller.finals.lock().status(id) {
+                    return match self.controller.terminal_states().status(id) {
                         Some(v) => ApiResponse::json(200, &v),
                         None => ApiResponse::error(404, "no such job"),
                     };
--- a/src/leader/election.rs
+++ b/src/leader/election.rs
@@ -39,7 +39,7 @@
 /// election whenever there is no leader, and leads when elected.
 pub(super) async fn run_elections(controller: Arc<Controller>) {
     loop {
-        match controller.store.get(LEADER).await {
+        match controller.store().get(LEADER).await {
             Ok(KeyRead::Found(item)) => match parse_leader(&item) {
                 // This process has replaced the one that led, so that one is
                 // dead: its key may be overwritten at once.
@@ -73,7 +73,7 @@
     controller.known_types().await;
     let mut since = term;
     loop {
-        match controller.store.watch(LEADER, since, WATCH_TIMEOUT).await {
+        match controller.store().watch(LEADER, since, WATCH_TIMEOUT).await {
             Ok(watched) if watched.events.is_empty() => since = since.max(watched.revision),
             Ok(_) | Err(StoreError::TooOld { .. }) => return,
             Err(error) => {
@@ -81,7 +81,7 @@
                 // soon as that works.
                 debug!(%error, "can't watch the leader's key");
                 sleep(WATCH_RETRY_PAUSE).await;
-                match controller.store.get(LEADER).await {
+                match controller.store().get(LEADER).await {
                     Ok(KeyRead::Found(item)) if item.version == term => since = term,
                     Ok(_) => return,
                     Err(_) => {}
@@ -94,9 +94,9 @@
 /// Stands for election against the version of the leader's key that was read;
 /// leads until the end of the term if elected.
 async fn stand_for_election(controller: &Arc<Controller>, version: u64) {
-    let lifetime = controller.operator_settings.leader_lease;
+    let lifetime = controller.operator_settings().leader_lease;
     let lease_requested = read_clocks();
-    let lease = match controller.store.grant_lease(lifetime).await {
+    let lease = match controller.store().grant_lease(lifetime).await {
         Ok(lease) => lease,
         Err(error) => {
             debug!(%error, "no lease granted");
@@ -104,7 +104,7 @@
         }
     };
     let Some(term) = put_leader_key(controller, version, lease).await else {
-        let _ = controller.store.revoke_lease(lease).await;
+        let _ = controller.store().revoke_lease(lease).await;
         return sleep(LOST_ELECTION_PAUSE).await;
     };
     info!(term, "elected");
@@ -121,7 +121,7 @@
 async fn put_leader_key(controller: &Controller, version: u64, lease: u64) -> Option<u64> {
     let record = LeaderRecord {
         host: controller.host().to_owned(),
-        nonce: controller.nonce,
+        nonce: controller.nonce(),
     };
     let transaction = Transaction {
         conditions: vec![Condition {
@@ -134,7 +134,7 @@
             lease: Some(lease),
         }],
     };
-    match controller.store.transact(&transaction, PUT_TIMEOUT).await {
+    match controller.store().transact(&transaction, PUT_TIMEOUT).await {
         Ok(revision) => Some(revision),
         Err(StoreError::Unanswered { .. }) => read_term(controller, &record, version).await,
         Err(error) => {
@@ -148,7 +148,7 @@
 /// copy is applied after this read, the key is attached to a lease that ends
 /// soon.
 async fn read_term(controller: &Controller, record: &LeaderRecord, version: u64) -> Option<u64> {
-    let Ok(KeyRead::Found(item)) = controller.store.get(LEADER).await else {
+    let Ok(KeyRead::Found(item)) = controller.store().get(LEADER).await else {
         return None;
     };
     let is_ours = parse_leader(&item).as_ref() == Some(record) && item.version > version;
--- a/src/leader/process.rs
+++ b/src/leader/process.rs
@@ -44,21 +44,21 @@
     operator_settings: OperatorSettings,
 ) -> Result<(), StartError> {
     let controller = Controller::new(deployment, operator_settings);
-    let api_listener = listen("api_addr", controller.deployment.listen).await?;
-    let peer_listener = listen("back", controller.deployment.peer_listen).await?;
+    let api_listener = listen("api_addr", controller.deployment().listen).await?;
+    let peer_listener = listen("back", controller.deployment().peer_listen).await?;
     info!(
         host = controller.host(),
-        zone = controller.deployment.zone,
+        zone = controller.deployment().zone,
         "started"
     );
     let mut tasks = JoinSet::new();
-    for link in &controller.links {
+    for link in controller.links() {
         tasks.spawn(link.clone().run(controller.clone()));
     }
     tasks.spawn(crate::peer::listen(peer_listener, controller.clone()));
     tasks.spawn(run_elections(controller.clone()));
     tasks.spawn(watch_for_stalls(controller.clone()));
-    let timeouts = ConnectionTimeouts::new(controller.deployment.cluster.workers.heartbeat_interval);
+    let timeouts = ConnectionTimeouts::new(controller.deployment().cluster.workers.heartbeat_interval);
     crate::api::serve(api_listener, controller, timeouts).await;
     Ok(())
 }
@@ -78,6 +78,6 @@
     loop {
         sleep(TIMER_INTERVAL).await;
         controller.check_for_stall();
-        controller.stall_detector.timer_fired(Instant::now());
+        controller.stall_timer_fired(Instant::now());
     }
 }
