--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -202,7 +202,7 @@
     /// probation or at their team's limit must not hold the whole fleet: one
     /// that was submitted with a mistake waits until its user cancels it.
     fn work_waits_for_room(&self, now: Instant) -> bool {
-        let usage = self.usage();
+        let usage = self.team_usage();
         self.jobs_waiting_for_capacity().any(|job| {
             let team_usage = usage.get(&job.spec.team).copied().unwrap_or_default();
             self.startable(job, team_usage, now) > 0
@@ -223,7 +223,7 @@
                 mine += s.spec.as_ref().map_or(0.0, |s| s.cpus);
             }
             used += mine;
-            if m.phase == MachinePhase::Booting || (self.usable(m, now) && m.reclaim_at.is_none()) {
+            if m.phase == MachinePhase::Booting || (self.is_schedulable(m, now) && m.reclaim_at.is_none()) {
                 free += self.machine_types[k].cpus - mine;
             }
         }
--- a/src/core/fleet/rentals.rs
+++ b/src/core/fleet/rentals.rs
@@ -96,7 +96,7 @@
         let mut open_machines = self.open_machines(&cut, now);
         let pending: u32 = self.fleet.pending.values().map(|(_, count)| count).sum();
         let mut total = self.machines.len() + pending as usize;
-        let mut usage = self.usage();
+        let mut usage = self.team_usage();
         let mut queue: Vec<_> = self.jobs_waiting_for_capacity().collect();
         let ranks = self.ranks(now);
         queue.sort_by_key(|j| ranks.get(&j.spec.id));
@@ -146,7 +146,7 @@
         for m in self.machines.values() {
             let Some(kind) = self.kind_of(m) else { continue };
             let booting = m.phase == MachinePhase::Booting;
-            if !(booting || self.usable(m, now) && m.reclaim_at.is_none()) || cut.contains(&m.zone) {
+            if !(booting || self.is_schedulable(m, now) && m.reclaim_at.is_none()) || cut.contains(&m.zone) {
                 continue;
             }
             let mut open = OpenMachine::empty(kind, &self.machine_types[kind], &m.zone, m.spot);
--- /dev/null
+++ b/src/core/scheduling/eligibility.rs
@@ -0,0 +1,36 @@
+//! What may be placed now: which machines take tasks, and what each team's tasks use.
+
+use std::collections::HashMap;
+use std::time::Instant;
+
+use crate::core::state::machine::{Machine, MachinePhase};
+use crate::core::state::model::ClusterModel;
+use crate::core::state::resources::TeamUsage;
+
+impl ClusterModel {
+    /// What each team's tasks use, or may use, wherever they may be.
+    pub(in crate::core) fn team_usage(&self) -> HashMap<String, TeamUsage> {
+        let mut usage_by_team: HashMap<String, TeamUsage> = HashMap::new();
+        for job in self.jobs.values().filter(|job| job.placed > 0) {
+            let tasks = f64::from(job.placed);
+            let usage = usage_by_team.entry(job.spec.team.clone()).or_default();
+            usage.cpus += tasks * job.spec.cpus;
+            usage.gpus += tasks * job.spec.gpus;
+        }
+        usage_by_team
+    }
+
+    /// Whether tasks may be placed on a machine: it is up, obeys this term, is
+    /// reachable in both directions, and is neither cordoned nor full.
+    pub fn is_schedulable(&self, machine: &Machine, now: Instant) -> bool {
+        machine.phase == MachinePhase::Up
+            && machine.fenced(self.term)
+            && machine.cordoned_since.is_none()
+            && !machine.addr.is_empty()
+            && machine.full_until.is_none_or(|end| end <= now)
+            // It may hang, or receive nothing of what it is sent.
+            && machine.commands_unanswered_since.is_none()
+            && machine.last_heartbeat.is_some()
+            && self.silence(machine, now) < self.config.heartbeat_interval * 2
+    }
+}
--- /dev/null
+++ b/src/core/scheduling/gang_repair.rs
@@ -0,0 +1,28 @@
+//! Gang repair: a gang that lost a task is stopped as a whole.
+
+use std::time::{Duration, Instant};
+
+use crate::core::state::model::ClusterModel;
+use crate::wire::{JobId, MachineId, TaskId};
+
+impl ClusterModel {
+    /// Stops the remaining tasks of each gang that lost one, so that it can be placed
+    /// again as a whole.
+    pub(super) fn stop_broken_gangs(&mut self, now: Instant) {
+        let broken: Vec<(JobId, u32, MachineId)> = self
+            .jobs
+            .iter()
+            .filter(|(_, job)| job.broken_gang())
+            .flat_map(|(id, job)| {
+                let places = job.places.iter();
+                places.flat_map(|(index, machines)| machines.iter().map(|m| (*id, *index, m.clone())))
+            })
+            .collect();
+        for (job, index, machine) in broken {
+            let save_s = self.jobs.get(&job).map_or(0.0, |j| j.spec.save_s);
+            let grace = Duration::from_secs_f64(save_s);
+            let task = TaskId { job, index };
+            self.stop(&machine, task, grace, now, "its gang lost a task");
+        }
+    }
+}
--- /dev/null
+++ b/src/core/scheduling/placement/backfilling.rs
@@ -0,0 +1,46 @@
+//! Venture backfilling: starting jobs behind the blocked head.
+
+use std::time::Duration;
+
+use crate::core::scheduling::placement::batches::PlacementMode;
+use crate::core::scheduling::placement::planner::Planner;
+use crate::core::scheduling::ranking::Rank;
+use crate::wire::JobId;
+
+impl Planner<'_> {
+    /// Places tasks of the jobs behind the head: first, by predicted run time, those
+    /// that end before its reservation; then, by rank, whatever there is room for.
+    /// Returns how many were placed.
+    pub(in crate::core::scheduling) fn backfill(&mut self, head: JobId, behind: &[Rank]) -> u32 {
+        if !behind.iter().any(|rank| self.fits_somewhere(rank.job)) {
+            return 0;
+        }
+        let mut backfilled = 0;
+        let by_run_time = self.by_predicted_run_time(behind);
+        if let Some(reservation) = self.reservation(head) {
+            let ends_by = Some(reservation);
+            for (_, rank) in &by_run_time {
+                let result = self.place_tasks(rank.job, PlacementMode::Backfill { ends_by });
+                backfilled += result.placed;
+            }
+        }
+        for rank in behind {
+            let result = self.place_tasks(rank.job, PlacementMode::Backfill { ends_by: None });
+            backfilled += result.placed;
+        }
+        backfilled
+    }
+
+    /// The jobs by the run time that is predicted for each of their tasks.
+    fn by_predicted_run_time(&self, queue: &[Rank]) -> Vec<(Duration, Rank)> {
+        let mut by_run_time: Vec<(Duration, Rank)> = queue
+            .iter()
+            .filter_map(|rank| {
+                let job = self.model.jobs.get(&rank.job)?;
+                Some((self.model.predict(&job.spec), *rank))
+            })
+            .collect();
+        by_run_time.sort_unstable();
+        by_run_time
+    }
+}
--- a/src/core/scheduling/placement/preemption.rs
+++ b/src/core/scheduling/placement/preemption.rs
@@ -1,113 +1,105 @@
-//! What runs on the machines: stopping shadow load for the blocked head, and
-//! when the head's reservation is.
+//! Shadow load preemption: stopping shadow tasks for the blocked head.
 
 use std::time::Instant;
 
-use super::Planner;
-use crate::core::scheduling::capacity::RunningLoad;
 use crate::core::scheduling::over_quota::OverQuotaLoad;
-use crate::core::scheduling::plan::RoundSummary;
+use crate::core::scheduling::placement::claims::PlacementKind;
+use crate::core::scheduling::placement::free_capacity::{LoadClass, RunningLoad};
+use crate::core::scheduling::placement::planner::Planner;
+use crate::core::scheduling::placement::search::SearchScope;
 use crate::core::scheduling::ranking::Rank;
-use crate::core::state::slot::SlotState;
-use crate::wire::JobId;
+use crate::core::state::model::ClusterModel;
+use crate::core::state::resources::Resources;
+use crate::core::state::slot::{Slot, SlotState};
 
-impl Planner<'_> {
-    /// Fills in what runs on the machines; as shadow only what the head outranks.
-    pub(super) fn load(&mut self, head: Rank, mut borrowed: OverQuotaLoad) {
-        self.loaded = true;
-        let (model, now) = (&*self.model, self.now);
-        for room in &mut self.rooms {
-            let Some(m) = model.machines.get(&room.machine) else {
-                continue;
-            };
-            for (task, s) in m.slots.iter().filter(|(_, s)| s.takes_room()) {
-                let Some(spec) = &s.spec else { continue };
-                let rank = self.ranks.get(&task.job).copied();
-                let lives = s.stop.is_none() && !matches!(s.state, SlotState::Saving);
-                let outranked = lives && rank.is_some_and(|r| r > head);
-                let lent = outranked && !s.backfilled && borrowed.admits_preemption(model, task.job, s, now);
-                room.load.push(RunningLoad {
-                    end: if s.stop.is_some() {
-                        now
-                    } else {
-                        model.predicted_end(s, now)
-                    },
-                    cpus: spec.cpus,
-                    gpus: spec.gpus,
-                    memory: spec.memory_gb,
-                    shadow: outranked && s.backfilled || lent,
-                    borrowed: lent,
-                    rank,
-                    task: *task,
-                    grace: spec.grace(),
-                    started: s.running_since.unwrap_or(s.placed_at),
-                });
-            }
-        }
-    }
+/// What was done for the head by preemption.
+#[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
+pub(in crate::core::scheduling) struct PreemptionResult {
+    /// Tasks of the head that were started.
+    pub(in crate::core::scheduling) started: u32,
+    /// Shadow tasks that were stopped.
+    pub(in crate::core::scheduling) preempted: u32,
+}
 
+impl Planner<'_> {
     /// Stops shadow tasks if that starts tasks of the head (a gang: all of
     /// them) at once; lowest priority first, where the least work is lost.
-    pub(in crate::core) fn preempt_for(&mut self, head: JobId, rank: Rank, round: &mut RoundSummary) {
-        let borrowed = OverQuotaLoad::for_head(self.model, head, &self.ranks);
-        if !self.model.has_backfilled && borrowed.is_empty() {
-            return;
+    pub(in crate::core::scheduling) fn preempt_for_head(&mut self, head: Rank) -> PreemptionResult {
+        let mut result = PreemptionResult::default();
+        let over_quota = OverQuotaLoad::for_head(self.model, head.job, &self.ranks);
+        if !self.model.has_backfilled && over_quota.is_empty() {
+            return result;
         }
-        self.load(rank, borrowed);
-        if !self.rooms.iter().any(|r| r.load.iter().any(|l| l.shadow)) {
-            return;
+        self.collect_running_load(head, over_quota);
+        let mut running = self.machines.iter().flat_map(|machine| &machine.running);
+        if !running.any(RunningLoad::is_shadow) {
+            return result;
         }
-        let mut left = self.first_tasks(head, rank.tier);
+        let mut left = self.max_first_tasks(head);
         while left > 0 {
-            let Some(batch) = self.next_batch(head) else {
-                return;
+            let Some(batch) = self.next_batch(head.job) else {
+                break;
             };
-            if self.barred(head, batch.len()) {
-                return;
+            if !self.may_start(head.job, batch.len()) {
+                break;
             }
-            let Some(places) = self.find(head, &batch, None, true) else {
-                return;
+            let Some(placements) = self.find(head.job, &batch, SearchScope::Preempting) else {
+                break;
             };
-            round.preempted += places.iter().map(|p| p.victims.len() as u32).sum::<u32>();
-            round.in_order += places.len() as u32;
-            left = left.saturating_sub(places.len() as u32);
-            self.take(places, false, head);
+            let started = placements.len() as u32;
+            result.preempted += placements.iter().map(|p| p.victims.len() as u32).sum::<u32>();
+            result.started += started;
+            left = left.saturating_sub(started);
+            self.claim_all(head.job, placements, PlacementKind::InOrder);
         }
+        result
     }
 
-    /// When the head's next task is predicted to fit, counting sunny load
-    /// only; `None` if it can't be told.
-    pub(in crate::core) fn reservation(&mut self, head: JobId) -> Option<Instant> {
-        let job = self.model.jobs.get(&head)?;
-        job.waiting.first()?;
-        let spec = job.spec.clone();
-        if !self.loaded {
-            let rank = *self.ranks.get(&head)?;
-            self.load(rank, OverQuotaLoad::default());
-        }
-        let zones = self.zone_rule(&spec);
-        let mut best = None;
-        for room in &self.rooms {
-            if !self.machine_allowed(&spec, room)
-                || !Self::zone_allowed(&spec, zones.as_ref(), &self.names[room.zone])
-            {
+    /// Fills in what runs on the machines; as shadow load only what the head outranks.
+    pub(super) fn collect_running_load(&mut self, head: Rank, mut over_quota: OverQuotaLoad) {
+        self.running_load_known = true;
+        let (model, now) = (&*self.model, self.now);
+        for machine in &mut self.machines {
+            let Some(known) = model.machines.get(&machine.machine) else {
                 continue;
-            }
-            let mut after = room.bare();
-            room.load
-                .iter()
-                .filter(|l| l.shadow)
-                .for_each(|l| after.give_back(l));
-            let mut sunny: Vec<&RunningLoad> = room.load.iter().filter(|l| !l.shadow).collect();
-            sunny.sort_by_key(|l| l.end);
-            for l in sunny {
-                after.give_back(l);
-                if after.fits(&spec) {
-                    best = Some(best.map_or(l.end, |b: Instant| b.min(l.end)));
-                    break;
-                }
+            };
+            for (task, slot) in known.slots.iter().filter(|(_, slot)| slot.takes_room()) {
+                let Some(spec) = &slot.spec else { continue };
+                let rank = self.ranks.get(&task.job).copied();
+                let outranked = !is_stopping(slot) && rank.is_some_and(|rank| rank > head);
+                let class = if !outranked {
+                    LoadClass::Sunny
+                } else if slot.backfilled {
+                    LoadClass::Shadow
+                } else if over_quota.admits_preemption(model, task.job, slot, now) {
+                    LoadClass::OverQuota
+                } else {
+                    LoadClass::Sunny
+                };
+                machine.running.push(RunningLoad {
+                    task: *task,
+                    resources: Resources::of_task(spec),
+                    class,
+                    rank,
+                    started: slot.running_since.unwrap_or(slot.placed_at),
+                    predicted_end: predicted_end(model, slot, now),
+                    grace: spec.grace(),
+                });
             }
         }
-        best
+    }
+}
+
+/// Whether a task is about to end for another reason already.
+fn is_stopping(slot: &Slot) -> bool {
+    slot.stop.is_some() || matches!(slot.state, SlotState::Saving)
+}
+
+/// When a task gives back its resources; one that was told to stop, at once.
+fn predicted_end(model: &ClusterModel, slot: &Slot, now: Instant) -> Instant {
+    if slot.stop.is_some() {
+        now
+    } else {
+        model.predicted_end(slot, now)
     }
 }
--- a/src/core/scheduling/placement/rules.rs
+++ b/src/core/scheduling/placement/rules.rs
@@ -1,59 +1,79 @@
-//! What forbids a placement: limits of teams, zones and kinds of machines.
+//! What forbids a placement: limits of teams, and the rules of jobs on zones and
+//! machines.
 
 use std::collections::BTreeMap;
 
-use super::Planner;
 use crate::core::scheduling::admission::fits_machine_type;
-use crate::core::scheduling::capacity::FreeCapacity;
+use crate::core::scheduling::placement::free_capacity::FreeCapacity;
+use crate::core::scheduling::placement::planner::Planner;
 use crate::core::state::resources::AMOUNT_TOLERANCE;
 use crate::wire::{JobId, JobSpec};
 
 impl Planner<'_> {
+    /// Whether so many more tasks of a job may start now, as far as its own state and
+    /// its team's limit go.
+    pub(super) fn may_start(&self, id: JobId, tasks: usize) -> bool {
+        let Some(job) = self.model.jobs.get(&id) else {
+            return false;
+        };
+        self.model.is_ready(job)
+            && !job.broken_gang()
+            && job.pause_until.is_none_or(|end| end <= self.now)
+            && job.placed < self.model.placement_limit(job, self.now)
+            && self.within_team_limit(&job.spec, tasks)
+    }
+
     /// Whether the team's limit leaves room for so many more tasks.
-    pub(super) fn within_limit(&self, spec: &JobSpec, tasks: usize) -> bool {
-        let n = tasks as f64;
+    pub(super) fn within_team_limit(&self, spec: &JobSpec, tasks: usize) -> bool {
+        let tasks = tasks as f64;
         let Some(team) = self.model.config.teams.get(&spec.team) else {
             return false;
         };
         let used = self.usage.get(&spec.team).copied().unwrap_or_default();
-        let ok = |most: f64, used: f64, need: f64| most <= 0.0 || used + need * n <= most + AMOUNT_TOLERANCE;
-        ok(team.cpus_max, used.cpus, spec.cpus) && ok(team.gpus_max, used.gpus, spec.gpus)
+        let within = |limit: f64, used: f64, per_task: f64| {
+            limit <= 0.0 || used + per_task * tasks <= limit + AMOUNT_TOLERANCE
+        };
+        within(team.cpus_max, used.cpus, spec.cpus) && within(team.gpus_max, used.gpus, spec.gpus)
     }
 
-    /// Zones of the job's tasks, wherever they may be.
-    pub(super) fn zones_of(&mut self, id: JobId) -> &mut BTreeMap<String, u32> {
+    /// How many tasks of a job are placed in each zone.
+    pub(super) fn tasks_by_zone(&mut self, id: JobId) -> &mut BTreeMap<String, u32> {
         let model = &self.model;
-        self.zones.entry(id).or_insert_with(|| {
-            let mut zones = BTreeMap::new();
+        self.tasks_by_zone.entry(id).or_insert_with(|| {
+            let mut tasks = BTreeMap::new();
             if let Some(job) = model.jobs.get(&id) {
-                for m in job
-                    .places
-                    .values()
-                    .flatten()
-                    .filter_map(|m| model.machines.get(m))
-                {
-                    *zones.entry(m.zone.clone()).or_default() += 1;
+                let places = job.places.values().flatten();
+                for machine in places.filter_map(|id| model.machines.get(id)) {
+                    *tasks.entry(machine.zone.clone()).or_default() += 1;
                 }
             }
-            zones
+            tasks
         })
     }
 
-    /// Zones that the job's rules forbid for its next task; `None`: no rule.
-    pub(super) fn zone_rule(&mut self, spec: &JobSpec) -> Option<BTreeMap<String, u32>> {
-        (spec.one_zone || spec.spread).then(|| self.zones_of(spec.id).clone())
+    /// Tasks by zone that the job's rules on zones refer to; `None` if it has none.
+    pub(super) fn zone_constraint(&mut self, spec: &JobSpec) -> Option<BTreeMap<String, u32>> {
+        (spec.one_zone || spec.spread).then(|| self.tasks_by_zone(spec.id).clone())
     }
 
-    pub(super) fn zone_allowed(spec: &JobSpec, zones: Option<&BTreeMap<String, u32>>, zone: &str) -> bool {
-        if spec.zone.as_ref().is_some_and(|z| z != zone) {
+    /// Whether the job's rules allow its next task in a zone, given where its other
+    /// tasks are. A job that is spread has at most half of its tasks in each zone.
+    pub(super) fn zone_allowed(
+        spec: &JobSpec,
+        tasks_by_zone: Option<&BTreeMap<String, u32>>,
+        zone: &str,
+    ) -> bool {
+        if spec.zone.as_ref().is_some_and(|required| required != zone) {
             return false;
         }
-        let Some(zones) = zones else { return true };
-        if spec.one_zone && zones.keys().any(|z| z != zone) {
+        let Some(tasks_by_zone) = tasks_by_zone else {
+            return true;
+        };
+        if spec.one_zone && tasks_by_zone.keys().any(|used| used != zone) {
             return false;
         }
         if spec.spread {
-            let here = zones.get(zone).copied().unwrap_or(0);
+            let here = tasks_by_zone.get(zone).copied().unwrap_or(0);
             if here + 1 > spec.tasks.div_ceil(2) {
                 return false;
             }
@@ -61,12 +81,14 @@
         true
     }
 
-    pub(super) fn machine_allowed(&self, spec: &JobSpec, room: &FreeCapacity) -> bool {
-        (spec.spot || !room.spot)
-            && fits_machine_type(spec, &self.types[room.kind])
-            && !room.closed
-            && room
+    /// Whether a task of the job may run on the machine if there is room: its type is
+    /// allowed, and the task is predicted to end before the cloud reclaims it.
+    pub(super) fn machine_allowed(&self, spec: &JobSpec, machine: &FreeCapacity) -> bool {
+        (spec.spot || !machine.spot)
+            && fits_machine_type(spec, &self.types[machine.type_index])
+            && !machine.excluded
+            && machine
                 .reclaim_at
-                .is_none_or(|r| self.now + self.model.predict(spec) < r)
+                .is_none_or(|reclaim_at| self.now + self.model.predict(spec) < reclaim_at)
     }
 }
--- a/src/core/state/mod.rs
+++ b/src/core/state/mod.rs
@@ -9,6 +9,7 @@
 pub mod machine;
 pub mod model;
 mod predictions;
+pub(in crate::core) mod prices;
 pub mod probation;
 pub mod resources;
 pub mod set_up;
--- a/src/core/state/model.rs
+++ b/src/core/state/model.rs
@@ -218,7 +218,7 @@
 
     /// Whether a job has a place in the queue: it is neither cancelled nor waiting
     /// for other jobs.
-    fn is_ready(&self, job: &Job) -> bool {
+    pub(in crate::core) fn is_ready(&self, job: &Job) -> bool {
         !job.cancelled && self.dependencies.is_ready(job.spec.id)
     }
 
--- /dev/null
+++ b/src/core/state/prices.rs
@@ -0,0 +1,13 @@
+//! Prices of machines, in the cloud's currency for each hour.
+
+use crate::wire::MachineType;
+
+/// Price of a machine for each of its CPUs; one of less than one CPU counts as one.
+pub(in crate::core) fn price_per_cpu(machine_type: &MachineType, spot: bool) -> f64 {
+    let price = if spot {
+        machine_type.spot_price
+    } else {
+        machine_type.price
+    };
+    price / machine_type.cpus.max(1.0)
+}
--- a/src/core/state/resources.rs
+++ b/src/core/state/resources.rs
@@ -1,7 +1,7 @@
 //! Amounts of CPUs, accelerators and memory.
 
 use std::iter::Sum;
-use std::ops::{Add, AddAssign};
+use std::ops::{Add, AddAssign, Sub, SubAssign};
 
 use crate::wire::{JobSpec, MachineType};
 
@@ -44,6 +44,21 @@
             && self.gpus <= capacity.gpus + AMOUNT_TOLERANCE
             && self.memory_gb <= capacity.memory_gb + AMOUNT_TOLERANCE
     }
+
+    /// How many times `each` fits into this, within [`AMOUNT_TOLERANCE`]; a fraction,
+    /// negative if this is, and [`f64::MAX`] if `each` is nothing.
+    pub(in crate::core) fn multiples_of(&self, each: &Self) -> f64 {
+        let multiples = |have: f64, need: f64| {
+            if need > 0.0 {
+                (have + AMOUNT_TOLERANCE) / need
+            } else {
+                f64::MAX
+            }
+        };
+        multiples(self.cpus, each.cpus)
+            .min(multiples(self.gpus, each.gpus))
+            .min(multiples(self.memory_gb, each.memory_gb))
+    }
 }
 
 impl Add for Resources {
@@ -64,6 +79,24 @@
     }
 }
 
+impl Sub for Resources {
+    type Output = Self;
+
+    fn sub(self, other: Self) -> Self {
+        Self {
+            cpus: self.cpus - other.cpus,
+            gpus: self.gpus - other.gpus,
+            memory_gb: self.memory_gb - other.memory_gb,
+        }
+    }
+}
+
+impl SubAssign for Resources {
+    fn sub_assign(&mut self, other: Self) {
+        *self = *self - other;
+    }
+}
+
 impl Sum for Resources {
     fn sum<I: Iterator<Item = Self>>(amounts: I) -> Self {
         amounts.fold(Self::default(), Self::add)
--- a/src/leader/active_leader/rounds.rs
+++ b/src/leader/active_leader/rounds.rs
@@ -9,7 +9,7 @@
 
 use crate::clock::read_clocks;
 use crate::core::evidence::commands::DueCommand;
-use crate::core::scheduling::plan::RoundSummary;
+use crate::core::scheduling::RoundSummary;
 use crate::core::storage::pending_writes::PendingWrite;
 use crate::core::ClusterModel;
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -192,7 +192,7 @@
     let sent = m.take_due_commands(now, 5);
     assert!(sent.iter().any(|due| due.machine == id));
     m.command_finished(&id, None, now);
-    assert!(!m.usable(&m.machines()[&id], now + secs(1)));
+    assert!(!m.is_schedulable(&m.machines()[&id], now + secs(1)));
     // A later session than its start was sent to: the task is gone.
     let mut r = heartbeat(&id, "small", "south", false, 7, 1);
     r.incarnation = 2;
