--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -1,152 +1,142 @@
-//! Jobs that other controllers stored, and the regular reading of all jobs.
+//! Jobs that other controllers stored: found by their marks in the inbox, and
+//! admitted to the model.
 
-use std::collections::HashSet;
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use tokio::time::sleep;
 use tracing::info;
 
-use crate::clock::unix_time_ms;
 use crate::controller::job_lookup::StoredJob;
 use crate::core::storage::atomic_write::AtomicWrite;
 use crate::core::storage::record::{self, JobRecord};
-use crate::store::StoreError;
+use crate::store::{Listing, StoreError};
 use crate::wire::JobId;
 
+use super::moment::Moment;
 use super::ActiveLeader;
 
-/// Pause between two readings of all unfinished jobs.
-const RECONCILE_INTERVAL: Duration = Duration::from_secs(15);
+/// Pause before the inbox is listed or watched again.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
+/// How long the state service may hold one watch of the inbox.
+const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// Whether all that was asked for is known here now.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Intake {
+    /// The job is in the model, has ended, or was never accepted.
+    Settled,
+    /// Its record could not be read; it has to be tried again.
+    Unreadable,
+}
+
+impl Intake {
+    fn and(self, other: Self) -> Self {
+        match self {
+            Intake::Settled => other,
+            Intake::Unreadable => Intake::Unreadable,
+        }
+    }
+}
 
 impl ActiveLeader {
-    /// Picks up the jobs that followers stored.
+    /// Admits the jobs that other controllers put into the inbox, as long as the
+    /// term lasts.
     pub(super) async fn watch_inbox(self: Arc<Self>) {
         loop {
-            let Ok(inbox) = self.controller.store().list(record::INBOX).await else {
-                sleep(Duration::from_millis(300)).await;
-                continue;
-            };
-            let mut since = inbox.revision;
-            let mut all = true;
-            for i in inbox.items {
-                all &= self.clone().admit_from_inbox(&i.key, i.version).await;
-            }
-            // What couldn't be picked up is listed again soon.
-            while all {
-                match self
-                    .controller
-                    .store()
-                    .watch(record::INBOX, since, Duration::from_secs(20))
-                    .await
-                {
-                    Ok(w) => {
-                        since = since.max(w.revision);
-                        for e in w.events {
-                            if let Some(key) = e.put {
-                                all &= self.clone().admit_from_inbox(&key, e.version).await;
-                            }
-                        }
-                    }
-                    Err(StoreError::TooOld { .. }) => break,
-                    Err(_) => sleep(Duration::from_millis(300)).await,
-                }
+            if let Ok(inbox) = self.controller.store().list(record::INBOX).await {
+                self.admit_and_watch(inbox).await;
             }
-            sleep(Duration::from_millis(300)).await;
+            sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Reads all unfinished jobs again from time to time: whatever mark, watch
-    /// or answer was lost, no accepted job stays unknown for longer.
-    pub(super) async fn reconcile_jobs(self: Arc<Self>) {
-        let mut unreadable = HashSet::new();
-        loop {
-            sleep(RECONCILE_INTERVAL).await;
-            self.forget_gone_workers();
-            let Ok(jobs) = self.controller.store().list(record::JOBS).await else {
-                continue;
-            };
-            for i in jobs.items {
-                let known = i
-                    .key
-                    .trim_start_matches(record::JOBS)
-                    .parse::<JobId>()
-                    .is_ok_and(|id| {
-                        self.model.lock().jobs().contains_key(&id)
-                            || self.controller.terminal_states().status(id).is_some()
-                    });
-                if known {
-                    continue;
-                }
-                match serde_json::from_value::<JobRecord>(i.value) {
-                    Ok(r) => self.admit(r, i.version),
-                    Err(e) if unreadable.insert((i.key.clone(), i.version)) => {
-                        info!(key = i.key, error = %e, "a job record can't be read; it is tried again");
+    /// Admits what is listed and what is put after that, until something could
+    /// not be read or the watch has fallen behind: the inbox is to be listed
+    /// again then.
+    async fn admit_and_watch(self: &Arc<Self>, inbox: Listing) {
+        let mut since = inbox.revision;
+        let mut intake = Intake::Settled;
+        for item in inbox.items {
+            let admitted = self.admit_from_inbox(&item.key, item.version).await;
+            intake = intake.and(admitted);
+        }
+        while intake == Intake::Settled {
+            let watch = self.controller.store().watch(record::INBOX, since, WATCH_TIMEOUT);
+            match watch.await {
+                Ok(watched) => {
+                    since = since.max(watched.revision);
+                    for event in watched.events {
+                        if let Some(key) = event.put {
+                            let admitted = self.admit_from_inbox(&key, event.version).await;
+                            intake = intake.and(admitted);
+                        }
                     }
-                    Err(_) => {}
                 }
+                Err(StoreError::TooOld { .. }) => return,
+                Err(_) => sleep(RETRY_PAUSE).await,
             }
         }
     }
 
-    fn forget_gone_workers(&self) {
-        let model = self.model.lock();
-        self.redirects
-            .lock()
-            .retain(|machine| model.machines().contains_key(machine));
-    }
-
-    /// False: it has to be tried again.
-    pub(super) async fn admit_from_inbox(self: Arc<Self>, key: &str, version: u64) -> bool {
+    /// Admits the job of an inbox mark, then deletes the mark.
+    async fn admit_from_inbox(self: &Arc<Self>, key: &str, version: u64) -> Intake {
         let Ok(id) = key.trim_start_matches(record::INBOX).parse::<JobId>() else {
-            return true;
+            return Intake::Settled;
         };
-        if !self.load_job(id).await {
-            return false;
+        if self.load_job(id).await == Intake::Unreadable {
+            return Intake::Unreadable;
         }
         self.writer.set_known_version(key, version);
-        let unit = AtomicWrite {
+        let deletion = AtomicWrite {
             changes: vec![(key.to_owned(), None)],
             absent: Vec::new(),
             urgent: false,
         };
+        let active_leader = self.clone();
+        // A mark that is left is found again: its job is known then.
         tokio::spawn(async move {
-            let _ = self.writer.commit(unit).await;
+            let _ = active_leader.writer.commit(deletion).await;
         });
-        true
+        Intake::Settled
     }
 
-    /// Reads a job that is not known here. False: it could not be read.
-    pub(super) async fn load_job(&self, id: JobId) -> bool {
-        if self.model.lock().jobs().contains_key(&id)
-            || self.controller.terminal_states().status(id).is_some()
-        {
-            return true;
+    /// Reads a job that is not known here, and admits it if it is unfinished.
+    pub(super) async fn load_job(&self, id: JobId) -> Intake {
+        if self.is_known(id) {
+            return Intake::Settled;
         }
         match self.controller.lookup(id).await {
-            Ok(StoredJob::Unfinished(r, version)) => {
-                self.admit(*r, version);
-                true
+            Ok(StoredJob::Unfinished(record, version)) => {
+                self.admit(*record, version);
+                Intake::Settled
             }
-            Ok(_) => true,
-            Err(_) => false,
+            Ok(StoredJob::Finished(_) | StoredJob::NeverAccepted) => Intake::Settled,
+            Err(_) => Intake::Unreadable,
         }
     }
 
-    pub(super) fn admit(&self, r: JobRecord, version: u64) {
-        let id = r.spec.id;
-        let now = Instant::now();
-        let age = Duration::from_millis(unix_time_ms().saturating_sub(r.at));
-        let mut m = self.model.lock();
-        // Between the reading and now it may have become known or finished.
-        if m.jobs().contains_key(&id) || self.controller.terminal_states().status(id).is_some() {
+    /// Adds a stored job to the model, unless it is known by now. `version` is
+    /// that of its record.
+    pub(super) fn admit(&self, record: JobRecord, version: u64) {
+        let id = record.spec.id;
+        let now = Moment::now();
+        let submitted_at = now.instant_of(record.at).unwrap_or(now.steady);
+        let mut model = self.model.lock();
+        // Between the read and now it may have become known or finished.
+        if model.jobs().contains_key(&id) || self.controller.terminal_states().status(id).is_some() {
             return;
         }
         self.writer.set_known_version(&record::job_key(id), version);
-        info!(job = %id, "picked up");
-        m.add_job(r, now.checked_sub(age).unwrap_or(now));
-        drop(m);
+        info!(job = %id, "admitted a job that another controller stored");
+        model.add_job(record, submitted_at);
+        drop(model);
         self.resolve_from_memory();
         self.request_round();
     }
+
+    /// Whether the job is in the model or known to have ended.
+    pub(super) fn is_known(&self, id: JobId) -> bool {
+        self.model.lock().jobs().contains_key(&id) || self.controller.terminal_states().status(id).is_some()
+    }
 }
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -24,6 +24,8 @@
 mod lease_renewal;
 mod machine_list;
 mod machine_types;
+mod moment;
+mod reconciliation;
 mod rounds;
 mod state_writes;
 mod takeover;
--- a/src/leader/active_leader/takeover.rs
+++ b/src/leader/active_leader/takeover.rs
@@ -1,63 +1,88 @@
-//! Reading what is stored at the begin of a term.
+//! The load of the stored state into the model at the start of a term.
 
 use std::sync::Arc;
-use std::time::{Duration, Instant};
 
 use tracing::info;
 
-use crate::clock::unix_time_ms;
 use crate::core::storage::record::{self, JobRecord};
+use crate::core::ClusterModel;
 use crate::store::{KeyRead, StoreError};
+use crate::wire::KeyValue;
 
+use super::moment::Moment;
 use super::ActiveLeader;
 
 impl ActiveLeader {
+    /// Loads unfinished jobs, the write-ahead log, the teams' run-time ratios and
+    /// the machine types.
+    ///
+    /// # Errors
+    ///
+    /// Those of the state service, and [`StoreError::UnreadableValue`] if a segment of
+    /// the log can't be parsed. The model may hold a part then; the load is
+    /// repeated as a whole.
     pub(super) async fn load(&self) -> Result<(), StoreError> {
         let store = self.controller.store();
         let jobs = store.list(record::JOBS).await?.items;
         let segments = store.list(record::WAL).await?.items;
         let ratios = store.get(record::RATIOS).await?;
         let types = store.get(record::TYPES).await?;
-        let now = Instant::now();
-        let wall = unix_time_ms();
-        let mut m = self.model.lock();
+        let now = Moment::now();
+        let mut model = self.model.lock();
         for item in jobs {
-            self.writer.set_known_version(&item.key, item.version);
-            let Ok(r) = serde_json::from_value::<JobRecord>(item.value) else {
-                info!(key = item.key, "an unreadable job record is left alone");
-                continue;
-            };
-            let age = Duration::from_millis(wall.saturating_sub(r.at));
-            m.add_job(r, now.checked_sub(age).unwrap_or(now));
+            self.load_stored_job(&mut model, item, now);
         }
         for item in segments {
-            self.writer.set_known_version(&item.key, item.version);
-            let number = item.key.trim_start_matches(record::WAL).parse();
-            let read = number.is_ok_and(|n| m.load_log_segment(n, item.value));
-            if !read {
-                // What it names is unknown: nothing may be placed.
-                info!(key = item.key, "a segment of the log can't be read");
-                return Err(StoreError::UnreadableValue {
-                    key: item.key,
-                    source: None,
-                });
-            }
+            self.load_segment(&mut model, item)?;
         }
-        m.replay_log(now);
+        model.replay_log(now.steady);
         if let KeyRead::Found(item) = ratios {
-            self.writer.set_known_version(record::RATIOS, item.version);
-            if let Ok(r) = serde_json::from_value(item.value) {
-                m.load_run_time_ratios(r);
-            }
+            self.load_ratios(&mut model, item);
         }
         if let KeyRead::Found(item) = types {
-            self.writer.set_known_version(record::TYPES, item.version);
-            if let Ok(t) = serde_json::from_value(item.value) {
-                m.set_machine_types(t);
-                self.controller
-                    .set_machine_types(Arc::new(m.machine_types().to_vec()));
-            }
+            self.load_machine_types(&mut model, item);
         }
         Ok(())
     }
+
+    fn load_stored_job(&self, model: &mut ClusterModel, item: KeyValue, now: Moment) {
+        self.writer.set_known_version(&item.key, item.version);
+        match serde_json::from_value::<JobRecord>(item.value) {
+            Ok(record) => {
+                let submitted_at = now.instant_of(record.at).unwrap_or(now.steady);
+                model.add_job(record, submitted_at);
+            }
+            Err(_) => info!(key = item.key, "an unreadable job record is left alone"),
+        }
+    }
+
+    fn load_segment(&self, model: &mut ClusterModel, item: KeyValue) -> Result<(), StoreError> {
+        self.writer.set_known_version(&item.key, item.version);
+        let number = item.key.trim_start_matches(record::WAL).parse();
+        if number.is_ok_and(|number| model.load_log_segment(number, item.value)) {
+            return Ok(());
+        }
+        // The tasks that it names are unknown: nothing may be placed.
+        info!(key = item.key, "a segment of the log can't be read");
+        Err(StoreError::UnreadableValue {
+            key: item.key,
+            source: None,
+        })
+    }
+
+    fn load_ratios(&self, model: &mut ClusterModel, item: KeyValue) {
+        self.writer.set_known_version(record::RATIOS, item.version);
+        if let Ok(ratios) = serde_json::from_value(item.value) {
+            model.load_run_time_ratios(ratios);
+        }
+    }
+
+    fn load_machine_types(&self, model: &mut ClusterModel, item: KeyValue) {
+        self.writer.set_known_version(record::TYPES, item.version);
+        if let Ok(types) = serde_json::from_value(item.value) {
+            model.set_machine_types(types);
+            self.controller
+                .set_machine_types(Arc::new(model.machine_types().to_vec()));
+        }
+    }
 }
--- a/src/leader/active_leader/user_requests.rs
+++ b/src/leader/active_leader/user_requests.rs
@@ -16,6 +16,7 @@
 use crate::store::writer::CommitError;
 use crate::wire::{JobId, JobSpec};
 
+use super::job_intake::Intake;
 use super::ActiveLeader;
 
 /// How long a user's change may take to be stored.
@@ -138,7 +139,7 @@
         if !self.may_act() {
             return ApiResponse::unavailable("leadership is in doubt");
         }
-        if !self.load_job(id).await {
+        if self.load_job(id).await == Intake::Unreadable {
             return ApiResponse::unavailable("the job's state can't be read now");
         }
         let active_leader = self.clone();
