--- /dev/null
+++ b/tests/support/cloud/faults.rs
@@ -0,0 +1,50 @@
+//! The troubles that tests ask the cloud for.
+
+use std::time::Duration;
+
+use parking_lot::Mutex;
+
+use super::machine::Machine;
+use super::Cloud;
+
+impl Cloud {
+    /// Late copies of all commands that were carried out arrive.
+    pub fn repeat_commands(&self) {
+        let machines = self.machines.lock().clone();
+        for (id, c) in self.carried_out.lock().clone() {
+            if let Some(m) = machines.iter().find(|m| m.lock().id == id) {
+                let mut m = m.lock();
+                if !m.gone && c.token >= m.token {
+                    m.token = c.token;
+                    c.commands.iter().for_each(|c| self.execute(&mut m, *c));
+                }
+            }
+        }
+    }
+
+    /// Lets tasks of a job that start from now on run for hours.
+    pub fn run_slowly(&self, job: &str) {
+        self.slow.lock().insert(job.parse().expect("an id"));
+    }
+
+    /// These machines hang from now on.
+    pub fn hang(&self, machines: &[String]) {
+        let ids = machines.iter().map(|id| id.as_str().into());
+        self.hanging.lock().extend(ids);
+    }
+
+    pub(super) fn hangs(&self, m: &Mutex<Machine>) -> bool {
+        let id = m.lock().id.clone();
+        self.hanging.lock().contains(&id)
+    }
+
+    /// Workers have leases of such a life from now on.
+    pub fn use_leases(&self, lease: Duration) {
+        *self.lease.lock() = Some(lease);
+    }
+
+    /// Machines that hang go on.
+    pub fn resume(&self) {
+        self.hanging.lock().clear();
+    }
+}
