--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -1,30 +1,33 @@
-//! Limits of the state service: those that hold, and those that are announced.
+//! Limits of the state service: those that hold now, and those that are announced.
 
 use serde::Deserialize;
 
-/// Limits of the state service.
+const BYTES_PER_KIB: f64 = 1024.0;
+
+/// Limits of the state service that hold now, and those that are announced to hold
+/// later.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct StateLimits {
-    /// Requests a second, over all controllers.
+    /// Requests per second, of all controllers together.
     pub rps: f64,
-    /// Puts and deletes a second, over all controllers.
+    /// Puts and deletes per second, of all controllers together.
     pub write_rps: f64,
     /// Largest value, in KiB.
     pub value_kb: f64,
     /// Most puts and deletes in a transaction.
     pub txn_ops: usize,
-    /// Limits that hold from some later moment on, without notice.
+    /// Limits that hold from some later moment on, which is not notified.
     pub next: NextStateLimits,
 }
 
-/// Limits of the state service that are announced; those that aren't stay.
+/// Announced limits of the state service; a limit that is absent stays as it is.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct NextStateLimits {
-    /// Requests a second, over all controllers.
+    /// Requests per second, of all controllers together.
     pub rps: Option<f64>,
-    /// Puts and deletes a second, over all controllers.
+    /// Puts and deletes per second, of all controllers together.
     pub write_rps: Option<f64>,
     /// Largest value, in KiB.
     pub value_kb: Option<f64>,
@@ -32,31 +35,31 @@
     pub txn_ops: Option<usize>,
 }
 
+/// The lower of a limit and the one announced for it.
+fn lower<T: Copy>(limit: T, next: Option<T>, min: impl FnOnce(T, T) -> T) -> T {
+    next.map_or(limit, |next| min(next, limit))
+}
+
 impl StateLimits {
-    /// Largest value in bytes that is taken now and later.
+    /// Largest value, in bytes, that is taken now and later.
     pub fn value_bytes(&self) -> usize {
-        let kb = self
-            .next
-            .value_kb
-            .map_or(self.value_kb, |kb| kb.min(self.value_kb));
-        (kb * 1024.0) as usize
+        let kib = lower(self.value_kb, self.next.value_kb, f64::min);
+        (kib * BYTES_PER_KIB) as usize
     }
 
     /// Most puts and deletes in a transaction that is taken now and later.
     pub fn min_txn_ops(&self) -> usize {
-        let ops = self.next.txn_ops.unwrap_or(self.txn_ops);
-        ops.min(self.txn_ops)
+        lower(self.txn_ops, self.next.txn_ops, usize::min)
     }
 
-    /// Requests a second that are taken now and later.
+    /// Requests per second that are taken now and later.
     pub fn min_rps(&self) -> f64 {
-        self.next.rps.map_or(self.rps, |rps| rps.min(self.rps))
+        lower(self.rps, self.next.rps, f64::min)
     }
 
-    /// Changes a second that are taken now and later.
+    /// Puts and deletes per second that are taken now and later.
     pub fn min_write_rps(&self) -> f64 {
-        let rps = self.next.write_rps.unwrap_or(self.write_rps);
-        rps.min(self.write_rps)
+        lower(self.write_rps, self.next.write_rps, f64::min)
     }
 }
 
