--- a/src/stall.rs
+++ b/src/stall.rs
@@ -1,6 +1,7 @@
-//! Detects stalls and overload of this process. A controller may stand still for
-//! seconds while its clocks run on, or get less of the processor than it needs;
-//! both show in how late its own timer fires.
+//! Detection of stalls and overload of this process.
+//!
+//! A process may be paused for seconds while its clocks run on, or get less of the
+//! processor than it needs. Both show in how late its own timer fires.
 
 use std::time::{Duration, Instant};
 
@@ -8,49 +9,74 @@
 
 /// Interval of the timer.
 pub const TIMER_INTERVAL: Duration = Duration::from_millis(100);
-/// A tick that is so late means that the process stood still.
+/// A timer that is later than this means that the process was paused.
 const STALLED_AFTER: Duration = Duration::from_secs(1);
-/// So late, it has more to do than it can: polls are put off, at once and before
-/// they cost much. Submissions, cancellations and reports never are: what can't be
-/// stored in time is refused by the store's backlog. A further step at a later tick
-/// would never be reached, as that counts as a standstill.
+/// A timer that is later than this means that the process has more to do than it can.
+/// Polls are refused then, at once and before they cost much. Submissions,
+/// cancellations and heartbeats never are: what can't be stored in time is refused for
+/// the length of the writer's queue. A further step at a later timer would hardly ever
+/// be reached, as [`STALLED_AFTER`] is so close.
 const OVERLOADED_AFTER: Duration = Duration::from_millis(400);
 
-/// The last tick, and how late it was.
+/// Keeps track of the timer, which has to report each time that it fires.
 #[derive(Debug)]
 pub struct StallDetector {
-    last: Mutex<(Instant, Duration)>,
+    latest: Mutex<TimerRun>,
+}
+
+/// One firing of the timer.
+#[derive(Debug, Clone, Copy)]
+struct TimerRun {
+    fired_at: Instant,
+    /// How late that was.
+    delay: Duration,
+}
+
+impl TimerRun {
+    /// How long the next firing is overdue.
+    fn overdue(&self, now: Instant) -> Duration {
+        now.saturating_duration_since(self.fired_at + TIMER_INTERVAL)
+    }
 }
 
 impl StallDetector {
-    /// Starts now.
+    /// A detector whose timer starts now.
     pub fn new(now: Instant) -> Self {
         Self {
-            last: Mutex::new((now, Duration::ZERO)),
+            latest: Mutex::new(TimerRun {
+                fired_at: now,
+                delay: Duration::ZERO,
+            }),
         }
     }
 
     /// The timer fired.
     pub fn timer_fired(&self, now: Instant) {
-        let mut last = self.last.lock();
-        let late = now.saturating_duration_since(last.0 + TIMER_INTERVAL);
-        *last = (last.0.max(now), late);
+        let mut latest = self.latest.lock();
+        *latest = TimerRun {
+            fired_at: latest.fired_at.max(now),
+            delay: latest.overdue(now),
+        };
     }
 
-    /// If the process has stood still until now: for how long. Says so once.
+    /// If the process has been paused until now, for how long. Each pause is returned
+    /// once.
     pub fn take_stall(&self, now: Instant) -> Option<Duration> {
-        let mut last = self.last.lock();
-        let late = now.saturating_duration_since(last.0 + TIMER_INTERVAL);
-        (late > STALLED_AFTER).then(|| {
-            *last = (now, Duration::ZERO);
-            late
+        let mut latest = self.latest.lock();
+        let overdue = latest.overdue(now);
+        (overdue > STALLED_AFTER).then(|| {
+            *latest = TimerRun {
+                fired_at: now,
+                delay: Duration::ZERO,
+            };
+            overdue
         })
     }
 
-    /// Whether there is more to do than can be done, by how late the timer fires
-    /// or is due.
+    /// Whether the process has more to do than it can, by how late the timer fired or
+    /// is now.
     pub fn is_overloaded(&self, now: Instant) -> bool {
-        let last = self.last.lock();
-        last.1.max(now.saturating_duration_since(last.0 + TIMER_INTERVAL)) > OVERLOADED_AFTER
+        let latest = self.latest.lock();
+        latest.delay.max(latest.overdue(now)) > OVERLOADED_AFTER
     }
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -137,25 +137,29 @@
 #[test]
 fn the_shares_of_the_sockets_leave_something_for_each() {
     for limit in [bitternfold::sockets::MIN_SOCKETS, 256, 1024, 3312, 65_536] {
-        let s = SocketBudget::new(limit);
-        let commands = s.available_commands();
-        assert!(commands >= 8 && !s.is_overloaded());
+        let sockets = SocketBudget::new(limit);
+        let commands = sockets.available_commands();
+        assert!(commands >= 8 && !sockets.is_overloaded());
         on_loopback(async {
-            let mut held = Vec::new();
-            while let Ok(Some(p)) =
-                tokio::time::timeout(Duration::from_millis(10), s.acquire_incoming()).await
+            let mut permits = Vec::new();
+            while let Ok(permit) =
+                tokio::time::timeout(Duration::from_millis(10), sockets.acquire_incoming()).await
             {
-                held.push(p);
+                permits.push(permit);
             }
-            assert!(s.is_overloaded());
-            assert!(held.len() >= 16);
+            assert!(sockets.is_overloaded());
+            assert!(permits.len() >= 16);
             // What is left is for the state service, the cloud and the others.
             assert!(
-                held.len() + commands + 24 <= limit,
+                permits.len() + commands + 24 <= limit,
                 "{} + {commands} of {limit}",
-                held.len()
+                permits.len()
+            );
+            assert_eq!(
+                sockets.available_commands(),
+                commands,
+                "full of users, commands go on"
             );
-            assert_eq!(s.available_commands(), commands, "full of users, commands go on");
         });
     }
 }
