--- /dev/null
+++ b/src/leader/active_leader/job_status.rs
@@ -0,0 +1,57 @@
+//! The status of jobs: from memory where that can't be outdated, else as stored.
+
+use crate::controller::job_lookup::StoredJob;
+use crate::response::ApiResponse;
+use crate::wire::JobId;
+
+use super::ActiveLeader;
+
+impl ActiveLeader {
+    /// Responds to a poll.
+    pub async fn poll(&self, id: JobId) -> ApiResponse {
+        if let Some(status) = self.confirmed_status(id).await {
+            return status;
+        }
+        self.stored_status_or(id, ApiResponse::error(404, "no such job"))
+            .await
+    }
+
+    /// The response for a job that is in memory; `None`: it is not.
+    pub(super) fn status_in_memory(&self, id: JobId) -> Option<ApiResponse> {
+        if !self.may_act() {
+            return Some(ApiResponse::unavailable("leadership is in doubt"));
+        }
+        let unfinished = self.model.lock().status(id);
+        let status = unfinished.or_else(|| self.controller.terminal_states().status(id))?;
+        Some(ApiResponse::json(200, &status))
+    }
+
+    /// The response for a job that is in memory, if it can't be older than what
+    /// another leader has confirmed to a client since. Final states never are.
+    pub(super) async fn confirmed_status(&self, id: JobId) -> Option<ApiResponse> {
+        if let Some(status) = self.controller.terminal_states().status(id) {
+            return Some(ApiResponse::json(200, &status));
+        }
+        let response = self.status_in_memory(id)?;
+        if response.status == 200 && !self.confirm_leadership().await {
+            return Some(ApiResponse::unavailable("leadership can't be confirmed now"));
+        }
+        Some(response)
+    }
+
+    /// The response for a job as it is stored, or `if_never_accepted`. An
+    /// unfinished one that was unknown here is admitted.
+    pub(super) async fn stored_status_or(&self, id: JobId, if_never_accepted: ApiResponse) -> ApiResponse {
+        match self.controller.lookup(id).await {
+            Ok(StoredJob::NeverAccepted) => if_never_accepted,
+            Ok(found) => {
+                let response = self.controller.response_about(id, &found).await;
+                if let StoredJob::Unfinished(record, version) = found {
+                    self.admit(*record, version);
+                }
+                response
+            }
+            Err(_) => ApiResponse::unavailable("the job's state can't be read now"),
+        }
+    }
+}
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -16,11 +16,13 @@
 //! * `machine_types`, `machine_list`, `fleet_actions`: the cloud.
 //! * `term_leader`: this type as the controller sees it.
 
+mod cancellation;
 mod command_dispatch;
 mod dependency_lookup;
 mod fleet_actions;
 mod heartbeat_routing;
 mod job_intake;
+mod job_status;
 mod lease_renewal;
 mod machine_list;
 mod machine_types;
@@ -28,10 +30,10 @@
 mod reconciliation;
 mod rounds;
 mod state_writes;
+mod submission;
 mod takeover;
 mod term;
 mod term_leader;
-mod user_requests;
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
--- /dev/null
+++ b/src/leader/active_leader/submission.rs
@@ -0,0 +1,108 @@
+//! Submissions of jobs: checked, stored, and only then accepted.
+
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use serde_json::Value;
+use tokio::time::timeout;
+use tracing::debug;
+
+use crate::clock::unix_time_ms;
+use crate::controller::accepted;
+use crate::core::storage::atomic_write::AtomicWrite;
+use crate::core::storage::record::{self, JobRecord};
+use crate::response::ApiResponse;
+use crate::store::writer::CommitError;
+
+use super::ActiveLeader;
+
+/// How long a user's change may take to be stored.
+pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(2500);
+
+impl ActiveLeader {
+    /// Responds to a submission. A job is confirmed to its user only after it is
+    /// stored; one that is known already gets its status instead.
+    pub async fn submit(self: &Arc<Self>, body: &[u8]) -> ApiResponse {
+        let id = match self.controller.id_of(body) {
+            Ok(id) => id,
+            Err(rejection) => return rejection,
+        };
+        if let Some(status) = self.confirmed_status(id).await {
+            return status;
+        }
+        let record = match self.check_submission(body).await {
+            Ok(record) => record,
+            // Only an unknown job is rejected: another controller may have
+            // stored it.
+            Err(rejection) => return self.stored_status_or(id, rejection).await,
+        };
+        if self.is_write_queue_full() {
+            return ApiResponse::unavailable("too many jobs are being stored");
+        }
+        self.accept_within_timeout(record).await
+    }
+
+    /// The record to be stored, or the response to a job that can't be accepted.
+    async fn check_submission(&self, body: &[u8]) -> Result<JobRecord, ApiResponse> {
+        let types = self.controller.machine_types();
+        let record = JobRecord {
+            spec: self.controller.judge(body, &types)?,
+            at: unix_time_ms(),
+            cancelled: false,
+        };
+        if !self.controller.record_fits(&record) {
+            return Err(ApiResponse::error(400, "the job's description is too long"));
+        }
+        let kind_in_model = |id| self.model.lock().jobs().get(&id).map(|job| job.spec.kind);
+        self.controller.check_awaits(&record.spec, kind_in_model).await?;
+        Ok(record)
+    }
+
+    /// Whether a job submitted now could not be stored in time.
+    fn is_write_queue_full(&self) -> bool {
+        let storable = self.controller.store().max_changes_within(STORE_TIMEOUT);
+        self.writer.queued_urgent_changes() as f64 > storable
+    }
+
+    /// Stores a job; the write goes on if it takes longer than its user waits.
+    async fn accept_within_timeout(self: &Arc<Self>, record: JobRecord) -> ApiResponse {
+        let id = record.spec.id;
+        let active_leader = self.clone();
+        let acceptance = tokio::spawn(async move { active_leader.accept(record).await });
+        match timeout(STORE_TIMEOUT, acceptance).await {
+            Ok(Ok(Ok(()))) => accepted(id, 201),
+            Ok(Ok(Err(CommitError::Conflict(_) | CommitError::Refused))) => {
+                let unreadable = ApiResponse::unavailable("the job's state can't be read now");
+                self.stored_status_or(id, unreadable).await
+            }
+            _ => ApiResponse::unavailable("the job can't be stored now"),
+        }
+    }
+
+    /// Stores a job that neither is unfinished nor has ended, then adds it to the
+    /// model.
+    async fn accept(&self, record: JobRecord) -> Result<(), CommitError> {
+        let id = record.spec.id;
+        let value = serde_json::to_value(&record).unwrap_or(Value::Null);
+        let key = record::job_key(id);
+        let write = AtomicWrite {
+            changes: vec![(key.clone(), Some(value))],
+            absent: vec![key, record::final_key(id)],
+            urgent: true,
+        };
+        self.writer.commit(write).await?;
+        let spec = &record.spec;
+        debug!(
+            job = %id,
+            team = spec.team,
+            class = spec.class,
+            tasks = spec.tasks,
+            cpus = spec.cpus,
+            "accepted"
+        );
+        self.model.lock().add_job(record, Instant::now());
+        self.resolve_from_memory();
+        self.request_round();
+        Ok(())
+    }
+}
