--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -11,7 +11,9 @@
 
 use crate::http::{HttpClient, HttpError};
 use crate::store::rate_limiter::RateLimiter;
-use crate::wire::{ListedMachine, MachineId, MachineNames, MachinePage, MachineType, MachineTypes, Rental};
+use crate::wire::{
+    ListedMachine, MachineId, MachineNames, MachinePage, MachineType, MachineTypeList, RentalRequest,
+};
 
 /// What the client saw of a request that failed.
 #[derive(Debug, thiserror::Error)]
@@ -223,7 +225,7 @@
     /// The machine types on offer.
     pub async fn machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
         let request = CloudRequest::get("/machine_types");
-        let listed: MachineTypes = self.call(request, always).await?;
+        let listed: MachineTypeList = self.call(request, always).await?;
         Ok(listed.types)
     }
 
@@ -231,7 +233,7 @@
     /// that were rented, which may be fewer than wanted.
     pub async fn rent(
         &self,
-        rental: &Rental,
+        rental: &RentalRequest,
         may_send: impl FnOnce() -> bool,
     ) -> Result<Vec<MachineId>, CloudError> {
         let request = CloudRequest::post("/hosts", rental)?;
@@ -264,7 +266,7 @@
                 .unwrap_or_default();
             let path = format!("/hosts?{since}limit={PAGE_SIZE}");
             let page: MachinePage = self.call(CloudRequest::get(&path), always).await?;
-            let is_last = page.machines.is_empty() || !page.more;
+            let is_last = page.machines.is_empty() || !page.has_more;
             all.extend(page.machines);
             if is_last {
                 return Ok(all);
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -81,11 +81,11 @@
             deployment.services.cloud.to_string(),
             deployment.cluster.cloud.rps,
         );
-        let sockets = SocketBudget::new(deployment.cluster.limits.sockets);
+        let sockets = SocketBudget::new(deployment.cluster.process_limits.max_sockets);
         let links = deployment
             .peers
             .iter()
-            .map(|p| PeerLink::new(p.host.clone(), p.addr, sockets.max_incoming()))
+            .map(|p| PeerLink::new(p.host.clone(), p.address, sockets.max_incoming()))
             .collect();
         Arc::new(Self {
             config: Arc::new(SchedulerConfig::new(&deployment, operator_settings.clone())),
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -46,7 +46,10 @@
             return ApiResponse::json(200, &view);
         }
         let asked = self
-            .forward_to_leader(PeerRequest::Submit(body.to_vec()), self.operator_settings.forward)
+            .forward_to_leader(
+                PeerRequest::Submit(body.to_vec()),
+                self.operator_settings.forward_timeout,
+            )
             .await;
         match asked {
             Some(r) if r.status != 503 => r,
@@ -70,7 +73,10 @@
             return ApiResponse::json(200, &view);
         }
         let asked = self
-            .forward_to_leader(PeerRequest::Poll(id.to_string()), self.operator_settings.forward)
+            .forward_to_leader(
+                PeerRequest::Poll(id.to_string()),
+                self.operator_settings.forward_timeout,
+            )
             .await;
         match asked {
             Some(r) if r.status != 503 => {
--- a/src/core/evidence/commands.rs
+++ b/src/core/evidence/commands.rs
@@ -168,7 +168,7 @@
             let saves = slot
                 .spec
                 .as_ref()
-                .is_some_and(|s| s.checkpoint_s > 0.0 && s.save_s > 0.0)
+                .is_some_and(|s| s.checkpoint_s > 0.0 && s.checkpoint_grace_s > 0.0)
                 && !grace.is_zero();
             if saves {
                 if let Some(s) = &slot.spec {
--- a/src/core/evidence/heartbeats.rs
+++ b/src/core/evidence/heartbeats.rs
@@ -64,11 +64,11 @@
         }
         m.seen_token = m.seen_token.max(r.token);
         let reclaim_at = r
-            .notice_s
+            .reclaim_in_s
             .and_then(|s| Duration::try_from_secs_f64(s.max(0.0)).ok())
             .map(|d| now + d);
         if m.reclaim_at.is_none() && reclaim_at.is_some() {
-            debug!(machine = %r.machine, notice_s = r.notice_s, "spot notice");
+            debug!(machine = %r.machine, notice_s = r.reclaim_in_s, "spot notice");
         }
         m.reclaim_at = reclaim_at;
         if !m.fenced(term) {
--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -15,13 +15,13 @@
 use crate::core::state::resources::TeamUsage;
 use crate::core::state::resources::AMOUNT_TOLERANCE;
 use crate::core::state::slot::SlotState;
-use crate::wire::{JobKind, MachineId, Rental};
+use crate::wire::{JobKind, MachineId, RentalRequest};
 
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FleetAction {
     /// Rent machines.
-    Rent(Rental),
+    Rent(RentalRequest),
     /// Give machines back.
     Release(Vec<MachineId>),
 }
@@ -75,7 +75,7 @@
                 "renting"
             );
             self.fleet.pending.insert(request.clone(), (offer.clone(), count));
-            actions.push(FleetAction::Rent(Rental {
+            actions.push(FleetAction::Rent(RentalRequest {
                 request,
                 machine_type: offer.machine_type,
                 zone: offer.zone,
@@ -126,7 +126,7 @@
     }
 
     /// The cloud answered a rental with machines.
-    pub fn rental_done(&mut self, r: &Rental, machines: &[MachineId], now: Instant) {
+    pub fn rental_done(&mut self, r: &RentalRequest, machines: &[MachineId], now: Instant) {
         self.fleet.pending.remove(&r.request);
         for id in machines {
             self.rented(id.clone(), &r.machine_type, &r.zone, r.spot, now);
@@ -139,14 +139,14 @@
     /// The cloud refused a rental for want of capacity, or it is given up
     /// unanswered. What it may still rent shows up in the list or by its
     /// worker's reports. Pacing says nothing of capacity.
-    pub fn rental_failed(&mut self, r: &Rental, no_capacity: bool, now: Instant) {
+    pub fn rental_failed(&mut self, r: &RentalRequest, no_capacity: bool, now: Instant) {
         self.fleet.pending.remove(&r.request);
         if no_capacity {
             self.refuse(r, now);
         }
     }
 
-    fn refuse(&mut self, r: &Rental, now: Instant) {
+    fn refuse(&mut self, r: &RentalRequest, now: Instant) {
         let offer = Offer {
             machine_type: r.machine_type.clone(),
             zone: r.zone.clone(),
@@ -187,8 +187,8 @@
             return startable;
         };
         let limits = [
-            (team.cpus_max, team_usage.cpus, job.spec.cpus),
-            (team.gpus_max, team_usage.gpus, job.spec.gpus),
+            (team.cpu_limit, team_usage.cpus, job.spec.cpus),
+            (team.gpu_limit, team_usage.gpus, job.spec.gpus),
         ];
         for (limit, used, each) in limits {
             if limit > 0.0 && each > 0.0 {
--- a/src/core/fleet/releases.rs
+++ b/src/core/fleet/releases.rs
@@ -117,7 +117,7 @@
             .map(|t| if t.spot_price > 0.0 { t.spot_price.min(t.price) } else { t.price } / t.cpus.max(1.0))
             .fold(f64::MAX, f64::min);
         let ratio = (cheapest / self.price(m).max(1e-9)).clamp(0.0, 1.0);
-        self.config.operator_settings.idle.mul_f64(ratio * ratio)
+        self.config.operator_settings.idle_timeout.mul_f64(ratio * ratio)
     }
 
     fn price(&self, m: &Machine) -> f64 {
--- a/src/core/fleet/rentals.rs
+++ b/src/core/fleet/rentals.rs
@@ -79,7 +79,7 @@
     /// load varies in proportion.
     pub(super) fn warm_share(&self) -> f64 {
         let small = (50.0 / self.machines.len().max(1) as f64).sqrt();
-        self.config.operator_settings.warm * small.clamp(0.5, 1.0)
+        self.config.operator_settings.warm_share * small.clamp(0.5, 1.0)
     }
 
     /// Packs what waits onto what there is; the rest is to be rented.
--- a/src/core/scheduling/admission.rs
+++ b/src/core/scheduling/admission.rs
@@ -52,7 +52,7 @@
         f64::from(spec.tasks)
     };
     let over = |need: f64, most: f64| most > 0.0 && need * n > most + AMOUNT_TOLERANCE;
-    if over(spec.cpus, team.cpus_max) || over(spec.gpus, team.gpus_max) {
+    if over(spec.cpus, team.cpu_limit) || over(spec.gpus, team.gpu_limit) {
         return Err(AdmissionError::ExceedsTeamLimit);
     }
     Ok(())
--- a/src/core/scheduling/gang_repair.rs
+++ b/src/core/scheduling/gang_repair.rs
@@ -19,8 +19,8 @@
             })
             .collect();
         for (job, index, machine) in broken {
-            let save_s = self.jobs.get(&job).map_or(0.0, |j| j.spec.save_s);
-            let grace = Duration::from_secs_f64(save_s);
+            let checkpoint_grace_s = self.jobs.get(&job).map_or(0.0, |j| j.spec.checkpoint_grace_s);
+            let grace = Duration::from_secs_f64(checkpoint_grace_s);
             let task = TaskId { job, index };
             self.stop(&machine, task, grace, now, "its gang lost a task");
         }
--- a/src/core/scheduling/placement/rules.rs
+++ b/src/core/scheduling/placement/rules.rs
@@ -33,7 +33,7 @@
         let within = |limit: f64, used: f64, per_task: f64| {
             limit <= 0.0 || used + per_task * tasks <= limit + AMOUNT_TOLERANCE
         };
-        within(team.cpus_max, used.cpus, spec.cpus) && within(team.gpus_max, used.gpus, spec.gpus)
+        within(team.cpu_limit, used.cpus, spec.cpus) && within(team.gpu_limit, used.gpus, spec.gpus)
     }
 
     /// How many tasks of a job are placed in each zone.
--- a/src/core/scheduling/ranking/quota.rs
+++ b/src/core/scheduling/ranking/quota.rs
@@ -23,7 +23,9 @@
             let needed = needed_by_team.entry(&job.spec.team).or_default();
             needed.cpus += tasks * job.spec.cpus;
             needed.gpus += tasks * job.spec.gpus;
-            if needed.cpus <= team.cpus + AMOUNT_TOLERANCE && needed.gpus <= team.gpus + AMOUNT_TOLERANCE {
+            if needed.cpus <= team.cpu_quota + AMOUNT_TOLERANCE
+                && needed.gpus <= team.gpu_quota + AMOUNT_TOLERANCE
+            {
                 within.insert(job.spec.id);
             }
         }
--- a/src/core/state/config.rs
+++ b/src/core/state/config.rs
@@ -51,8 +51,8 @@
             zones: p.cluster.zones.clone(),
             heartbeat_interval: p.cluster.workers.heartbeat_interval,
             lease: p.cluster.workers.lease,
-            cancel: p.cluster.workers.cancel,
-            silent: operator_settings.silent.unwrap_or_else(|| {
+            cancel: p.cluster.workers.cancel_within,
+            silent: operator_settings.silence_timeout.unwrap_or_else(|| {
                 // Two reports may be late or lost on the way to a node that
                 // doesn't answer; and no healthy machine is silent for longer.
                 let w = &p.cluster.workers;
--- a/src/leader/active_leader/fleet_actions.rs
+++ b/src/leader/active_leader/fleet_actions.rs
@@ -8,7 +8,7 @@
 
 use crate::cloud::CloudError;
 use crate::core::fleet::FleetAction;
-use crate::wire::{MachineId, Rental};
+use crate::wire::{MachineId, RentalRequest};
 
 use super::ActiveLeader;
 
@@ -61,7 +61,7 @@
 
     /// Rents machines. A request that may or may not have been carried out is
     /// repeated under the same name, which the cloud carries out once.
-    async fn rent(&self, rental: &Rental) {
+    async fn rent(&self, rental: &RentalRequest) {
         let mut retries = 0;
         loop {
             if !self.may_act() {
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -95,7 +95,7 @@
         let limits = AuthorityLimits {
             lease: controller.operator_settings().leader_lease,
             worker_lease: workers.lease,
-            cancel: workers.cancel,
+            cancel: workers.cancel_within,
             clock_error: controller.deployment().cluster.clock_error,
         };
         Arc::new(Self {
--- a/src/leader/process.rs
+++ b/src/leader/process.rs
@@ -44,8 +44,8 @@
     operator_settings: OperatorSettings,
 ) -> Result<(), StartError> {
     let controller = Controller::new(deployment, operator_settings);
-    let api_listener = listen("api_addr", controller.deployment().listen).await?;
-    let peer_listener = listen("back", controller.deployment().peer_listen).await?;
+    let api_listener = listen("api_addr", controller.deployment().api_address).await?;
+    let peer_listener = listen("back", controller.deployment().peer_address).await?;
     info!(
         host = controller.host(),
         zone = controller.deployment().zone,
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -67,10 +67,10 @@
     pub zone: String,
     /// Address for users, workers and health checks.
     #[serde(rename = "api_addr")]
-    pub listen: SocketAddr,
+    pub api_address: SocketAddr,
     /// Address for the other controllers.
     #[serde(rename = "back")]
-    pub peer_listen: SocketAddr,
+    pub peer_address: SocketAddr,
     /// The other controllers.
     #[serde(default, rename = "seeds")]
     pub peers: Vec<PeerAddress>,
@@ -89,7 +89,7 @@
     pub host: String,
     /// Its address for controllers.
     #[serde(rename = "endpoint")]
-    pub addr: SocketAddr,
+    pub address: SocketAddr,
 }
 
 /// Addresses of the services.
@@ -117,7 +117,7 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Timing of workers.
-    pub workers: Workers,
+    pub workers: WorkerTiming,
     /// Limits of the state service.
     #[serde(default)]
     pub state: StateLimits,
@@ -126,7 +126,7 @@
     pub cloud: CloudLimits,
     /// Limits of the machine that this controller runs on.
     #[serde(default, rename = "machine_limits")]
-    pub limits: MachineLimits,
+    pub process_limits: ProcessLimits,
 }
 
 /// A team; 0 means none, for guarantees and for limits.
@@ -135,17 +135,17 @@
     /// Its name.
     pub name: String,
     /// Guaranteed CPUs.
-    #[serde(default)]
-    pub cpus: f64,
+    #[serde(default, rename = "cpus")]
+    pub cpu_quota: f64,
     /// Most CPUs its tasks may use (0: no limit).
-    #[serde(default)]
-    pub cpus_max: f64,
+    #[serde(default, rename = "cpus_max")]
+    pub cpu_limit: f64,
     /// Guaranteed accelerators.
-    #[serde(default)]
-    pub gpus: f64,
+    #[serde(default, rename = "gpus")]
+    pub gpu_quota: f64,
     /// Most accelerators its tasks may use (0: no limit).
-    #[serde(default)]
-    pub gpus_max: f64,
+    #[serde(default, rename = "gpus_max")]
+    pub gpu_limit: f64,
 }
 
 /// An aim on starting or finishing.
@@ -169,7 +169,7 @@
 
 /// Timing of workers.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Workers {
+pub struct WorkerTiming {
     /// Interval of reports.
     #[serde(rename = "report_s", deserialize_with = "seconds")]
     pub heartbeat_interval: Duration,
@@ -178,7 +178,7 @@
     pub lease: Duration,
     /// Within this time a cancelled job's tasks must be gone.
     #[serde(rename = "cancel_s", deserialize_with = "seconds")]
-    pub cancel: Duration,
+    pub cancel_within: Duration,
 }
 
 /// Limits of the cloud.
@@ -204,23 +204,23 @@
 /// Limits of a controller's machine.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
-pub struct MachineLimits {
+pub struct ProcessLimits {
     /// Share of a core.
     pub core_share: f64,
     /// Memory.
     pub memory_mb: f64,
     /// Open sockets of the process.
     #[serde(rename = "fd_limit", deserialize_with = "count")]
-    pub sockets: usize,
+    pub max_sockets: usize,
 }
 
-impl Default for MachineLimits {
+impl Default for ProcessLimits {
     fn default() -> Self {
         Self {
             core_share: 1.0,
             memory_mb: 256.0,
             // What a process is customarily allowed.
-            sockets: 1024,
+            max_sockets: 1024,
         }
     }
 }
@@ -272,8 +272,8 @@
             p.workers.heartbeat_interval.as_secs_f64(),
         )?;
         positive("cluster.workers.lease_s", p.workers.lease.as_secs_f64())?;
-        positive("cluster.workers.cancel_s", p.workers.cancel.as_secs_f64())?;
-        if p.workers.cancel <= p.workers.lease {
+        positive("cluster.workers.cancel_s", p.workers.cancel_within.as_secs_f64())?;
+        if p.workers.cancel_within <= p.workers.lease {
             return bad("cluster.workers.cancel_s", "must be above lease_s");
         }
         positive("cluster.state.rps", p.state.rps)?;
@@ -296,12 +296,12 @@
             return bad("cluster.state.next.txn_ops", "must be at least 2");
         }
         positive("cluster.cloud.rps", p.cloud.rps)?;
-        positive("cluster.machine_limits.core_share", p.limits.core_share)?;
-        if !p.limits.memory_mb.is_finite() || p.limits.memory_mb < MIN_MEMORY_MB {
+        positive("cluster.machine_limits.core_share", p.process_limits.core_share)?;
+        if !p.process_limits.memory_mb.is_finite() || p.process_limits.memory_mb < MIN_MEMORY_MB {
             let least = format!("must be at least {MIN_MEMORY_MB}");
             return bad("cluster.machine_limits.memory_mb", &least);
         }
-        if p.limits.sockets < sockets::MIN_SOCKETS {
+        if p.process_limits.max_sockets < sockets::MIN_SOCKETS {
             let least = format!("must be at least {}", sockets::MIN_SOCKETS);
             return bad("cluster.machine_limits.fd_limit", &least);
         }
@@ -311,10 +311,10 @@
                 return bad(&format!("cluster.teams[{i}].name"), "must be present once");
             }
             for (f, v) in [
-                ("cpus", t.cpus),
-                ("cpus_max", t.cpus_max),
-                ("gpus", t.gpus),
-                ("gpus_max", t.gpus_max),
+                ("cpus", t.cpu_quota),
+                ("cpus_max", t.cpu_limit),
+                ("gpus", t.gpu_quota),
+                ("gpus_max", t.gpu_limit),
             ] {
                 if !v.is_finite() || v < 0.0 {
                     return bad(&format!("cluster.teams[{i}].{f}"), "must be 0 (none) or more");
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -15,16 +15,16 @@
     /// `plan.pause_ms`: least time between two planning rounds.
     pub plan_pause: Duration,
     /// `fleet.idle_s`: an idle machine beyond the warm room is returned after this.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// `fleet.silent_s`: a machine silent this long is released for its tasks' sake.
     /// Unset: derived from the workers' report interval.
-    pub silent: Option<Duration>,
+    pub silence_timeout: Option<Duration>,
     /// `fleet.most`: most machines rented at once.
     pub max_machines: usize,
     /// `fleet.warm`: free room kept, as a share of the CPUs in use; half of it in a large fleet.
-    pub warm: f64,
+    pub warm_share: f64,
     /// `users.forward_ms`: how long a follower waits for the leader's answer.
-    pub forward: Duration,
+    pub forward_timeout: Duration,
 }
 
 impl Default for OperatorSettings {
@@ -32,11 +32,11 @@
         Self {
             leader_lease: Duration::from_millis(2000),
             plan_pause: Duration::from_millis(50),
-            idle: Duration::from_secs(90),
-            silent: None,
+            idle_timeout: Duration::from_secs(90),
+            silence_timeout: None,
             max_machines: 10_000,
-            warm: 0.15,
-            forward: Duration::from_millis(200),
+            warm_share: 0.15,
+            forward_timeout: Duration::from_millis(200),
         }
     }
 }
@@ -73,11 +73,13 @@
                     t.leader_lease = Duration::from_secs_f64(number(500.0, 60_000.0)? / 1e3)
                 }
                 "plan.pause_ms" => t.plan_pause = Duration::from_secs_f64(number(1.0, 5_000.0)? / 1e3),
-                "fleet.idle_s" => t.idle = Duration::from_secs_f64(number(0.0, 86_400.0)?),
-                "fleet.silent_s" => t.silent = Some(Duration::from_secs_f64(number(1.0, 600.0)?)),
+                "fleet.idle_s" => t.idle_timeout = Duration::from_secs_f64(number(0.0, 86_400.0)?),
+                "fleet.silent_s" => t.silence_timeout = Some(Duration::from_secs_f64(number(1.0, 600.0)?)),
                 "fleet.most" => t.max_machines = number(1.0, 100_000.0)? as usize,
-                "fleet.warm" => t.warm = number(0.0, 10.0)?,
-                "users.forward_ms" => t.forward = Duration::from_secs_f64(number(10.0, 5_000.0)? / 1e3),
+                "fleet.warm" => t.warm_share = number(0.0, 10.0)?,
+                "users.forward_ms" => {
+                    t.forward_timeout = Duration::from_secs_f64(number(10.0, 5_000.0)? / 1e3)
+                }
                 _ => return Err(fail(key, "is not a known key".into())),
             }
         }
--- a/src/store/reads.rs
+++ b/src/store/reads.rs
@@ -89,7 +89,7 @@
         let mut items: Vec<KeyValue> = Vec::new();
         loop {
             let page = self.read_page(prefix, items.last()).await?;
-            let is_last = page.items.is_empty() || !page.more;
+            let is_last = page.items.is_empty() || !page.has_more;
             items.extend(page.items);
             if is_last {
                 return Ok(Listing {
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -39,7 +39,7 @@
 
 /// Response of `GET /machine_types`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct MachineTypes {
+pub struct MachineTypeList {
     /// The types.
     #[serde(rename = "rigs")]
     pub types: Vec<MachineType>,
@@ -47,7 +47,7 @@
 
 /// Body of `POST /hosts`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rental {
+pub struct RentalRequest {
     /// Name of the request, never used twice.
     #[serde(rename = "hire")]
     pub request: String,
@@ -119,5 +119,5 @@
     pub machines: Vec<ListedMachine>,
     /// Whether more follow.
     #[serde(rename = "has_next", default)]
-    pub more: bool,
+    pub has_more: bool,
 }
--- a/src/wire/ids.rs
+++ b/src/wire/ids.rs
@@ -16,17 +16,17 @@
 /// The text is not an id of the wanted form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("malformed id")]
-pub struct BadId;
+pub struct MalformedId;
 
 impl FromStr for JobId {
-    type Err = BadId;
-    fn from_str(s: &str) -> Result<Self, BadId> {
-        let d = s.strip_prefix("job-").ok_or(BadId)?;
+    type Err = MalformedId;
+    fn from_str(s: &str) -> Result<Self, MalformedId> {
+        let d = s.strip_prefix("job-").ok_or(MalformedId)?;
         if d.is_empty() || d.len() > 18 || !d.bytes().all(|b| b.is_ascii_digit()) {
-            return Err(BadId);
+            return Err(MalformedId);
         }
         Ok(Self {
-            number: d.parse().map_err(|_| BadId)?,
+            number: d.parse().map_err(|_| MalformedId)?,
             digits: d.len() as u8,
         })
     }
@@ -54,12 +54,12 @@
 }
 
 impl FromStr for TaskId {
-    type Err = BadId;
-    fn from_str(s: &str) -> Result<Self, BadId> {
-        let (job, index) = s.split_once('/').ok_or(BadId)?;
+    type Err = MalformedId;
+    fn from_str(s: &str) -> Result<Self, MalformedId> {
+        let (job, index) = s.split_once('/').ok_or(MalformedId)?;
         Ok(Self {
             job: job.parse()?,
-            index: index.parse().map_err(|_| BadId)?,
+            index: index.parse().map_err(|_| MalformedId)?,
         })
     }
 }
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -24,7 +24,7 @@
     pub items: Vec<KeyValue>,
     /// Whether more follow.
     #[serde(rename = "has_next", default)]
-    pub more: bool,
+    pub has_more: bool,
     /// Revision of the store.
     #[serde(rename = "ledger")]
     pub revision: u64,
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -90,7 +90,7 @@
     pub checkpoint_s: f64,
     /// Time to save when stopped.
     #[serde(rename = "stow_s")]
-    pub save_s: f64,
+    pub checkpoint_grace_s: f64,
     /// When the job should be complete, from its submission.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
@@ -113,7 +113,11 @@
 impl JobSpec {
     /// Time to save that a task is given when it is stopped: none if it never saves.
     pub fn grace(&self) -> std::time::Duration {
-        let s = if self.checkpoint_s > 0.0 { self.save_s } else { 0.0 };
+        let s = if self.checkpoint_s > 0.0 {
+            self.checkpoint_grace_s
+        } else {
+            0.0
+        };
         std::time::Duration::from_secs_f64(s)
     }
 
@@ -125,7 +129,7 @@
             ("size_gb", self.image_gb),
             ("expected_s", self.estimate_s),
             ("tally_s", self.checkpoint_s),
-            ("stow_s", self.save_s),
+            ("stow_s", self.checkpoint_grace_s),
             ("due_s", self.deadline_s.unwrap_or(0.0)),
         ];
         for (name, v) in amounts {
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -105,7 +105,7 @@
     pub token: u64,
     /// Seconds until the cloud takes the machine.
     #[serde(rename = "recall_s", default, skip_serializing_if = "Option::is_none")]
-    pub notice_s: Option<f64>,
+    pub reclaim_in_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "lots", default)]
     pub tasks: Vec<ReportedTask>,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -164,7 +164,7 @@
         let mut r = heartbeat(&id, "small", "north", false, 7, sequence);
         r.token = m.machines()[&id].seen_token;
         r.tasks = running(m, &id);
-        r.notice_s = Some(reclaim_at);
+        r.reclaim_in_s = Some(reclaim_at);
         m.apply_heartbeat(&r, now);
         m.plan_fleet(now);
         m.machines()[&id].slots.values().any(|s| s.stop.is_some())
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -57,7 +57,7 @@
                     spot: b[2],
                     estimate_s: est,
                     checkpoint_s: 30.0,
-                    save_s: 4.0,
+                    checkpoint_grace_s: 4.0,
                     deadline_s: due,
                     awaits,
                 }
@@ -165,7 +165,7 @@
 fn settings_ignore_the_unknown_and_name_the_wrong() {
     let p = support::deployment();
     assert_eq!(p.cluster.workers.lease, std::time::Duration::from_secs(20));
-    assert_eq!(p.cluster.teams[1].cpus_max, 0.0, "0 means none");
+    assert_eq!(p.cluster.teams[1].cpu_limit, 0.0, "0 means none");
     for (from, to, field) in [
         ("lease_s = 20.0", "lease_s = -1.0", "cluster.workers.lease_s"),
         ("lease_s = 20.0", "", "lease_s"),
@@ -230,7 +230,7 @@
             support::SETTINGS
         );
         let p = DeploymentSettings::parse(&text, "test").expect("either way");
-        assert_eq!(p.cluster.limits.sockets, 3000);
+        assert_eq!(p.cluster.process_limits.max_sockets, 3000);
     }
     // The smaller of both limits counts, whichever is announced.
     let text = support::SETTINGS.replace(
@@ -252,7 +252,7 @@
     for key in ["leader.lease_ms", "leader.hold_ms"] {
         let text = format!("# ours\n{key} = 2500\nfleet.warm: 0.5\n");
         let t = OperatorSettings::parse(text.as_bytes(), "test").expect("good");
-        assert_eq!((t.leader_lease.as_millis(), t.warm), (2500, 0.5), "{key}");
+        assert_eq!((t.leader_lease.as_millis(), t.warm_share), (2500, 0.5), "{key}");
     }
     for (text, key) in [
         ("leader.hold_ms=soon", "leader.hold_ms"),
--- a/tests/gap/world/mod.rs
+++ b/tests/gap/world/mod.rs
@@ -65,7 +65,7 @@
         let w = &mut deployment.cluster.workers;
         w.heartbeat_interval = Duration::from_secs_f64(times.report);
         w.lease = Duration::from_secs_f64(times.lease);
-        w.cancel = w.lease + MARGIN + Duration::from_secs_f64(times.spare);
+        w.cancel_within = w.lease + MARGIN + Duration::from_secs_f64(times.spare);
         let base = start();
         Self {
             clock_error: Duration::from_secs_f64(times.clock_error),
--- a/tests/support/cloud/machine.rs
+++ b/tests/support/cloud/machine.rs
@@ -38,7 +38,7 @@
         incarnation: m.incarnation,
         sequence: m.sequence,
         token: m.token,
-        notice_s: None,
+        reclaim_in_s: None,
         tasks: m
             .tasks
             .iter()
--- a/tests/support/cloud/mod.rs
+++ b/tests/support/cloud/mod.rs
@@ -107,7 +107,7 @@
             .and(warp::path!("hosts"))
             .and(warp::body::json())
             .and(with.clone())
-            .then(|r: Rental, c: Arc<Cloud>| async move { answer(c.rent(r).await) });
+            .then(|r: RentalRequest, c: Arc<Cloud>| async move { answer(c.rent(r).await) });
         let release = warp::post()
             .and(warp::path!("hosts" / "release"))
             .and(warp::body::json())
@@ -125,7 +125,7 @@
         serve(types.or(list).or(rent).or(release)).await
     }
 
-    pub(super) async fn rent(self: &Arc<Self>, r: Rental) -> Json {
+    pub(super) async fn rent(self: &Arc<Self>, r: RentalRequest) -> Json {
         if let Some(got) = self.requests.lock().get(&r.request) {
             return (200, json!({"racks": got}));
         }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -115,7 +115,7 @@
         spot: true,
         estimate_s: 60.0,
         checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_grace_s: 0.0,
         deadline_s: None,
         awaits: Vec::new(),
     }
@@ -147,7 +147,7 @@
         incarnation: 1,
         sequence,
         token: term << 20,
-        notice_s: None,
+        reclaim_in_s: None,
         tasks: Vec::new(),
     }
 }
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -65,7 +65,7 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             token: self.token,
-            notice_s: None,
+            reclaim_in_s: None,
             tasks: self
                 .tasks
                 .iter()
