--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -168,7 +168,7 @@
 
     /// Whether a request could be sent to any other controller now.
     pub fn any_peer_reachable(&self) -> bool {
-        self.links.iter().any(|link| link.alive())
+        self.links.iter().any(|link| link.is_alive())
     }
 
     /// Who leads, as far as is known.
@@ -287,7 +287,7 @@
         let Role::Following { host, .. } = self.role() else {
             return None;
         };
-        let link = self.links.iter().find(|l| l.host == host)?;
+        let link = self.links.iter().find(|link| link.host() == host)?;
         link.request(request, patience).await.filter(|r| r.status != 0)
     }
 
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use bitternfold::peer::{next_for, MAX_BATCH_BYTES};
+use bitternfold::peer::{next_for_batch, MAX_BATCH_BYTES};
 use bitternfold::stall::{StallDetector, TIMER_INTERVAL};
 
 #[test]
@@ -32,7 +32,7 @@
 fn a_full_batch_takes_nothing_out_of_the_queue() {
     let (tx, mut rx) = tokio::sync::mpsc::channel(4);
     tx.try_send(1).expect("room");
-    assert_eq!(next_for(&mut rx, MAX_BATCH_BYTES), None);
-    assert_eq!(next_for(&mut rx, 0), Some(1), "it waits for the next batch");
-    assert_eq!(next_for(&mut rx, 0), None);
+    assert_eq!(next_for_batch(&mut rx, MAX_BATCH_BYTES), None);
+    assert_eq!(next_for_batch(&mut rx, 0), Some(1), "it waits for the next batch");
+    assert_eq!(next_for_batch(&mut rx, 0), None);
 }
