--- /dev/null
+++ b/src/core/evidence/heartbeats/exit.rs
@@ -0,0 +1,109 @@
+//! What follows from the end of an attempt.
+
+use std::time::{Duration, Instant};
+
+use tracing::debug;
+
+use crate::core::evidence::heartbeats::reported_task::reported_slot;
+use crate::core::state::job::Job;
+use crate::core::state::machine::Machine;
+use crate::core::state::slot::SlotState;
+use crate::core::storage::wal::{LogEntry, WriteAheadLog};
+use crate::wire::{ExitReason, JobKind, ReportedTask};
+
+/// How long nothing more is placed on a machine that refused a start for want of room:
+/// long enough for the tasks that still hold the room to end or to be reported.
+const FULL_MACHINE_PAUSE: Duration = Duration::from_secs(3);
+/// How long a job pauses after a worker didn't know one of its tasks.
+const UNKNOWN_TASK_PAUSE: Duration = Duration::from_secs(2);
+
+/// What the end of an attempt means to its machine.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum ExitEffect {
+    /// Nothing further.
+    None,
+    /// The attempt failed, so that the machine may be faulty.
+    FailureOfMachine,
+}
+
+/// Takes in that an attempt has ended. Its slot stays until the outcome is stored and
+/// the worker has acknowledged that; its task is placed again unless it is done.
+pub(super) fn apply_exit(
+    machine: &mut Machine,
+    job: Option<&mut Job>,
+    log: &mut WriteAheadLog,
+    task: &ReportedTask,
+    now: Instant,
+) -> ExitEffect {
+    let Some(slot) = reported_slot(&mut machine.slots, task) else {
+        return ExitEffect::None;
+    };
+    let reason = task.exit_reason.unwrap_or(ExitReason::Other);
+    slot.state = SlotState::Ended(reason);
+    let ran = slot.running_since.map(|since| now - since);
+    let was_stopped = slot.stop.is_some();
+    debug!(task = %task.task, attempt = slot.attempt, machine = %machine.id, ?reason, "attempt ended");
+    machine.unacknowledged_since.get_or_insert(now);
+    if reason == ExitReason::Done {
+        machine.failures = 0;
+        machine.failed_jobs.clear();
+    }
+    let mut effect = ExitEffect::None;
+    if let Some(job) = job {
+        match reason {
+            ExitReason::Done => {
+                if let Some(mark) = record_done(job, log, task, ran) {
+                    slot.outcome = mark;
+                }
+            }
+            ExitReason::Failed | ExitReason::Other => {
+                record_failure(machine, job, ran, now);
+                effect = ExitEffect::FailureOfMachine;
+            }
+            ExitReason::NoRoom if !was_stopped => {
+                machine.full_until = Some(now + FULL_MACHINE_PAUSE);
+            }
+            ExitReason::UnknownTask => job.pause_until = Some(now + UNKNOWN_TASK_PAUSE),
+            _ => {}
+        }
+        job.vacate(task.task.index, &machine.id);
+    }
+    if machine.empty() && machine.idle_since.is_none() {
+        machine.idle_since = Some(now);
+    }
+    effect
+}
+
+/// Notes that a task of a batch or gang job is done. Returns the mark of the log entry
+/// that says so; `None` for a service, which is never done, or a task that the job
+/// doesn't have.
+fn record_done(
+    job: &mut Job,
+    log: &mut WriteAheadLog,
+    task: &ReportedTask,
+    ran: Option<Duration>,
+) -> Option<u64> {
+    let id = task.task;
+    if job.spec.kind == JobKind::Service || id.index >= job.spec.tasks {
+        return None;
+    }
+    job.finish(id.index);
+    let mark = log.push(LogEntry::Done(id.job, vec![id.index]));
+    job.failures.clear();
+    if let Some(ran) = ran {
+        job.run_sum += ran;
+        job.run_count += 1;
+    }
+    Some(mark)
+}
+
+/// Counts a failure against both the machine and the job: which of the two is at fault
+/// shows by the failures elsewhere.
+fn record_failure(machine: &mut Machine, job: &mut Job, ran: Option<Duration>, now: Instant) {
+    job.failures.record(&machine.id, ran.unwrap_or_default(), now);
+    machine.failures += 1;
+    machine.failed_jobs.insert(job.spec.id);
+    if job.on_probation(now) {
+        job.pause_until = Some(now + job.failures.pause());
+    }
+}
--- /dev/null
+++ b/src/core/evidence/heartbeats/mod.rs
@@ -0,0 +1,114 @@
+//! What a message of a worker changes: a heartbeat, or the response to a command,
+//! which has the same form.
+//!
+//! A message is taken in by these steps, in this order:
+//!
+//! 1. `machine`: is it newer than what is known, and what does it say of the machine?
+//! 2. `absence`: which attempts does it prove to be gone?
+//! 3. `reported_task`, `exit`: what does it say of each task that it lists?
+//!
+//! Everything rests on two orders. Messages of one worker are ordered by incarnation
+//! and sequence; of a late copy nothing is taken in. Commands to one machine are
+//! ordered by fencing token; a worker refuses those below the highest token it has seen.
+
+mod absence;
+mod exit;
+mod machine;
+mod reported_task;
+
+use std::time::Instant;
+
+use tracing::{debug, info};
+
+use crate::core::state::machine::Machine;
+use crate::core::state::model::ClusterModel;
+use crate::core::state::token;
+use crate::wire::{Heartbeat, MachineId, TaskState};
+
+/// What came of a message of a worker.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum HeartbeatOutcome {
+    /// Ignored: its machine is released for certain.
+    MachineReleased,
+    /// Ignored: a newer message of the same worker, or a later incarnation, is known.
+    Outdated,
+    /// Taken in.
+    Applied,
+}
+
+/// A message while it is applied, and what holds for all its tasks.
+struct AcceptedHeartbeat<'a> {
+    heartbeat: &'a Heartbeat,
+    /// Whether the worker had seen a token of this term when it sent the message.
+    /// Otherwise it may be a late copy from before the term.
+    fenced: bool,
+    /// Room for images on the machine, in GB.
+    cache_gb: f64,
+    /// When it arrived.
+    now: Instant,
+}
+
+impl ClusterModel {
+    /// Takes in a message of a worker: a heartbeat, or the response to a command.
+    ///
+    /// Messages may come late, twice and in any order; one that is not newer than
+    /// what is known changes nothing.
+    pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) -> HeartbeatOutcome {
+        if self.released_machines.contains(&heartbeat.machine) {
+            return HeartbeatOutcome::MachineReleased;
+        }
+        let cache_gb = self.image_cache_gb(&heartbeat.machine_type);
+        self.adopt_unknown_machine(&heartbeat.machine, now);
+        let machine = self
+            .machines
+            .get_mut(&heartbeat.machine)
+            .expect("an unknown machine was adopted just above");
+        if !machine::accept_message(machine, heartbeat, now) {
+            return HeartbeatOutcome::Outdated;
+        }
+        if machine::update_identity(machine, heartbeat) {
+            self.log.push(machine.entry());
+        }
+        machine::update_token_and_notice(machine, heartbeat, self.term, now);
+        let absent = absence::absent_attempts(machine, heartbeat);
+        for task in absent {
+            debug!(%task, machine = %heartbeat.machine, "attempt is gone from its machine");
+            self.drop_slot(&heartbeat.machine, task, now);
+        }
+        self.apply_reported_tasks(&AcceptedHeartbeat {
+            heartbeat,
+            fenced: token::term_of(heartbeat.token) == self.term,
+            cache_gb,
+            now,
+        });
+        self.note_due(&heartbeat.machine);
+        HeartbeatOutcome::Applied
+    }
+
+    /// Room for images on machines of a type; unlimited while the type is not known.
+    fn image_cache_gb(&self, machine_type: &str) -> f64 {
+        let known = self.machine_types.iter().find(|t| t.name == machine_type);
+        known.map_or(f64::MAX, |t| t.cache_gb)
+    }
+
+    /// Adds a machine that reports though neither the log nor the cloud has named
+    /// it yet: it was rented by an earlier leader, or its rental is not confirmed.
+    fn adopt_unknown_machine(&mut self, id: &MachineId, now: Instant) {
+        if !self.machines.contains_key(id) {
+            info!(machine = %id, "unknown machine reports, adopted");
+            self.machines.insert(id.clone(), Machine::new(id.clone(), now));
+        }
+    }
+
+    fn apply_reported_tasks(&mut self, accepted: &AcceptedHeartbeat) {
+        let tasks = &accepted.heartbeat.tasks;
+        for task in tasks {
+            self.apply_reported_task(accepted, task);
+        }
+        if accepted.fenced {
+            for task in tasks.iter().filter(|task| task.state != TaskState::Exited) {
+                self.hold_unexpected_attempt(&accepted.heartbeat.machine, task);
+            }
+        }
+    }
+}
--- a/src/core/evidence/mod.rs
+++ b/src/core/evidence/mod.rs
@@ -3,7 +3,9 @@
 
 pub mod authority;
 pub mod commands;
+mod cordons;
 pub mod heartbeats;
 pub mod invariants;
 pub mod liveness;
 pub mod permission;
+mod probation;
