--- /dev/null
+++ b/src/api/mod.rs
@@ -0,0 +1,14 @@
+//! The HTTP/1.1 endpoints for users, workers and health checks.
+//!
+//! * `connections` accepts connections within the budget of sockets, and closes those
+//!   that are idle or take too long ([`ConnectionTimeouts`]).
+//! * `routes` has a function for each endpoint; it calls the
+//!   [`Controller`](crate::controller::Controller), which decides every response.
+//! * `responses` turns these into HTTP.
+
+mod connections;
+mod responses;
+mod routes;
+
+pub use connections::{serve, ConnectionTimeouts};
+pub use routes::routes;
--- /dev/null
+++ b/src/api/routes.rs
@@ -0,0 +1,131 @@
+//! The endpoints, one function each. The paths are the platform's.
+
+use std::convert::Infallible;
+use std::sync::Arc;
+
+use bytes::Bytes;
+use serde_json::json;
+use warp::http::HeaderValue;
+use warp::{Filter, Rejection, Reply};
+
+use super::responses::{to_http, to_rejection};
+use crate::controller::Controller;
+use crate::response::ApiResponse;
+use crate::wire::{JobId, BODY_LIMIT};
+
+type Response = warp::http::Response<Bytes>;
+
+/// All endpoints of a controller.
+pub fn routes(
+    controller: Arc<Controller>,
+) -> impl Filter<Extract = (impl Reply,), Error = Infallible> + Clone + Send + Sync + 'static {
+    health(&controller)
+        .or(heartbeat(&controller))
+        .unify()
+        .or(poll(&controller))
+        .unify()
+        .or(submit(&controller))
+        .unify()
+        .or(cancel(&controller))
+        .unify()
+        .map(|response: Response| response.into_response())
+        .recover(to_rejection)
+        .unify()
+}
+
+/// Hands the controller to an endpoint.
+fn with(
+    controller: &Arc<Controller>,
+) -> impl Filter<Extract = (Arc<Controller>,), Error = Infallible> + Clone + Send + Sync + 'static {
+    let controller = controller.clone();
+    warp::any().map(move || controller.clone())
+}
+
+/// The body of a request, at most [`BODY_LIMIT`] bytes.
+fn limited_body() -> impl Filter<Extract = (Bytes,), Error = Rejection> + Clone + Send + Sync + 'static {
+    warp::body::content_length_limit(BODY_LIMIT).and(warp::body::bytes())
+}
+
+/// `GET /up`: whether a load balancer should send users here.
+fn health(
+    controller: &Arc<Controller>,
+) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
+    warp::get()
+        .and(warp::path!("up"))
+        .and(with(controller))
+        .map(|controller: Arc<Controller>| {
+            to_http(if controller.can_serve() {
+                ApiResponse::json(200, &json!({}))
+            } else {
+                ApiResponse::unavailable("cut off from the state service and the other controllers")
+            })
+        })
+}
+
+/// `POST /v2/runs`: submission of a job.
+fn submit(
+    controller: &Arc<Controller>,
+) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
+    warp::post()
+        .and(warp::path!("v2" / "runs"))
+        .and(limited_body())
+        .and(with(controller))
+        .then(
+            |body: Bytes, controller: Arc<Controller>| async move { to_http(controller.submit(&body).await) },
+        )
+}
+
+/// `GET /v2/runs/{id}`: status of a job.
+fn poll(
+    controller: &Arc<Controller>,
+) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
+    warp::get()
+        .and(warp::path!("v2" / "runs" / String))
+        .and(with(controller))
+        .then(|id: String, controller: Arc<Controller>| async move {
+            to_http(match id.parse::<JobId>() {
+                Ok(id) => controller.poll(id).await,
+                Err(_) => unknown_job(),
+            })
+        })
+}
+
+/// `POST /v2/runs/{id}/cancel`: cancellation of a job.
+fn cancel(
+    controller: &Arc<Controller>,
+) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
+    warp::post()
+        .and(warp::path!("v2" / "runs" / String / "cancel"))
+        .and(with(controller))
+        .then(|id: String, controller: Arc<Controller>| async move {
+            to_http(match id.parse::<JobId>() {
+                Ok(id) => controller.cancel(id).await,
+                Err(_) => unknown_job(),
+            })
+        })
+}
+
+/// What is not the form of a job's id was never accepted as one.
+fn unknown_job() -> ApiResponse {
+    ApiResponse::error(404, "no such job")
+}
+
+/// `POST /v1/report`: heartbeat of a worker.
+fn heartbeat(
+    controller: &Arc<Controller>,
+) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
+    warp::post()
+        .and(warp::path!("v1" / "report"))
+        .and(limited_body())
+        .and(with(controller))
+        .then(|body: Bytes, controller: Arc<Controller>| async move {
+            let mut response = to_http(controller.heartbeat(&body).await);
+            if controller.sockets().is_overloaded() {
+                // The worker opens another connection for its next heartbeat;
+                // meanwhile its socket serves somebody else.
+                let close = HeaderValue::from_static("close");
+                response.headers_mut().insert("connection", close);
+            }
+            response
+        })
+}
