--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,29 +1,33 @@
-//! What operators may set themselves, beyond the file that the platform hands over.
+//! What operators may set themselves, beyond the file that the platform hands over: a
+//! file of Java-style properties, in which every key is optional.
 
 use std::collections::HashMap;
 use std::path::Path;
 use std::time::Duration;
 
-use super::SettingsError;
+use super::error::{FieldError, InvalidValue, SettingsError};
 
 /// Operators' own settings, with defaults that suit any deployment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OperatorSettings {
-    /// `leader.lease_ms` (earlier: `leader.hold_ms`): life of the leader's lease at
-    /// the state service.
+    /// `leader.lease_ms` (earlier: `leader.hold_ms`), 500 to 60,000: lifetime of the
+    /// leader's lease at the state service.
     pub leader_lease: Duration,
-    /// `plan.pause_ms`: least time between two planning rounds.
+    /// `plan.pause_ms`, 1 to 5,000: least time between two scheduling rounds.
     pub plan_pause: Duration,
-    /// `fleet.idle_s`: an idle machine beyond the warm room is returned after this.
+    /// `fleet.idle_s`, 0 to 86,400: an idle machine that isn't needed as spare capacity
+    /// is released after so long.
     pub idle_timeout: Duration,
-    /// `fleet.silent_s`: a machine silent this long is released for its tasks' sake.
-    /// Unset: derived from the workers' report interval.
+    /// `fleet.silent_s`, 1 to 600: a machine that has sent no heartbeat for so long is
+    /// released for its tasks' sake. Unset: derived from the heartbeat interval.
     pub silence_timeout: Option<Duration>,
-    /// `fleet.most`: most machines rented at once.
+    /// `fleet.most`, 1 to 100,000: most machines rented at once.
     pub max_machines: usize,
-    /// `fleet.warm`: free room kept, as a share of the CPUs in use; half of it in a large fleet.
+    /// `fleet.warm`, 0 to 10: spare capacity that is kept, as a share of the CPUs in
+    /// use; half of it in a large fleet.
     pub warm_share: f64,
-    /// `users.forward_ms`: how long a follower waits for the leader's answer.
+    /// `users.forward_ms`, 10 to 5,000: how long a follower waits for the leader's
+    /// response to a user's request.
     pub forward_timeout: Duration,
 }
 
@@ -42,47 +46,58 @@
 }
 
 impl OperatorSettings {
-    /// Reads and checks a properties file.
+    /// Reads a properties file and checks it.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
-        let text = std::fs::read(path).map_err(|e| SettingsError::Unreadable(file.clone(), e))?;
-        Self::parse(&text, &file)
+        match std::fs::read(path) {
+            Ok(text) => Self::parse(&text, &file),
+            Err(source) => Err(SettingsError::Unreadable { file, source }),
+        }
     }
 
-    /// Parses and checks; an unknown key is an error, as it is surely a slip.
+    /// Parses and checks `text`; errors name `file` as its source. An unknown key is an
+    /// error, since it is most likely misspelt.
     pub fn parse(text: &[u8], file: &str) -> Result<Self, SettingsError> {
-        let fail = |field: &str, reason: String| SettingsError::Field {
-            file: file.to_owned(),
-            field: field.to_owned(),
-            reason,
-        };
-        let map: HashMap<String, String> =
-            java_properties::read(text).map_err(|e| fail("(file)", e.to_string()))?;
-        let mut t = Self::default();
-        for (key, value) in &map {
-            let number = |lo: f64, hi: f64| {
-                value
-                    .trim()
-                    .parse::<f64>()
-                    .ok()
-                    .filter(|v| (lo..=hi).contains(v))
-                    .ok_or_else(|| fail(key, format!("must be a number from {lo} to {hi}")))
-            };
-            match key.as_str() {
-                "leader.lease_ms" | "leader.hold_ms" => {
-                    t.leader_lease = Duration::from_secs_f64(number(500.0, 60_000.0)? / 1e3)
-                }
-                "plan.pause_ms" => t.plan_pause = Duration::from_secs_f64(number(1.0, 5_000.0)? / 1e3),
-                "fleet.idle_s" => t.idle_timeout = Duration::from_secs_f64(number(0.0, 86_400.0)?),
-                "fleet.silent_s" => t.silence_timeout = Some(Duration::from_secs_f64(number(1.0, 600.0)?)),
-                "fleet.most" => t.max_machines = number(1.0, 100_000.0)? as usize,
-                "fleet.warm" => t.warm_share = number(0.0, 10.0)?,
-                "users.forward_ms" => {
-                    t.forward_timeout = Duration::from_secs_f64(number(10.0, 5_000.0)? / 1e3)
-                }
-                _ => return Err(fail(key, "is not a known key".into())),
-            }
+        let properties: HashMap<String, String> = java_properties::read(text)
+            .map_err(|e| FieldError::new("(file)", InvalidValue::Malformed(e.to_string())).in_file(file))?;
+        let mut settings = Self::default();
+        for (key, value) in &properties {
+            settings
+                .set(key, value)
+                .map_err(|reason| FieldError::new(key, reason).in_file(file))?;
         }
-        Ok(t)
+        Ok(settings)
     }
+
+    /// Sets the property with this key.
+    fn set(&mut self, key: &str, value: &str) -> Result<(), InvalidValue> {
+        match key {
+            "leader.lease_ms" | "leader.hold_ms" => self.leader_lease = millis(value, 500.0, 60_000.0)?,
+            "plan.pause_ms" => self.plan_pause = millis(value, 1.0, 5_000.0)?,
+            "fleet.idle_s" => self.idle_timeout = seconds(value, 0.0, 86_400.0)?,
+            "fleet.silent_s" => self.silence_timeout = Some(seconds(value, 1.0, 600.0)?),
+            "fleet.most" => self.max_machines = number(value, 1.0, 100_000.0)? as usize,
+            "fleet.warm" => self.warm_share = number(value, 0.0, 10.0)?,
+            "users.forward_ms" => self.forward_timeout = millis(value, 10.0, 5_000.0)?,
+            _ => return Err(InvalidValue::UnknownKey),
+        }
+        Ok(())
+    }
+}
+
+fn number(value: &str, min: f64, max: f64) -> Result<f64, InvalidValue> {
+    value
+        .trim()
+        .parse::<f64>()
+        .ok()
+        .filter(|number| (min..=max).contains(number))
+        .ok_or(InvalidValue::NotInRange { min, max })
+}
+
+fn seconds(value: &str, min: f64, max: f64) -> Result<Duration, InvalidValue> {
+    number(value, min, max).map(Duration::from_secs_f64)
+}
+
+fn millis(value: &str, min: f64, max: f64) -> Result<Duration, InvalidValue> {
+    number(value, min, max).map(|millis| Duration::from_secs_f64(millis / 1e3))
 }
