--- a/src/leader/active_leader/cancellation.rs
+++ b/src/leader/active_leader/cancellation.rs
@@ -35,7 +35,7 @@
     /// An earlier cancellation is stored.
     AlreadyStored,
     /// The model has taken the cancellation; this record is to be stored.
-    Store(JobRecord),
+    Store(Box<JobRecord>),
 }
 
 /// How the storing of a cancellation ended.
@@ -118,7 +118,7 @@
             Some(_) => {
                 model.cancel(id, Instant::now());
                 let job = model.jobs().get(&id).expect("a cancellation removes no job");
-                CancellationStep::Store(job.record())
+                CancellationStep::Store(Box::new(job.record()))
             }
         }
     }
