--- a/src/leader/active_leader/heartbeat_handling.rs
+++ b/src/leader/active_leader/heartbeat_handling.rs
@@ -1,130 +1,154 @@
-//! Reports of workers, and which controller each of them is to report to.
+//! Heartbeats of workers: applied to the model, and responded to with a fencing
+//! token and commands, or with a redirect.
 
-use std::collections::hash_map::DefaultHasher;
-use std::hash::{Hash, Hasher};
 use std::time::Instant;
 
+use thiserror::Error;
 use tracing::{error, info};
 
 use crate::core::evidence::heartbeats::HeartbeatOutcome;
-use crate::core::state::machine::MachinePhase;
+use crate::core::state::machine::{Machine, MachinePhase};
 use crate::core::ClusterModel;
 use crate::response::ApiResponse;
-use crate::wire::{Heartbeat, MachineId};
+use crate::wire::{Command, Heartbeat, HeartbeatResponse};
 
 use super::ActiveLeader;
 
-impl ActiveLeader {
-    /// The controller that a machine is to report to: the same one from every
-    /// leader, among those that are connected and that the worker can reach.
-    fn owner(&self, machine: &MachineId, now: Instant) -> String {
-        let redirects = self.redirects.lock();
-        let weight = |host: &String| {
-            let mut hasher = DefaultHasher::new();
-            (machine, host).hash(&mut hasher);
-            hasher.finish()
-        };
-        self.controller
-            .connected()
-            .into_iter()
-            .filter(|host| redirects.may_reach(machine, host, now))
-            .max_by_key(weight)
-            .unwrap_or_else(|| self.controller.host().to_owned())
+/// Why a heartbeat renews no lease. The texts are the error bodies of the
+/// responses.
+#[derive(Debug, Error)]
+enum HeartbeatRejection {
+    #[error("leadership is in doubt")]
+    LeadershipInDoubt,
+    #[error(transparent)]
+    Malformed(#[from] serde_json::Error),
+    #[error("this machine is being returned")]
+    MachineReleasing,
+    #[error("this machine was returned")]
+    MachineReleased,
+    #[error("an older report")]
+    Outdated,
+    #[error("a newer leader has spoken to this worker")]
+    NewerLeader,
+}
+
+impl From<HeartbeatRejection> for ApiResponse {
+    fn from(rejection: HeartbeatRejection) -> Self {
+        let reason = rejection.to_string();
+        match rejection {
+            HeartbeatRejection::Malformed(_) => ApiResponse::error(400, &reason),
+            HeartbeatRejection::LeadershipInDoubt
+            | HeartbeatRejection::MachineReleasing
+            | HeartbeatRejection::MachineReleased
+            | HeartbeatRejection::Outdated
+            | HeartbeatRejection::NewerLeader => ApiResponse::unavailable(&reason),
+        }
     }
+}
+
+/// What the model made of a heartbeat.
+struct HandledHeartbeat {
+    outcome: HeartbeatOutcome,
+    /// `None`: the worker has accepted a token of a newer leader.
+    response: Option<HeartbeatResponse>,
+    /// Stops of tasks of cancelled jobs, which are sent even while this
+    /// controller may not act.
+    stops: Vec<Command>,
+}
 
-    /// A report that reached the controller `via`.
+impl ActiveLeader {
+    /// Responds to a heartbeat that reached the controller `via`.
     pub fn heartbeat(&self, body: &[u8], via: &str) -> ApiResponse {
+        self.handle_heartbeat(body, via).unwrap_or_else(ApiResponse::from)
+    }
+
+    fn handle_heartbeat(&self, body: &[u8], via: &str) -> Result<ApiResponse, HeartbeatRejection> {
         if !self.may_renew_leases() {
-            return ApiResponse::unavailable("leadership is in doubt");
+            return Err(HeartbeatRejection::LeadershipInDoubt);
         }
-        let r: Heartbeat = match serde_json::from_slice(body) {
-            Ok(r) => r,
-            Err(e) => return ApiResponse::error(400, &e.to_string()),
-        };
+        let heartbeat: Heartbeat = serde_json::from_slice(body)?;
         let now = Instant::now();
         let may_act = self.may_act();
-        let (outcome, response, stops) = {
-            let mut m = self.model.lock();
-            let outcome = m.apply_heartbeat(&r, now);
-            let known = m.machines().get(&r.machine);
-            if known.is_some_and(|m| m.phase == MachinePhase::Releasing) {
-                return ApiResponse::unavailable("this machine is being returned");
-            }
-            match outcome {
-                HeartbeatOutcome::MachineReleased => {
-                    return ApiResponse::unavailable("this machine was returned")
-                }
-                // A command's answer has overtaken it, or it is a late copy,
-                // whose answer reaches nobody.
-                HeartbeatOutcome::Outdated
-                    if known.is_none_or(|m| {
-                        m.newest_message.0 != r.incarnation || m.incarnation_ended(r.incarnation)
-                    }) =>
-                {
-                    return ApiResponse::unavailable("an older report")
-                }
-                HeartbeatOutcome::Outdated | HeartbeatOutcome::Applied => {}
-            }
-            if outcome == HeartbeatOutcome::Applied {
-                self.log_unknown_tasks(&m, &r);
-            }
-            (
-                outcome,
-                m.heartbeat_response(&r.machine, r.token, now),
-                m.stops_for_cancelled(&r),
-            )
-        };
-        if outcome == HeartbeatOutcome::Applied {
+        let handled = self.apply_heartbeat(&heartbeat, now)?;
+        if handled.outcome == HeartbeatOutcome::Applied {
             self.request_round();
         }
-        let Some(mut response) = response else {
-            // Only an elected one gives out such tokens.
-            info!(
-                term = self.term,
-                token = r.token,
-                "a newer leader has spoken to a worker"
-            );
-            self.end();
-            return ApiResponse::unavailable("a newer leader has spoken to this worker");
+        let Some(mut response) = handled.response else {
+            self.end_for_newer_leader(&heartbeat);
+            return Err(HeartbeatRejection::NewerLeader);
         };
-        // Late copies tell nothing of where the worker reports now.
-        if outcome == HeartbeatOutcome::Applied {
-            if let Some(to) = self.redirect(&r.machine, via, now) {
-                return ApiResponse::redirect(&to);
+        // A late copy says nothing of which controller the worker reports to now.
+        if handled.outcome == HeartbeatOutcome::Applied {
+            if let Some(host) = self.redirect(&heartbeat.machine, via, now) {
+                return Ok(ApiResponse::redirect(&host));
             }
         }
         if !may_act {
             response.commands.clear();
         }
-        response.commands.extend(stops);
-        ApiResponse::json(200, &response)
+        response.commands.extend(handled.stops);
+        Ok(ApiResponse::json(200, &response))
+    }
+
+    /// Applies a heartbeat to the model and computes the response to it, under
+    /// one lock.
+    fn apply_heartbeat(
+        &self,
+        heartbeat: &Heartbeat,
+        now: Instant,
+    ) -> Result<HandledHeartbeat, HeartbeatRejection> {
+        let mut model = self.model.lock();
+        let outcome = model.apply_heartbeat(heartbeat, now);
+        let machine = model.machines().get(&heartbeat.machine);
+        if machine.is_some_and(|machine| machine.phase == MachinePhase::Releasing) {
+            return Err(HeartbeatRejection::MachineReleasing);
+        }
+        match outcome {
+            HeartbeatOutcome::MachineReleased => return Err(HeartbeatRejection::MachineReleased),
+            HeartbeatOutcome::Outdated if !is_of_live_incarnation(heartbeat, machine) => {
+                return Err(HeartbeatRejection::Outdated);
+            }
+            HeartbeatOutcome::Outdated => {}
+            HeartbeatOutcome::Applied => self.log_unknown_tasks(&model, heartbeat),
+        }
+        Ok(HandledHeartbeat {
+            outcome,
+            response: model.heartbeat_response(&heartbeat.machine, heartbeat.token, now),
+            stops: model.stops_for_cancelled(heartbeat),
+        })
+    }
+
+    fn end_for_newer_leader(&self, heartbeat: &Heartbeat) {
+        // Only an elected leader gives out such tokens.
+        info!(
+            term = self.term,
+            token = heartbeat.token,
+            "a worker has accepted a token of a newer leader"
+        );
+        self.end();
     }
 
-    fn log_unknown_tasks(&self, model: &ClusterModel, r: &Heartbeat) {
-        for unknown in model.unknown_tasks(r) {
+    fn log_unknown_tasks(&self, model: &ClusterModel, heartbeat: &Heartbeat) {
+        for unknown in model.unknown_tasks(heartbeat) {
             error!(
                 term = self.term,
-                machine = %r.machine,
+                machine = %heartbeat.machine,
                 task = %unknown.task,
                 attempt = unknown.attempt,
-                incarnation = r.incarnation,
-                sequence = r.sequence,
-                token = r.token,
+                incarnation = heartbeat.incarnation,
+                sequence = heartbeat.sequence,
+                token = heartbeat.token,
                 "invariant violated: a task runs that is not known"
             );
         }
     }
+}
 
-    /// The controller that a worker is to report to instead of `via`, if any.
-    fn redirect(&self, machine: &MachineId, via: &str, now: Instant) -> Option<String> {
-        if !self.redirects.lock().heartbeat_arrived(machine, via, now) {
-            return None;
-        }
-        let owner = self.owner(machine, now);
-        if owner == via {
-            return None;
-        }
-        self.redirects.lock().redirected(machine, &owner, now);
-        Some(owner)
-    }
+/// Whether an outdated heartbeat is of the agent incarnation that the machine
+/// runs as far as is known: the response to a command has overtaken it then, or
+/// it is a late copy whose response reaches nobody. Its lease may be renewed.
+fn is_of_live_incarnation(heartbeat: &Heartbeat, machine: Option<&Machine>) -> bool {
+    machine.is_some_and(|machine| {
+        machine.newest_message.0 == heartbeat.incarnation && !machine.incarnation_ended(heartbeat.incarnation)
+    })
 }
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -9,7 +9,7 @@
 //! * `lease_renewal`: keeps the lease, and confirms that this controller leads.
 //! * `rounds`: scheduling rounds; `state_writes` and `command_dispatch` store and
 //!   send what they decide.
-//! * `heartbeat_routing`: heartbeats of workers, and their redirects.
+//! * `heartbeat_handling`: heartbeats of workers; `redirection`: their redirects.
 //! * `submission`, `job_status`, `cancellation`: requests of users.
 //! * `job_intake`, `reconciliation`: jobs that other controllers stored.
 //! * `dependency_lookup`: how jobs ended that others depend on.
@@ -20,7 +20,7 @@
 mod command_dispatch;
 mod dependency_lookup;
 mod fleet_actions;
-mod heartbeat_routing;
+mod heartbeat_handling;
 mod job_intake;
 mod job_status;
 mod lease_renewal;
@@ -28,6 +28,7 @@
 mod machine_types;
 mod moment;
 mod reconciliation;
+mod redirection;
 mod rounds;
 mod state_writes;
 mod submission;
--- /dev/null
+++ b/src/leader/active_leader/redirection.rs
@@ -0,0 +1,44 @@
+//! Redirects: which controller each worker is to report to.
+
+use std::collections::hash_map::DefaultHasher;
+use std::hash::{Hash, Hasher};
+use std::time::Instant;
+
+use crate::wire::MachineId;
+
+use super::ActiveLeader;
+
+impl ActiveLeader {
+    /// Notes a heartbeat that came through `via`; returns the controller that
+    /// its worker is to report to instead, if any.
+    pub(super) fn redirect(&self, machine: &MachineId, via: &str, now: Instant) -> Option<String> {
+        if !self.redirects.lock().heartbeat_arrived(machine, via, now) {
+            return None;
+        }
+        let target = self.assigned_controller(machine, now);
+        if target == via {
+            return None;
+        }
+        self.redirects.lock().redirected(machine, &target, now);
+        Some(target)
+    }
+
+    /// The controller that a machine is to report to, by rendezvous hashing: the
+    /// same one from every leader, among those that are connected and that the
+    /// worker can reach.
+    fn assigned_controller(&self, machine: &MachineId, now: Instant) -> String {
+        let redirects = self.redirects.lock();
+        self.controller
+            .connected()
+            .into_iter()
+            .filter(|host| redirects.may_reach(machine, host, now))
+            .max_by_key(|host| rendezvous_weight(machine, host))
+            .unwrap_or_else(|| self.controller.host().to_owned())
+    }
+}
+
+fn rendezvous_weight(machine: &MachineId, host: &String) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    (machine, host).hash(&mut hasher);
+    hasher.finish()
+}
