--- /dev/null
+++ b/src/core/fleet/demand.rs
@@ -0,0 +1,50 @@
+//! How much of what waits could start if there were machines for it.
+
+use std::time::Instant;
+
+use crate::core::state::job::Job;
+use crate::core::state::model::ClusterModel;
+use crate::core::state::resources::{TeamUsage, AMOUNT_TOLERANCE};
+use crate::wire::JobKind;
+
+impl ClusterModel {
+    /// How many of a job's waiting tasks may start now if there is room: as many
+    /// as its pause, its probation and its team's limit allow, given what the
+    /// team uses.
+    pub(super) fn startable_tasks(&self, job: &Job, team_usage: TeamUsage, now: Instant) -> u32 {
+        if job.cancelled || job.pause_until.is_some_and(|end| end > now) {
+            return 0;
+        }
+        let allowance = match self.placement_limit(job, now).saturating_sub(job.placed) {
+            // A gang is placed whole or not at all.
+            1.. if job.spec.kind == JobKind::Gang => u32::MAX,
+            allowance => allowance,
+        };
+        let mut startable = allowance.min(job.waiting.count());
+        let Some(team) = self.config.teams.get(&job.spec.team) else {
+            return startable;
+        };
+        let limits = [
+            (team.cpu_limit, team_usage.cpus, job.spec.cpus),
+            (team.gpu_limit, team_usage.gpus, job.spec.gpus),
+        ];
+        for (limit, used, per_task) in limits {
+            if limit > 0.0 && per_task > 0.0 {
+                let tasks = (limit - used + AMOUNT_TOLERANCE) / per_task;
+                startable = startable.min(tasks.max(0.0) as u32);
+            }
+        }
+        startable
+    }
+
+    /// Whether some job waits for nothing but capacity. Jobs that pause, are on
+    /// probation or at their team's limit must not hold the whole fleet: one
+    /// that was submitted with a mistake waits until its user cancels it.
+    pub(super) fn has_startable_tasks(&self, now: Instant) -> bool {
+        let usage_by_team = self.team_usage();
+        self.jobs_waiting_for_capacity().any(|job| {
+            let team_usage = usage_by_team.get(&job.spec.team).copied().unwrap_or_default();
+            self.startable_tasks(job, team_usage, now) > 0
+        })
+    }
+}
--- /dev/null
+++ b/src/core/fleet/partitions.rs
@@ -0,0 +1,50 @@
+//! Network partitions, as far as the silence of machines tells of them.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Instant;
+
+use crate::core::state::machine::{Machine, MachinePhase};
+use crate::core::state::model::ClusterModel;
+
+/// A zone counts as partitioned only if more machines than this are silent.
+const MAX_SILENT_BY_CHANCE: usize = 2;
+
+/// Machines of a zone that are up, and how many of them are silent.
+#[derive(Debug, Default, Clone, Copy)]
+struct ZoneCount {
+    up: usize,
+    silent: usize,
+}
+
+impl ClusterModel {
+    /// Zones in which more than three fifths of the machines are silent for longer than
+    /// their heartbeats are apart.
+    pub(super) fn partitioned_zones(&self, now: Instant) -> BTreeSet<String> {
+        let mut zones: BTreeMap<&str, ZoneCount> = BTreeMap::new();
+        for machine in self.machines.values().filter(|m| m.phase == MachinePhase::Up) {
+            let zone = zones.entry(&machine.zone).or_default();
+            zone.up += 1;
+            zone.silent += usize::from(self.silence(machine, now) > self.config.heartbeat_interval);
+        }
+        zones
+            .into_iter()
+            .filter(|(_, zone)| zone.silent > MAX_SILENT_BY_CHANCE && zone.silent * 5 > zone.up * 3)
+            .map(|(name, _)| name.to_owned())
+            .collect()
+    }
+
+    /// Whether more than half of the machines are silent at once: then it is this
+    /// process that doesn't receive.
+    pub(super) fn most_machines_silent(&self, now: Instant) -> bool {
+        let up: Vec<&Machine> = self
+            .machines
+            .values()
+            .filter(|machine| machine.phase == MachinePhase::Up)
+            .collect();
+        let silent = up
+            .iter()
+            .filter(|machine| self.silence(machine, now) > self.config.silent)
+            .count();
+        silent > MAX_SILENT_BY_CHANCE && silent * 2 > up.len()
+    }
+}
--- a/src/core/fleet/releases.rs
+++ b/src/core/fleet/releases.rs
@@ -1,7 +1,7 @@
-//! What to give back: machines that are lost to us, and idle ones beyond the
-//! warm room.
+//! What to release: machines that are lost to the cluster, and idle ones that are not
+//! needed.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
 use tracing::debug;
@@ -10,120 +10,142 @@
 use crate::core::state::model::ClusterModel;
 use crate::wire::MachineId;
 
-impl ClusterModel {
-    /// Zones most of whose machines are silent for longer than their reports
-    /// are apart: cut off, it seems.
-    pub(super) fn silent_zones(&self, now: Instant) -> BTreeSet<String> {
-        let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for m in self.machines.values().filter(|m| m.phase == MachinePhase::Up) {
-            let z = zones.entry(&m.zone).or_default();
-            z.0 += 1;
-            z.1 += usize::from(self.silence(m, now) > self.config.heartbeat_interval);
+/// Machines of a partitioned zone are kept for so long after their lease has expired:
+/// the zone comes back, as a rule sooner than machines could be rented anew, and with
+/// its images.
+const PARTITION_GRACE: Duration = Duration::from_secs(30);
+/// Boot time that is assumed of a machine of unknown type, in seconds.
+const UNKNOWN_BOOT_S: f64 = 30.0;
+/// A machine is given up if it has not come up within this many of its type's usual
+/// boot times...
+const MAX_BOOT_TIMES: f64 = 4.0;
+/// ...and so many seconds.
+const MAX_BOOT_EXTRA_S: f64 = 10.0;
+
+/// Why a machine is released.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum ReleaseReason {
+    /// Rented, but its worker has not spoken in time.
+    NeverCameUp,
+    /// Something may be on it by the log, but its worker has not spoken in time.
+    SilentSinceFound,
+    /// Its heartbeats have stopped.
+    Silent,
+    /// Its heartbeats arrive, but it answers no commands.
+    TakesNoCommands,
+    /// It was cordoned, and is empty by now.
+    Cordoned,
+    /// The cloud reclaims it, and it is empty by now.
+    SpotNotice,
+    /// It is not needed.
+    Idle,
+}
+
+/// What is to become of a machine.
+enum Disposition {
+    Keep,
+    /// It is empty and in order, so it is kept or released as the load asks for.
+    Idle,
+    Release(ReleaseReason),
+}
+
+/// What the machines of the fleet, seen together, tell of the network.
+struct NetworkView {
+    partitioned_zones: BTreeSet<String>,
+    /// The silence of machines says nothing, as most of them are silent.
+    most_machines_silent: bool,
+    /// Missing responses to commands say nothing, as hardly any arrive.
+    partitioned_from_workers: bool,
+}
+
+impl ReleaseReason {
+    /// The reason as it is logged.
+    pub(super) fn as_str(self) -> &'static str {
+        match self {
+            Self::NeverCameUp => "never came up",
+            Self::SilentSinceFound => "silent since it was found",
+            Self::Silent => "silent",
+            Self::TakesNoCommands => "takes no commands",
+            Self::Cordoned => "failed or faulty",
+            Self::SpotNotice => "spot notice",
+            Self::Idle => "idle",
         }
-        zones
-            .into_iter()
-            .filter(|(_, (all, silent))| *silent > 2 && silent * 5 > all * 3)
-            .map(|(z, _)| z.to_owned())
-            .collect()
     }
+}
 
-    pub(super) fn to_release(&self, now: Instant) -> Vec<MachineId> {
-        let silent_after = self.config.silent;
-        let mut out = Vec::new();
-        let up: Vec<&Machine> = self
-            .machines
-            .values()
-            .filter(|m| m.phase == MachinePhase::Up)
-            .collect();
-        let silent = |m: &Machine| self.silence(m, now) > silent_after;
-        let silent_count = up.iter().filter(|m| silent(m)).count();
-        // Most of them silent at once: it is we who don't hear.
-        let deaf = silent_count > 2 && silent_count * 2 > up.len();
-        let zones = self.silent_zones(now);
-        // A zone that is cut off comes back, as a rule sooner than machines
-        // could be rented anew, and with its images. What the lease settles
-        // needs no release.
-        let long = silent_after + self.config.lease + Duration::from_secs(30);
-        let waits = |m: &Machine| {
-            zones.contains(&m.zone)
-                && self.silence(m, now) < long
-                && (m.fenced(self.term) || m.slots.is_empty())
+impl ClusterModel {
+    /// Machines to release now. Tasks may still be on lost ones: their places stay
+    /// until the release is confirmed.
+    pub(super) fn machines_to_release(&self, now: Instant) -> Vec<MachineId> {
+        let network = NetworkView {
+            most_machines_silent: self.most_machines_silent(now),
+            partitioned_zones: self.partitioned_zones(now),
+            partitioned_from_workers: self.is_partitioned_from_workers(now),
         };
-        let cut = self.is_partitioned_from_workers(now);
-        let takes_none = |m: &Machine| self.ignores_commands(m, now, silent_after * 2);
+        let mut release = Vec::new();
         let mut idle: Vec<&Machine> = Vec::new();
-        for m in self.machines.values() {
-            let reason = match m.phase {
-                MachinePhase::Releasing => continue,
-                MachinePhase::Booting => {
-                    let boot = self.kind_of(m).map_or(30.0, |k| self.machine_types[k].boot_s);
-                    let most = Duration::from_secs_f64(boot * 4.0 + 10.0) + self.config.list_lag;
-                    if now.saturating_duration_since(m.since) <= most {
-                        continue;
-                    }
-                    if m.slots.is_empty() {
-                        "never came up"
-                    } else {
-                        "silent since it was found"
-                    }
-                }
-                MachinePhase::Up if silent(m) && waits(m) => continue,
-                MachinePhase::Up if silent(m) && !deaf => "silent",
-                MachinePhase::Up if !cut && takes_none(m) => "takes no commands",
-                MachinePhase::Up if m.cordoned_since.is_some() && m.empty() => "failed or faulty",
-                MachinePhase::Up if m.reclaim_at.is_some() && m.empty() => "spot notice",
-                MachinePhase::Up => {
-                    if m.slots.is_empty() && m.idle_since.is_some() && !silent(m) {
-                        idle.push(m);
-                    }
-                    continue;
+        for machine in self.machines.values() {
+            match self.disposition(machine, &network, now) {
+                Disposition::Keep => {}
+                Disposition::Idle => idle.push(machine),
+                Disposition::Release(reason) => {
+                    debug!(machine = %machine.id, reason = reason.as_str(), "releasing");
+                    release.push(machine.id.clone());
                 }
-            };
-            debug!(machine = %m.id, reason, "releasing");
-            out.push(m.id.clone());
+            }
         }
-        // Idle ones beyond the warm room, dear ones first.
-        if self.work_waits_for_room(now) {
-            return out;
+        release.extend(self.idle_machines_to_release(idle, now));
+        release
+    }
+
+    fn disposition(&self, machine: &Machine, network: &NetworkView, now: Instant) -> Disposition {
+        match machine.phase {
+            MachinePhase::Releasing => Disposition::Keep,
+            MachinePhase::Booting => self.booting_disposition(machine, now),
+            MachinePhase::Up => self.up_disposition(machine, network, now),
         }
-        let (mut free, used) = self.room(now);
-        let keep = used * self.warm_share();
-        idle.sort_by(|a, b| {
-            self.price(b)
-                .total_cmp(&self.price(a))
-                .then(a.idle_since.cmp(&b.idle_since))
-        });
-        for m in idle {
-            let Some(k) = self.kind_of(m) else { continue };
-            let long = m
-                .idle_since
-                .is_some_and(|t| now.saturating_duration_since(t) > self.hold_idle(m));
-            let cpus = self.machine_types[k].cpus;
-            if long && free - cpus >= keep {
-                free -= cpus;
-                debug!(machine = %m.id, reason = "idle", "releasing");
-                out.push(m.id.clone());
-            }
+    }
+
+    fn booting_disposition(&self, machine: &Machine, now: Instant) -> Disposition {
+        let type_index = self.type_index(machine);
+        let boot_s = type_index.map_or(UNKNOWN_BOOT_S, |index| self.machine_types[index].boot_s);
+        let max_boot = Duration::from_secs_f64(boot_s * MAX_BOOT_TIMES + MAX_BOOT_EXTRA_S);
+        if now.saturating_duration_since(machine.since) <= max_boot + self.config.list_lag {
+            Disposition::Keep
+        } else if machine.slots.is_empty() {
+            Disposition::Release(ReleaseReason::NeverCameUp)
+        } else {
+            Disposition::Release(ReleaseReason::SilentSinceFound)
         }
-        out
     }
 
-    /// How long an idle machine is kept: to rent it anew costs its boot, so
-    /// the cheapest are kept longest and the dear ones go soon.
-    fn hold_idle(&self, m: &Machine) -> Duration {
-        let cheapest = self
-            .machine_types
-            .iter()
-            .map(|t| if t.spot_price > 0.0 { t.spot_price.min(t.price) } else { t.price } / t.cpus.max(1.0))
-            .fold(f64::MAX, f64::min);
-        let ratio = (cheapest / self.price(m).max(1e-9)).clamp(0.0, 1.0);
-        self.config.operator_settings.idle_timeout.mul_f64(ratio * ratio)
+    fn up_disposition(&self, machine: &Machine, network: &NetworkView, now: Instant) -> Disposition {
+        let silent = self.silence(machine, now) > self.config.silent;
+        if silent && self.awaits_partition_end(machine, network, now) {
+            Disposition::Keep
+        } else if silent && !network.most_machines_silent {
+            Disposition::Release(ReleaseReason::Silent)
+        } else if !network.partitioned_from_workers
+            && self.ignores_commands(machine, now, self.config.silent * 2)
+        {
+            Disposition::Release(ReleaseReason::TakesNoCommands)
+        } else if machine.cordoned_since.is_some() && machine.empty() {
+            Disposition::Release(ReleaseReason::Cordoned)
+        } else if machine.reclaim_at.is_some() && machine.empty() {
+            Disposition::Release(ReleaseReason::SpotNotice)
+        } else if machine.slots.is_empty() && machine.idle_since.is_some() && !silent {
+            Disposition::Idle
+        } else {
+            Disposition::Keep
+        }
     }
 
-    fn price(&self, m: &Machine) -> f64 {
-        self.kind_of(m).map_or(0.0, |k| {
-            let t = &self.machine_types[k];
-            (if m.spot { t.spot_price } else { t.price }) / t.cpus.max(1.0)
-        })
+    /// Whether a silent machine is kept because its zone is partitioned. The expiry of
+    /// its lease frees its tasks without a release, but only if it obeys this term.
+    fn awaits_partition_end(&self, machine: &Machine, network: &NetworkView, now: Instant) -> bool {
+        let max_silence = self.config.silent + self.config.lease + PARTITION_GRACE;
+        network.partitioned_zones.contains(&machine.zone)
+            && self.silence(machine, now) < max_silence
+            && (machine.fenced(self.term) || machine.slots.is_empty())
     }
 }
--- a/src/core/fleet/rentals.rs
+++ b/src/core/fleet/rentals.rs
@@ -1,276 +1,223 @@
 //! What to rent: what waits is packed onto what there is, and the rest onto the
 //! cheapest machines on offer.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
+use crate::core::fleet::rental_plan::RentalPlan;
 use crate::core::scheduling::admission::fits_machine_type;
-use crate::core::state::fleet_state::Offer;
-use crate::core::state::machine::MachinePhase;
+use crate::core::state::fleet_state::{Offer, RentalOrder};
+use crate::core::state::job::Job;
 use crate::core::state::model::ClusterModel;
-use crate::core::state::resources::AMOUNT_TOLERANCE;
+use crate::core::state::resources::{Resources, TeamUsage, AMOUNT_TOLERANCE};
 use crate::core::state::slot::{Slot, SlotState};
 use crate::wire::{JobSpec, MachineType};
 
-/// A machine that exists, boots or is to be rented, with the room left on it.
+/// Share of a boot within which running tasks are expected to make room.
+const SOON_FREE_SHARE: f64 = 0.4;
+/// Longest time within which running tasks are expected to make room, in seconds.
+const MAX_SOON_FREE_S: f64 = 60.0;
+
+/// What is free on a machine that exists, boots or is to be rented.
 #[derive(Clone)]
 struct OpenMachine {
-    kind: usize,
+    /// Position of its type among the known types.
+    type_index: usize,
     zone: String,
     spot: bool,
-    cpus: f64,
-    gpus: f64,
-    memory: f64,
+    free: Resources,
 }
 
-/// Share of a boot within which running tasks are expected to make room.
-const SOON_FREE: f64 = 0.4;
-/// Most machines in one rental, as the cloud takes them.
-const MAX_RENTED: u32 = 50;
-
-/// Machines about to be rented, and how many there are in each zone.
-struct RentalPlan<'a> {
-    cut: &'a BTreeSet<String>,
-    per_zone: BTreeMap<String, u32>,
-    wanted: BTreeMap<Offer, u32>,
+/// Packs tasks onto machines, and plans rentals for those that don't fit.
+struct Packing<'m> {
+    model: &'m ClusterModel,
+    now: Instant,
+    open_machines: Vec<OpenMachine>,
+    plan: RentalPlan,
+    usage_by_team: HashMap<String, TeamUsage>,
+    /// CPUs of all tasks that were to be packed.
+    cpus_waiting: f64,
 }
 
 impl OpenMachine {
-    fn empty(kind: usize, machine_type: &MachineType, zone: &str, spot: bool) -> Self {
+    fn empty(type_index: usize, machine_type: &MachineType, zone: &str, spot: bool) -> Self {
         Self {
-            kind,
+            type_index,
             zone: zone.to_owned(),
             spot,
-            cpus: machine_type.cpus,
-            gpus: machine_type.gpus,
-            memory: machine_type.memory_gb,
+            free: Resources::of_type(machine_type),
         }
     }
 
     fn claim(&mut self, spec: &JobSpec) {
-        self.cpus -= spec.cpus;
-        self.gpus -= spec.gpus;
-        self.memory -= spec.memory_gb;
+        self.free -= Resources::of_task(spec);
     }
-}
 
-impl RentalPlan<'_> {
-    fn add(&mut self, offer: Offer) {
-        *self.per_zone.entry(offer.zone.clone()).or_default() += 1;
-        *self.wanted.entry(offer).or_default() += 1;
+    fn fits(&self, spec: &JobSpec, types: &[MachineType]) -> bool {
+        Resources::of_task(spec).fits_into(&self.free)
+            && (spec.spot || !self.spot)
+            && spec.zone.as_ref().is_none_or(|zone| *zone == self.zone)
+            && fits_machine_type(spec, &types[self.type_index])
     }
 
-    /// In requests of a size that the cloud takes, the largest first.
-    fn into_requests(self) -> Vec<(Offer, u32)> {
-        let mut requests = Vec::new();
-        for (offer, mut count) in self.wanted {
-            while count > 0 {
-                requests.push((offer.clone(), count.min(MAX_RENTED)));
-                count -= count.min(MAX_RENTED);
-            }
+    /// Puts as many of so many tasks on the machine as fit; returns how many are left.
+    fn fill(&mut self, spec: &JobSpec, types: &[MachineType], mut left: u32) -> u32 {
+        while left > 0 && self.fits(spec, types) {
+            self.claim(spec);
+            left -= 1;
         }
-        requests.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-        requests
+        left
     }
 }
 
 impl ClusterModel {
-    /// Share of the load that is kept free. The larger the fleet, the less its
-    /// load varies in proportion.
-    pub(super) fn warm_share(&self) -> f64 {
-        let small = (50.0 / self.machines.len().max(1) as f64).sqrt();
-        self.config.operator_settings.warm_share * small.clamp(0.5, 1.0)
-    }
-
     /// Packs what waits onto what there is; the rest is to be rented.
-    pub(super) fn to_rent(&self, now: Instant) -> Vec<(Offer, u32)> {
-        let cut = self.silent_zones(now);
-        let mut rentals = RentalPlan {
-            cut: &cut,
-            per_zone: BTreeMap::new(),
-            wanted: BTreeMap::new(),
-        };
-        for m in self.machines.values() {
-            *rentals.per_zone.entry(m.zone.clone()).or_default() += 1;
-        }
-        let mut open_machines = self.open_machines(&cut, now);
-        let pending: u32 = self.fleet.pending.values().map(|(_, count)| count).sum();
-        let mut total = self.machines.len() + pending as usize;
-        let mut usage = self.team_usage();
+    pub(super) fn machines_to_rent(&self, now: Instant) -> Vec<RentalOrder> {
+        let mut packing = Packing::new(self, now);
         let mut queue: Vec<_> = self.jobs_waiting_for_capacity().collect();
         let ranks = self.ranks(now);
-        queue.sort_by_key(|j| ranks.get(&j.spec.id));
-        let mut cpus_waiting = 0.0;
-        for j in queue {
-            let s = &j.spec;
-            let team_usage = usage.entry(s.team.clone()).or_default();
-            let mut left = self.startable(j, *team_usage, now);
-            team_usage.cpus += f64::from(left) * s.cpus;
-            team_usage.gpus += f64::from(left) * s.gpus;
-            cpus_waiting += f64::from(left) * s.cpus;
-            for open in &mut open_machines {
-                self.fill(open, s, &mut left);
-            }
-            open_machines.retain(|open| open.cpus > AMOUNT_TOLERANCE);
-            while left > 0 && total < self.config.operator_settings.max_machines {
-                let Some(offer) = self.best_offer(s, left, &rentals, now) else {
-                    break;
-                };
-                let Some(mut open) = self.open_machine(&offer) else {
-                    break;
-                };
-                total += 1;
-                let before = left;
-                self.fill(&mut open, s, &mut left);
-                open_machines.push(open);
-                rentals.add(offer);
-                if left == before {
-                    break;
-                }
-            }
+        queue.sort_by_key(|job| ranks.get(&job.spec.id));
+        for job in queue {
+            packing.pack(job);
         }
-        self.keep_warm(&open_machines, cpus_waiting, total, &mut rentals, now);
-        rentals.into_requests()
+        packing.keep_warm();
+        packing.plan.into_orders()
     }
 
-    /// Machines that are usable, boot or are being rented, with their room: what
-    /// falls free well before another machine could boot counts as free.
-    fn open_machines(&self, cut: &BTreeSet<String>, now: Instant) -> Vec<OpenMachine> {
-        let boot = self
+    /// Machines that boot, are schedulable or are being rented, with what is free on
+    /// them: what falls free well before another machine could boot counts as free.
+    fn open_machines(&self, partitioned_zones: &BTreeSet<String>, now: Instant) -> Vec<OpenMachine> {
+        let boot_s = self
             .machine_types
             .iter()
             .map(|t| t.boot_s)
             .fold(f64::MAX, f64::min);
-        let soon = now + Duration::from_secs_f64((boot * SOON_FREE).clamp(0.0, 60.0));
+        let soon_s = (boot_s * SOON_FREE_SHARE).clamp(0.0, MAX_SOON_FREE_S);
+        let soon = now + Duration::from_secs_f64(soon_s);
         let mut open_machines = Vec::new();
-        for m in self.machines.values() {
-            let Some(kind) = self.kind_of(m) else { continue };
-            let booting = m.phase == MachinePhase::Booting;
-            if !(booting || self.is_schedulable(m, now) && m.reclaim_at.is_none()) || cut.contains(&m.zone) {
+        for machine in self.machines.values() {
+            let Some(type_index) = self.type_index(machine) else {
+                continue;
+            };
+            if !self.adds_capacity(machine, now) || partitioned_zones.contains(&machine.zone) {
                 continue;
             }
-            let mut open = OpenMachine::empty(kind, &self.machine_types[kind], &m.zone, m.spot);
-            let stays = |s: &&Slot| s.takes_room() && s.state != SlotState::Unknown;
-            let long = |s: &&Slot| self.predicted_end(s, now) > soon;
-            let specs = m.slots.values().filter(stays).filter(long);
-            for spec in specs.filter_map(|s| s.spec.as_ref()) {
+            let machine_type = &self.machine_types[type_index];
+            let mut open = OpenMachine::empty(type_index, machine_type, &machine.zone, machine.spot);
+            let holds_capacity = |slot: &&Slot| slot.takes_room() && slot.state != SlotState::Unknown;
+            let stays = |slot: &&Slot| self.predicted_end(slot, now) > soon;
+            let staying = machine.slots.values().filter(holds_capacity).filter(stays);
+            for spec in staying.filter_map(|slot| slot.spec.as_ref()) {
                 open.claim(spec);
             }
-            if open.cpus > AMOUNT_TOLERANCE {
+            if open.free.cpus > AMOUNT_TOLERANCE {
                 open_machines.push(open);
             }
         }
-        for (offer, count) in self.fleet.pending.values() {
-            if let Some(open) = self.open_machine(offer) {
-                open_machines.extend(std::iter::repeat_n(open, *count as usize));
+        for order in self.fleet.pending.values() {
+            if let Some(open) = self.open_machine(&order.offer) {
+                open_machines.extend(std::iter::repeat_n(open, order.count as usize));
             }
         }
         open_machines
     }
 
-    /// Puts as many of a job's tasks on a machine as fit.
-    fn fill(&self, open: &mut OpenMachine, spec: &JobSpec, left: &mut u32) {
-        while *left > 0 && self.fits_open_machine(spec, open) {
-            open.claim(spec);
-            *left -= 1;
-        }
-    }
-
-    /// Some free room for what comes next.
-    fn keep_warm(
-        &self,
-        open_machines: &[OpenMachine],
-        cpus_waiting: f64,
-        mut total: usize,
-        rentals: &mut RentalPlan,
-        now: Instant,
-    ) {
-        let (_, used) = self.room(now);
-        let mut free: f64 = open_machines.iter().map(|b| b.cpus.max(0.0)).sum();
-        let keep = (used + cpus_waiting) * self.warm_share();
-        let Some(like) = self
-            .ready_jobs()
-            .map(|j| j.spec.clone())
-            .max_by(|a, b| a.cpus.total_cmp(&b.cpus).then(a.spot.cmp(&b.spot)))
-        else {
-            return;
-        };
-        while free + AMOUNT_TOLERANCE < keep && total < self.config.operator_settings.max_machines {
-            let Some(offer) = self.best_offer(&like, 1, rentals, now) else {
-                break;
-            };
-            let Some(b) = self.open_machine(&offer) else { break };
-            free += b.cpus;
-            total += 1;
-            rentals.add(offer);
-        }
-    }
-
+    /// An empty machine of an offer; `None` if its type is not known.
     fn open_machine(&self, offer: &Offer) -> Option<OpenMachine> {
-        let kind = self
+        let type_index = self
             .machine_types
             .iter()
             .position(|t| t.name == offer.machine_type)?;
+        let machine_type = &self.machine_types[type_index];
         Some(OpenMachine::empty(
-            kind,
-            &self.machine_types[kind],
+            type_index,
+            machine_type,
             &offer.zone,
             offer.spot,
         ))
     }
+}
 
-    fn fits_open_machine(&self, s: &JobSpec, b: &OpenMachine) -> bool {
-        b.cpus + AMOUNT_TOLERANCE >= s.cpus
-            && b.gpus + AMOUNT_TOLERANCE >= s.gpus
-            && b.memory + AMOUNT_TOLERANCE >= s.memory_gb
-            && (s.spot || !b.spot)
-            && s.zone.as_ref().is_none_or(|z| *z == b.zone)
-            && fits_machine_type(s, &self.machine_types[b.kind])
+impl<'m> Packing<'m> {
+    fn new(model: &'m ClusterModel, now: Instant) -> Self {
+        let partitioned_zones = model.partitioned_zones(now);
+        let open_machines = model.open_machines(&partitioned_zones, now);
+        let pending: u32 = model.fleet.pending.values().map(|order| order.count).sum();
+        let machines = model.machines.len() + pending as usize;
+        let max_machines = model.config.operator_settings.max_machines;
+        let mut plan = RentalPlan::new(partitioned_zones, machines, max_machines);
+        for machine in model.machines.values() {
+            plan.count_existing(&machine.zone);
+        }
+        Self {
+            model,
+            now,
+            open_machines,
+            plan,
+            usage_by_team: model.team_usage(),
+            cpus_waiting: 0.0,
+        }
     }
 
-    /// The offer that runs a job's tasks for the least money, among those not
-    /// refused of late; spread over the zones.
-    fn best_offer(&self, s: &JobSpec, left: u32, rentals: &RentalPlan, now: Instant) -> Option<Offer> {
-        let mut best: Option<((bool, f64, u32), Offer)> = None;
-        for t in self.machine_types.iter().filter(|t| fits_machine_type(s, t)) {
-            let per = |have: f64, need: f64| {
-                if need > 0.0 {
-                    (have + AMOUNT_TOLERANCE) / need
-                } else {
-                    f64::MAX
-                }
+    /// Packs a job's startable tasks onto the open machines, and rents for the rest.
+    fn pack(&mut self, job: &Job) {
+        let spec = &job.spec;
+        let types = &self.model.machine_types;
+        let usage = self.usage_by_team.entry(spec.team.clone()).or_default();
+        let mut left = self.model.startable_tasks(job, *usage, self.now);
+        usage.cpus += f64::from(left) * spec.cpus;
+        usage.gpus += f64::from(left) * spec.gpus;
+        self.cpus_waiting += f64::from(left) * spec.cpus;
+        for open in &mut self.open_machines {
+            left = open.fill(spec, types, left);
+        }
+        self.open_machines
+            .retain(|open| open.free.cpus > AMOUNT_TOLERANCE);
+        self.rent_for(spec, left);
+    }
+
+    /// Plans machines for so many tasks of a job, as long as each of them helps.
+    fn rent_for(&mut self, spec: &JobSpec, mut left: u32) {
+        while left > 0 && self.plan.may_grow() {
+            let Some(offer) = self.model.best_offer(spec, left, &self.plan, self.now) else {
+                break;
             };
-            let n = per(t.cpus, s.cpus)
-                .min(per(t.gpus, s.gpus))
-                .min(per(t.memory_gb, s.memory_gb));
-            let n = n.floor().min(f64::from(left)).max(1.0);
-            let zones = if t.zones.is_empty() {
-                &self.config.zones
-            } else {
-                &t.zones
+            let Some(mut open) = self.model.open_machine(&offer) else {
+                break;
             };
-            for zone in zones.iter().filter(|z| s.zone.as_ref().is_none_or(|w| w == *z)) {
-                for spot in [true, false] {
-                    if spot && (!s.spot || t.spot_price <= 0.0) {
-                        continue;
-                    }
-                    let offer = Offer {
-                        machine_type: t.name.clone(),
-                        zone: zone.clone(),
-                        spot,
-                    };
-                    if self.fleet.refused.get(&offer).is_some_and(|u| *u > now) {
-                        continue;
-                    }
-                    let price = if spot { t.spot_price } else { t.price };
-                    let here = rentals.per_zone.get(zone).copied().unwrap_or(0);
-                    let score = (rentals.cut.contains(zone), price / n, here);
-                    if best.as_ref().is_none_or(|(b, _)| score < *b) {
-                        best = Some((score, offer));
-                    }
-                }
+            let before = left;
+            left = open.fill(spec, &self.model.machine_types, left);
+            self.open_machines.push(open);
+            self.plan.add(offer);
+            if left == before {
+                break;
             }
         }
-        best.map(|(_, o)| o)
+    }
+
+    /// Plans machines until a share of the load is free for what comes next: of the
+    /// kind that the largest task of the ready jobs needs.
+    fn keep_warm(&mut self) {
+        let used = self.model.fleet_cpus(self.now).used;
+        let mut free: f64 = self
+            .open_machines
+            .iter()
+            .map(|open| open.free.cpus.max(0.0))
+            .sum();
+        let keep = (used + self.cpus_waiting) * self.model.warm_share();
+        let specs = self.model.ready_jobs().map(|job| job.spec.clone());
+        let Some(largest) = specs.max_by(|a, b| a.cpus.total_cmp(&b.cpus).then(a.spot.cmp(&b.spot))) else {
+            return;
+        };
+        while free + AMOUNT_TOLERANCE < keep && self.plan.may_grow() {
+            let Some(offer) = self.model.best_offer(&largest, 1, &self.plan, self.now) else {
+                break;
+            };
+            let Some(open) = self.model.open_machine(&offer) else {
+                break;
+            };
+            free += open.free.cpus;
+            self.plan.add(offer);
+        }
     }
 }
--- a/src/core/state/fleet_state.rs
+++ b/src/core/state/fleet_state.rs
@@ -14,6 +14,15 @@
     pub spot: bool,
 }
 
+/// Machines of one offer, to be rented by one request.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct RentalOrder {
+    /// What is to be rented.
+    pub offer: Offer,
+    /// How many machines.
+    pub count: u32,
+}
+
 /// What the fleet remembers between rounds.
 #[derive(Debug, Default)]
 pub struct FleetState {
@@ -22,5 +31,5 @@
     /// Offers that were refused, not to be asked for before.
     pub refused: BTreeMap<Offer, Instant>,
     /// Machines asked for and not yet answered.
-    pub pending: BTreeMap<String, (Offer, u32)>,
+    pub pending: BTreeMap<String, RentalOrder>,
 }
--- a/src/leader/active_leader/fleet_actions.rs
+++ b/src/leader/active_leader/fleet_actions.rs
@@ -7,7 +7,7 @@
 use tracing::info;
 
 use crate::cloud::CloudError;
-use crate::core::fleet::FleetAction;
+use crate::core::fleet::{FleetAction, ReleaseOutcome, RentalFailure};
 use crate::wire::{MachineId, RentalRequest};
 
 use super::ActiveLeader;
@@ -65,7 +65,8 @@
         let mut retries = 0;
         loop {
             if !self.may_act() {
-                return self.model.lock().rental_failed(rental, false, Instant::now());
+                let failure = RentalFailure::Other;
+                return self.model.lock().rental_failed(rental, failure, Instant::now());
             }
             match self.controller.cloud().rent(rental, || self.may_act()).await {
                 Ok(machines) => {
@@ -78,9 +79,12 @@
                 }
                 Err(error) => {
                     info!(request = rental.request, %error, "not rented");
-                    let no_capacity = matches!(error, CloudError::NoCapacity { .. });
+                    let failure = match error {
+                        CloudError::NoCapacity { .. } => RentalFailure::NoCapacity,
+                        _ => RentalFailure::Other,
+                    };
                     let mut model = self.model.lock();
-                    return model.rental_failed(rental, no_capacity, Instant::now());
+                    return model.rental_failed(rental, failure, Instant::now());
                 }
             }
         }
@@ -88,13 +92,13 @@
 
     /// Releases machines; those that were not released stay and are tried again.
     async fn release(&self, machines: &[MachineId]) {
-        let released = match self.controller.cloud().release(machines, || self.may_act()).await {
-            Ok(()) => true,
+        let outcome = match self.controller.cloud().release(machines, || self.may_act()).await {
+            Ok(()) => ReleaseOutcome::Confirmed,
             Err(error) => {
                 info!(machines = machines.len(), %error, "not released yet");
-                false
+                ReleaseOutcome::Failed
             }
         };
-        self.model.lock().release_done(machines, released, Instant::now());
+        self.model.lock().release_done(machines, outcome, Instant::now());
     }
 }
