--- a/src/core/evidence/probation.rs
+++ b/src/core/evidence/probation.rs
@@ -15,7 +15,7 @@
         if !job.on_probation(now) {
             return u32::MAX;
         }
-        let trial = job.failures.trial();
+        let trial = job.failures.trial_run_time();
         let has_survived = |slot: &&Slot| {
             slot.running_since
                 .is_some_and(|since| now.saturating_duration_since(since) > trial)
@@ -29,6 +29,6 @@
                 .iter()
                 .filter_map(move |machine| self.machines.get(machine)?.slots.get(&task))
         });
-        job.failures.admitted(slots.filter(has_survived).count() as u32)
+        job.failures.max_placed(slots.filter(has_survived).count() as u32)
     }
 }
--- a/tests/planner/probation.rs
+++ b/tests/planner/probation.rs
@@ -86,7 +86,7 @@
             let machine = format!("i-{i}");
             failures.record(&machine.as_str().into(), secs(*run), now);
             prop_assert!(failures.pause() <= secs(20));
-            prop_assert!(failures.trial() <= secs(10));
+            prop_assert!(failures.trial_run_time() <= secs(10));
             prop_assert!(failures.pause() >= secs(2), "a failure is followed by a pause");
         }
         prop_assert_eq!(failures.on_probation(now), runs.len() >= 3);
