--- a/src/core/fleet/demand.rs
+++ b/src/core/fleet/demand.rs
@@ -12,12 +12,10 @@
     /// as its pause, its probation and its team's limit allow, given what the
     /// team uses.
     pub(super) fn startable_tasks(&self, job: &Job, team_usage: TeamUsage, now: Instant) -> u32 {
-        if job.cancelled || job.pause_until.is_some_and(|end| end > now) {
-            return 0;
-        }
-        let allowance = match self.placement_limit(job, now).saturating_sub(job.placed) {
+        let allowance = match self.start_allowance(job, now) {
+            0 => return 0,
             // A gang is placed whole or not at all.
-            1.. if job.spec.kind == JobKind::Gang => u32::MAX,
+            _ if job.spec.kind == JobKind::Gang => u32::MAX,
             allowance => allowance,
         };
         let mut startable = allowance.min(job.waiting.count());
--- a/src/core/scheduling/eligibility.rs
+++ b/src/core/scheduling/eligibility.rs
@@ -1,8 +1,10 @@
-//! What may be placed now: which machines take tasks, and what each team's tasks use.
+//! What may be placed now: which machines take tasks, how many tasks a job may
+//! start, and what each team's tasks use.
 
 use std::collections::HashMap;
 use std::time::Instant;
 
+use crate::core::state::job::Job;
 use crate::core::state::machine::{Machine, MachinePhase};
 use crate::core::state::model::ClusterModel;
 use crate::core::state::resources::TeamUsage;
@@ -33,4 +35,14 @@
             && machine.last_heartbeat.is_some()
             && self.silence(machine, now) < self.config.heartbeat_interval * 2
     }
+
+    /// How many more tasks the job's own state lets start now: none while it is
+    /// cancelled or pauses, and on probation as many as are admitted beyond those
+    /// that are placed. Its team's limit is left out.
+    pub(in crate::core) fn start_allowance(&self, job: &Job, now: Instant) -> u32 {
+        if job.cancelled || job.pause_until.is_some_and(|end| end > now) {
+            return 0;
+        }
+        self.placement_limit(job, now).saturating_sub(job.placed)
+    }
 }
--- a/src/core/scheduling/placement/rules.rs
+++ b/src/core/scheduling/placement/rules.rs
@@ -18,8 +18,7 @@
         };
         self.model.is_ready(job)
             && !job.broken_gang()
-            && job.pause_until.is_none_or(|end| end <= self.now)
-            && job.placed < self.model.placement_limit(job, self.now)
+            && self.model.start_allowance(job, self.now) > 0
             && self.within_team_limit(&job.spec, tasks)
     }
 
