--- a/src/core/fleet/idle.rs
+++ b/src/core/fleet/idle.rs
@@ -4,7 +4,7 @@
 
 use tracing::debug;
 
-use crate::core::fleet::releases::ReleaseReason;
+use crate::core::fleet::release_reason::ReleaseReason;
 use crate::core::state::machine::Machine;
 use crate::core::state::model::ClusterModel;
 use crate::wire::{MachineId, MachineType};
--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -21,6 +21,7 @@
 mod offers;
 pub mod outcomes;
 mod partitions;
+mod release_reason;
 mod releases;
 mod rental_plan;
 mod rentals;
--- a/src/core/fleet/releases.rs
+++ b/src/core/fleet/releases.rs
@@ -6,6 +6,7 @@
 
 use tracing::debug;
 
+use crate::core::fleet::release_reason::ReleaseReason;
 use crate::core::state::machine::{Machine, MachinePhase};
 use crate::core::state::model::ClusterModel;
 use crate::wire::MachineId;
@@ -22,25 +23,6 @@
 /// ...and so many seconds.
 const MAX_BOOT_EXTRA_S: f64 = 10.0;
 
-/// Why a machine is released.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum ReleaseReason {
-    /// Rented, but its worker has not spoken in time.
-    NeverCameUp,
-    /// Something may be on it by the log, but its worker has not spoken in time.
-    SilentSinceFound,
-    /// Its heartbeats have stopped.
-    Silent,
-    /// Its heartbeats arrive, but it answers no commands.
-    TakesNoCommands,
-    /// It was cordoned, and is empty by now.
-    Cordoned,
-    /// The cloud reclaims it, and it is empty by now.
-    SpotNotice,
-    /// It is not needed.
-    Idle,
-}
-
 /// What is to become of a machine.
 enum Disposition {
     Keep,
@@ -58,21 +40,6 @@
     partitioned_from_workers: bool,
 }
 
-impl ReleaseReason {
-    /// The reason as it is logged.
-    pub(super) fn as_str(self) -> &'static str {
-        match self {
-            Self::NeverCameUp => "never came up",
-            Self::SilentSinceFound => "silent since it was found",
-            Self::Silent => "silent",
-            Self::TakesNoCommands => "takes no commands",
-            Self::Cordoned => "failed or faulty",
-            Self::SpotNotice => "spot notice",
-            Self::Idle => "idle",
-        }
-    }
-}
-
 impl ClusterModel {
     /// Machines to release now. Tasks may still be on lost ones: their places stay
     /// until the release is confirmed.
