--- /dev/null
+++ b/src/controller/direct_submission.rs
@@ -0,0 +1,78 @@
+//! Storing a new job without the leader, which may be unknown or out of reach. The leader
+//! finds the job by its mark in the inbox.
+
+use std::time::Duration;
+
+use serde_json::Value;
+use tracing::debug;
+
+use crate::core::storage::record;
+use crate::response::ApiResponse;
+use crate::wire::{Change, Condition, JobId, Transaction};
+
+use super::job_lookup::StoredJob;
+use super::submission::accepted;
+use super::Controller;
+
+/// How long the state service may take to store a job.
+const STORE_TIMEOUT: Duration = Duration::from_millis(1200);
+
+impl Controller {
+    /// Responds to a submission by what the state service says, and stores the job there
+    /// if it is new.
+    pub(super) async fn submit_direct(&self, body: &[u8]) -> ApiResponse {
+        let id = match self.submission_id(body) {
+            Ok(id) => id,
+            Err(rejection) => return rejection.into(),
+        };
+        // The id comes before the body: a repeat of an accepted job is 200.
+        match self.lookup(id).await {
+            Ok(StoredJob::NeverAccepted) => {}
+            Ok(found) => return self.response_about(id, &found).await,
+            Err(_) => return ApiResponse::unavailable("the job's state can't be read now"),
+        }
+        let types = self.known_types().await;
+        let record = match self.check_submission(body, &types, |_| None).await {
+            Ok(record) => record,
+            Err(rejection) => return rejection.into(),
+        };
+        let Ok(value) = serde_json::to_value(&record) else {
+            return ApiResponse::error(400, "malformed");
+        };
+        self.store_new_job(id, value).await
+    }
+
+    async fn store_new_job(&self, id: JobId, record: Value) -> ApiResponse {
+        let transaction = new_job_transaction(id, record);
+        match self.store.transact(&transaction, STORE_TIMEOUT).await {
+            Ok(_) => {
+                debug!(job = %id, "accepted without the leader");
+                accepted(id)
+            }
+            // It may have been stored nevertheless, or by another controller.
+            Err(_) => match self.lookup(id).await {
+                Ok(StoredJob::NeverAccepted) | Err(_) => {
+                    ApiResponse::unavailable("the job can't be stored now")
+                }
+                Ok(found) => self.response_about(id, &found).await,
+            },
+        }
+    }
+}
+
+/// Puts a job's record and its inbox mark if the job is neither unfinished nor finished.
+fn new_job_transaction(id: JobId, record: Value) -> Transaction {
+    let absent = |key| Condition { key, version: 0 };
+    let put = |key, value| Change::Put {
+        put: key,
+        value,
+        lease: None,
+    };
+    Transaction {
+        conditions: vec![absent(record::job_key(id)), absent(record::final_key(id))],
+        changes: vec![
+            put(record::job_key(id), record),
+            put(record::inbox_key(id), true.into()),
+        ],
+    }
+}
--- /dev/null
+++ b/src/controller/machine_types.rs
@@ -0,0 +1,36 @@
+//! The machine types, as every controller knows them.
+
+use std::sync::Arc;
+
+use crate::core::storage::record;
+use crate::store::KeyRead;
+use crate::wire::MachineType;
+
+use super::Controller;
+
+impl Controller {
+    /// The machine types that may be rented; empty until they are known.
+    pub fn machine_types(&self) -> Arc<Vec<MachineType>> {
+        self.machine_types.lock().clone()
+    }
+
+    /// Replaces the machine types.
+    pub fn set_machine_types(&self, types: Arc<Vec<MachineType>>) {
+        *self.machine_types.lock() = types;
+    }
+
+    /// The machine types, read from the state service if they are not known here. Empty
+    /// if they can't be read either.
+    pub async fn known_types(&self) -> Arc<Vec<MachineType>> {
+        let known = self.machine_types();
+        if !known.is_empty() {
+            return known;
+        }
+        if let Ok(KeyRead::Found(item)) = self.store.get_soon(record::TYPES).await {
+            if let Ok(types) = serde_json::from_value::<Vec<MachineType>>(item.value) {
+                self.set_machine_types(Arc::new(types));
+            }
+        }
+        self.machine_types()
+    }
+}
--- /dev/null
+++ b/src/controller/peers.rs
@@ -0,0 +1,131 @@
+//! The other controllers: which of them are connected, what is passed on to the leader
+//! among them, and how their requests are handled.
+
+use std::time::{Duration, Instant};
+
+use crate::peer::{KnownLeader, PeerRequest, PeerRequestHandler};
+use crate::response::ApiResponse;
+
+use super::{Controller, Role};
+
+/// A controller whose link was silent for so long doesn't count as connected.
+const MAX_SILENCE: Duration = Duration::from_millis(2500);
+/// How long the leader may take to respond to a heartbeat that is passed on to it.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2500);
+
+impl Controller {
+    /// Whether a request could be sent to any other controller now.
+    pub fn any_peer_reachable(&self) -> bool {
+        self.links.iter().any(|link| link.is_alive())
+    }
+
+    /// Whether this controller can respond to users: it leads, or it reaches another
+    /// controller or the state service.
+    pub fn can_serve(&self) -> bool {
+        self.active_leader().is_some() || self.any_peer_reachable() || self.store.is_reachable()
+    }
+
+    /// The names of the controllers connected to this one, itself included, in order.
+    pub fn connected(&self) -> Vec<String> {
+        let peers = self.peers.lock();
+        let mut all: Vec<String> = peers
+            .iter()
+            .filter(|(_, last_frame_at)| last_frame_at.elapsed() < MAX_SILENCE)
+            .map(|(host, _)| host.clone())
+            .collect();
+        all.push(self.host().to_owned());
+        all.sort();
+        all
+    }
+
+    /// The leader's response to a request; `None` if none came within `patience`, or if
+    /// no other controller is known to lead.
+    pub(super) async fn forward_to_leader(
+        &self,
+        request: PeerRequest,
+        patience: Duration,
+    ) -> Option<ApiResponse> {
+        let Role::Following { host, .. } = self.role() else {
+            return None;
+        };
+        let link = self.links.iter().find(|link| link.host() == host)?;
+        let response = link.request(request, patience).await?;
+        (!response.is_not_leading()).then_some(response)
+    }
+
+    /// Responds to a worker's heartbeat, which is passed on if another controller leads.
+    pub async fn heartbeat(&self, body: &[u8]) -> ApiResponse {
+        self.check_for_stall();
+        match self.role() {
+            Role::Leading(active_leader) => active_leader.heartbeat(body, self.host()),
+            Role::Following { .. } => self
+                .forward_to_leader(PeerRequest::Heartbeat(body.to_vec()), HEARTBEAT_TIMEOUT)
+                .await
+                .unwrap_or_else(|| ApiResponse::unavailable("no leader answers")),
+            Role::Unknown => ApiResponse::unavailable("no leader known"),
+        }
+    }
+}
+
+impl PeerRequestHandler for Controller {
+    fn host(&self) -> &str {
+        Controller::host(self)
+    }
+
+    fn max_pending_responses(&self) -> usize {
+        self.sockets.max_incoming()
+    }
+
+    fn known_term(&self) -> u64 {
+        Controller::known_term(self)
+    }
+
+    fn known_leader(&self) -> Option<KnownLeader> {
+        Controller::known_leader(self)
+    }
+
+    fn observe_term(&self, term: u64) {
+        Controller::observe_term(self, term);
+    }
+
+    fn observe_leader(&self, leader: Option<KnownLeader>) {
+        Controller::observe_leader(self, leader);
+    }
+
+    fn peer_alive(&self, host: &str) {
+        self.peers.lock().insert(host.to_owned(), Instant::now());
+    }
+
+    fn peer_disconnected(&self, host: &str) {
+        self.peers.lock().remove(host);
+    }
+
+    fn handle_heartbeat(&self, from: &str, body: &[u8]) -> ApiResponse {
+        self.check_for_stall();
+        match self.role() {
+            Role::Leading(active_leader) => active_leader.heartbeat(body, from),
+            _ => ApiResponse::not_leading(),
+        }
+    }
+
+    async fn handle_request(&self, from: &str, request: PeerRequest) -> ApiResponse {
+        if let PeerRequest::Heartbeat(body) = request {
+            return self.handle_heartbeat(from, &body);
+        }
+        let Some(active_leader) = self.active_leader() else {
+            return ApiResponse::not_leading();
+        };
+        match request {
+            PeerRequest::Submit(body) => active_leader.submit(&body).await,
+            PeerRequest::Poll(id) => match id.parse() {
+                Ok(id) => active_leader.poll(id).await,
+                Err(_) => ApiResponse::error(404, "no such job"),
+            },
+            PeerRequest::Cancel(id) => match id.parse() {
+                Ok(id) => active_leader.cancel(id).await,
+                Err(_) => ApiResponse::error(404, "no such job"),
+            },
+            PeerRequest::Ping { .. } | PeerRequest::Heartbeat(_) => ApiResponse::not_leading(),
+        }
+    }
+}
--- a/src/leader/active_leader/submission.rs
+++ b/src/leader/active_leader/submission.rs
@@ -7,8 +7,7 @@
 use tokio::time::timeout;
 use tracing::debug;
 
-use crate::clock::unix_time_ms;
-use crate::controller::accepted;
+use crate::controller::submission::accepted;
 use crate::core::storage::atomic_write::AtomicWrite;
 use crate::core::storage::record::{self, JobRecord};
 use crate::response::ApiResponse;
@@ -23,18 +22,24 @@
     /// Responds to a submission. A job is confirmed to its user only after it is
     /// stored; one that is known already gets its status instead.
     pub async fn submit(self: &Arc<Self>, body: &[u8]) -> ApiResponse {
-        let id = match self.controller.id_of(body) {
+        let id = match self.controller.submission_id(body) {
             Ok(id) => id,
-            Err(rejection) => return rejection,
+            Err(rejection) => return rejection.into(),
         };
         if let Some(status) = self.confirmed_status(id).await {
             return status;
         }
-        let record = match self.check_submission(body).await {
+        let types = self.controller.machine_types();
+        let kind_in_model = |id| self.model.lock().jobs().get(&id).map(|job| job.spec.kind);
+        let checked = self
+            .controller
+            .check_submission(body, &types, kind_in_model)
+            .await;
+        let record = match checked {
             Ok(record) => record,
             // Only an unknown job is rejected: another controller may have
             // stored it.
-            Err(rejection) => return self.stored_status_or(id, rejection).await,
+            Err(rejection) => return self.stored_status_or(id, rejection.into()).await,
         };
         if self.is_write_queue_full() {
             return ApiResponse::unavailable("too many jobs are being stored");
@@ -42,22 +47,6 @@
         self.accept_within_timeout(record).await
     }
 
-    /// The record to be stored, or the response to a job that can't be accepted.
-    async fn check_submission(&self, body: &[u8]) -> Result<JobRecord, ApiResponse> {
-        let types = self.controller.machine_types();
-        let record = JobRecord {
-            spec: self.controller.judge(body, &types)?,
-            at: unix_time_ms(),
-            cancelled: false,
-        };
-        if !self.controller.record_fits(&record) {
-            return Err(ApiResponse::error(400, "the job's description is too long"));
-        }
-        let kind_in_model = |id| self.model.lock().jobs().get(&id).map(|job| job.spec.kind);
-        self.controller.check_awaits(&record.spec, kind_in_model).await?;
-        Ok(record)
-    }
-
     /// Whether a job submitted now could not be stored in time.
     fn is_write_queue_full(&self) -> bool {
         let storable = self.controller.store().max_changes_within(STORE_TIMEOUT);
@@ -70,7 +59,7 @@
         let active_leader = self.clone();
         let acceptance = tokio::spawn(async move { active_leader.accept(record).await });
         match timeout(STORE_TIMEOUT, acceptance).await {
-            Ok(Ok(Ok(()))) => accepted(id, 201),
+            Ok(Ok(Ok(()))) => accepted(id),
             Ok(Ok(Err(CommitError::Conflict(_) | CommitError::Refused))) => {
                 let unreadable = ApiResponse::unavailable("the job's state can't be read now");
                 self.stored_status_or(id, unreadable).await
--- a/src/response.rs
+++ b/src/response.rs
@@ -1,18 +1,22 @@
-//! The answer to a request, wherever it is computed: at the controller that was
-//! asked, or at the leader, whose answer is relayed.
+//! The response to a request, wherever it is computed: at the controller that got the
+//! request, or at the leader, whose response is passed on between controllers.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
 use crate::wire::Redirect;
 
-/// An answer, in terms of the HTTP response that it becomes.
+/// The status that stands for a controller which does not lead.
+const NOT_LEADING: u16 = 0;
+
+/// A response, in terms of the HTTP response that it becomes.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ApiResponse {
-    /// Status; 0 where the asked one doesn't lead.
+    /// HTTP status; 0 between controllers, where the one that was sent the request
+    /// does not lead.
     pub status: u16,
-    /// When to come back, in seconds.
+    /// When to send the request again, in seconds.
     pub retry_after: Option<u16>,
-    /// JSON body.
+    /// JSON body; empty for [`not_leading`](Self::not_leading).
     pub body: Vec<u8>,
 }
 
@@ -26,12 +30,12 @@
         }
     }
 
-    /// An error with a reason.
+    /// An error, with a reason for its user.
     pub fn error(status: u16, reason: &str) -> Self {
         Self::json(status, &serde_json::json!({ "error": reason }))
     }
 
-    /// It can't be known or done now; come back in a second.
+    /// It can't be known or done now; the request may be sent again in a second.
     pub fn unavailable(reason: &str) -> Self {
         Self {
             retry_after: Some(1),
@@ -45,12 +49,22 @@
         Self::json(421, &Redirect { report_to })
     }
 
-    /// The controller that was asked does not lead.
+    /// The controller that got a request does not lead. Never sent to users.
     pub fn not_leading() -> Self {
         Self {
-            status: 0,
+            status: NOT_LEADING,
             retry_after: None,
             body: Vec::new(),
         }
     }
+
+    /// Whether this is [`not_leading`](Self::not_leading).
+    pub fn is_not_leading(&self) -> bool {
+        self.status == NOT_LEADING
+    }
+
+    /// Whether the request can't be carried out now, though perhaps by another controller.
+    pub fn is_unavailable(&self) -> bool {
+        self.status == 503
+    }
 }
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -11,6 +11,7 @@
 use std::time::Duration;
 
 use bitternfold::controller::Controller;
+use bitternfold::response::ApiResponse;
 use proptest::prelude::*;
 use serde_json::{json, Map, Value};
 use site::{on_loopback, Site};
@@ -112,11 +113,15 @@
     let controller = Controller::new(support::deployment(), Default::default());
     let types = support::types();
     assert!(controller
-        .judge(&serde_json::to_vec(&good()).expect("json"), &types)
+        .parse_submission(&serde_json::to_vec(&good()).expect("json"), &types)
         .is_ok());
     for (name, value) in malformed() {
         let body = with(name, value.clone()).to_string();
-        let reply = controller.judge(body.as_bytes(), &types).expect_err("refused");
+        let reply = ApiResponse::from(
+            controller
+                .parse_submission(body.as_bytes(), &types)
+                .expect_err("refused"),
+        );
         assert_eq!(reply.status, 400, "{name} {value:?}");
         let said = String::from_utf8_lossy(&reply.body).into_owned();
         assert!(said.contains(name), "{name} {value:?}: {said}");
@@ -136,23 +141,27 @@
         &Value::from(list).to_string(),
     ] {
         assert_eq!(
-            controller
-                .judge(body.as_bytes(), &types)
-                .expect_err("refused")
-                .status,
+            ApiResponse::from(
+                controller
+                    .parse_submission(body.as_bytes(), &types)
+                    .expect_err("refused")
+            )
+            .status,
             400,
             "{body}"
         );
         assert_eq!(
-            controller.id_of(body.as_bytes()).expect_err("refused").status,
+            ApiResponse::from(controller.submission_id(body.as_bytes()).expect_err("refused")).status,
             400,
             "{body}"
         );
     }
     for body in impossible() {
-        let reply = controller
-            .judge(body.to_string().as_bytes(), &types)
-            .expect_err("refused");
+        let reply = ApiResponse::from(
+            controller
+                .parse_submission(body.to_string().as_bytes(), &types)
+                .expect_err("refused"),
+        );
         assert_eq!(reply.status, 422, "{body}");
         assert!(reply.body.len() > 12, "with a reason");
     }
@@ -180,12 +189,12 @@
         let only_small = rig == json!(["small"]);
         v.insert("rigs".into(), rig);
         let controller = Controller::new(support::deployment(), Default::default());
-        let judged = controller.judge(Value::Object(v).to_string().as_bytes(), &support::types());
+        let judged = controller.parse_submission(Value::Object(v).to_string().as_bytes(), &support::types());
         let sane = cpus.is_finite() && cpus > 0.0 && memory.is_finite() && memory >= 0.0 && (1..=100_000).contains(&lots);
         let (most_cpus, most_memory) = if only_small { (8.0, 16.0) } else { (32.0, 64.0) };
         let all = if service { lots as f64 } else { 1.0 };
         let fits = cpus <= most_cpus && memory <= most_memory && (!red || cpus * all <= 40.0);
-        match judged {
+        match judged.map_err(ApiResponse::from) {
             Ok(spec) => prop_assert!(sane && fits, "{spec:?}"),
             Err(r) if r.status == 400 => prop_assert!(!sane || cpus > 1e9 || memory > 1e9),
             Err(r) => prop_assert!(r.status == 422 && sane && !fits, "{}", r.status),
