--- a/tests/gap/world/mail.rs
+++ b/tests/gap/world/mail.rs
@@ -7,7 +7,7 @@
 
 use super::{World, TICK};
 use crate::support::*;
-use crate::worker::PATIENCE;
+use crate::worker::RESPONSE_TIMEOUT;
 
 /// Something on its way.
 pub(super) enum Mail {
@@ -75,9 +75,9 @@
                 late,
             } => {
                 let w = &mut self.workers[to];
-                w.run(&commands);
-                for t in w.tasks.values_mut().filter(|t| t.1 == TaskState::Fetching) {
-                    t.1 = TaskState::Running;
+                w.execute(&commands);
+                for t in w.tasks.values_mut().filter(|t| t.state == TaskState::Fetching) {
+                    t.state = TaskState::Running;
                 }
                 if !late {
                     let (machine, report) = (w.id.clone(), Some(w.heartbeat()));
@@ -111,12 +111,12 @@
                 let at = self.base + sent.mul_f64(1.0 + self.drift[3 + to]);
                 let w = &mut self.workers[to];
                 let dropped = hangs
-                    || self.now > sent + PATIENCE
+                    || self.now > sent + RESPONSE_TIMEOUT
                     || incarnation != w.incarnation
                     || reply.token < w.token;
                 if !dropped {
-                    w.renewed = w.renewed.max(at);
-                    w.run(&CommandBatch {
+                    w.lease_renewed = w.lease_renewed.max(at);
+                    w.execute(&CommandBatch {
                         token: reply.token,
                         incarnation,
                         commands: reply.commands,
--- a/tests/gap/world/mod.rs
+++ b/tests/gap/world/mod.rs
@@ -125,6 +125,6 @@
 
     pub(super) fn live(&self) -> usize {
         let tasks = self.workers.iter().flat_map(|w| w.tasks.values());
-        tasks.filter(|t| t.1 != TaskState::Exited).count()
+        tasks.filter(|task| task.is_live()).count()
     }
 }
--- a/tests/gap/world/play.rs
+++ b/tests/gap/world/play.rs
@@ -17,7 +17,7 @@
         for i in 0..4 {
             let now = self.clock(3 + i);
             let lease = self.config.lease;
-            self.workers[i].end_lease(now, lease);
+            self.workers[i].expire_lease(now, lease);
         }
         let (due, rest) = std::mem::take(&mut self.mail)
             .into_iter()
--- a/tests/safety/cluster/delivery.rs
+++ b/tests/safety/cluster/delivery.rs
@@ -1,111 +1,50 @@
 //! The arrival of a message, once or as a copy of it.
 
+use std::time::Instant;
+
 use bitternfold::core::evidence::heartbeats::HeartbeatOutcome;
 use bitternfold::core::storage::pending_writes::PendingWrite;
 use bitternfold::wire::*;
 
 use super::message::Message;
-use super::World;
-use crate::worker::{Worker, PATIENCE};
+use super::SimulatedCluster;
+use crate::worker::{Worker, RESPONSE_TIMEOUT};
 
-impl World {
-    pub fn deliver(&mut self, m: Message) {
-        match m {
-            Message::Command { to, commands, term } => {
-                let hears = |w: &&mut Worker| w.alive && !w.unreachable && !w.hears_no_commands;
-                let Some(w) = self.worker(&to).filter(hears) else {
-                    self.mail.push(Message::Answer {
-                        from: to,
-                        report: None,
-                        term,
-                    });
-                    return;
-                };
-                let started = w.run(&commands);
-                let report = Some(w.heartbeat());
-                for t in started {
-                    self.no_double(t);
-                    self.all_needed_are_done(t);
-                }
-                self.mail.push(Message::Answer {
-                    from: to,
-                    report,
-                    term,
-                });
-            }
-            Message::Answer { from, report, term } if term == self.term => {
-                self.model.command_finished(&from, report.as_ref(), self.now);
-            }
-            Message::Heartbeat(r, sent) => {
-                let outcome = self.model.apply_heartbeat(&r, self.now);
-                let known = self.model.machines().get(&r.machine);
-                let over = known.is_none_or(|m| {
-                    m.newest_message.0 != r.incarnation || m.incarnation_ended(r.incarnation)
-                });
-                match outcome {
-                    HeartbeatOutcome::MachineReleased => return,
-                    HeartbeatOutcome::Outdated if over => return,
-                    HeartbeatOutcome::Outdated | HeartbeatOutcome::Applied => {}
-                }
-                if let Some(response) = self.model.heartbeat_response(&r.machine, r.token, self.now) {
-                    let mut orders = response.commands;
-                    orders.extend(self.model.stops_for_cancelled(&r));
-                    self.renews_nothing_unknown(&r, &orders);
-                    self.mail.push(Message::ApiResponse {
-                        to: r.machine,
-                        incarnation: r.incarnation,
-                        token: response.token,
-                        orders,
-                        sent,
-                    });
-                }
+impl SimulatedCluster {
+    /// Delivers a message. Responses for an earlier leader arrive nowhere.
+    pub fn deliver(&mut self, message: Message) {
+        match message {
+            Message::Command { to, commands, term } => self.deliver_command(to, &commands, term),
+            Message::CommandResponse {
+                from,
+                heartbeat,
+                term,
+            } if term == self.term => {
+                self.model.command_finished(&from, heartbeat.as_ref(), self.now);
             }
-            Message::ApiResponse {
+            Message::Heartbeat { heartbeat, sent } => self.deliver_heartbeat(heartbeat, sent),
+            Message::HeartbeatResponse {
                 to,
                 incarnation,
-                token,
-                orders,
-                sent,
-            } => {
-                let now = self.now;
-                if let Some(w) = self.worker(&to).filter(|w| w.alive && !w.unreachable) {
-                    // Answers that are late, of an earlier session or of an
-                    // earlier leader are dropped.
-                    if now > sent + PATIENCE || incarnation != w.incarnation || token < w.token {
-                        return;
-                    }
-                    w.renewed = w.renewed.max(sent);
-                    let started = w.run(&CommandBatch {
-                        token,
-                        incarnation,
-                        commands: orders,
-                    });
-                    assert!(started.is_empty(), "a response starts nothing");
-                }
-            }
-            // Guarded by the leader's key; its user is told once it is stored.
-            Message::Cancel { id, term } if term == self.term => {
-                let Some(r) = self.jobs.get_mut(&id) else {
-                    panic!("{id} was finished while its cancellation was on its way");
-                };
-                r.cancelled = true;
-                self.mail.push(Message::CancelStored { id, term });
-            }
-            Message::CancelStored { id, term } if term == self.term => {
+                response,
+                heartbeat_sent,
+            } => self.deliver_heartbeat_response(&to, incarnation, response, heartbeat_sent),
+            Message::StoreCancellation { id, term } if term == self.term => self.store_cancellation(id, term),
+            Message::CancellationStored { id, term } if term == self.term => {
                 self.model.cancel_stored(id);
-                self.tell(id, JobState::Cancelled);
+                self.confirm(id, JobState::Cancelled);
             }
-            Message::PendingWrite { write, term } => {
+            Message::Write { write, term } => {
                 // Guarded by the leader's key: an earlier leader's is refused.
                 let ok = term == self.term;
                 if ok {
                     self.store(&write);
                 }
-                self.mail.push(Message::Wrote { write, ok, term });
+                self.in_transit.push(Message::WriteResponse { write, ok, term });
             }
-            Message::Wrote { write, ok, term } if term == self.term => {
+            Message::WriteResponse { write, ok, term } if term == self.term => {
                 if let (true, PendingWrite::Final { id, record, .. }) = (ok, &write) {
-                    self.tell(*id, record.state);
+                    self.confirm(*id, record.state);
                 }
                 self.model.write_finished(&write, ok, self.now);
             }
@@ -113,30 +52,119 @@
         }
     }
 
-    /// A copy of a message arrives, now or much later than the message itself.
-    pub fn repeat(&mut self, m: Message) {
-        match m {
-            // Its answer reaches nobody.
-            Message::Heartbeat(r, _) => {
-                self.model.apply_heartbeat(&r, self.now);
-                let _ = self.model.heartbeat_response(&r.machine, r.token, self.now);
+    fn deliver_command(&mut self, to: MachineId, commands: &CommandBatch, term: u64) {
+        let takes_commands = |worker: &&mut Worker| worker.takes_commands();
+        let Some(worker) = self.worker(&to).filter(takes_commands) else {
+            self.in_transit.push(Message::CommandResponse {
+                from: to,
+                heartbeat: None,
+                term,
+            });
+            return;
+        };
+        let started = worker.execute(commands);
+        let heartbeat = Some(worker.heartbeat());
+        for task in started {
+            self.check_runs_once_within_limit(task);
+            self.check_dependencies_are_done(task);
+        }
+        self.in_transit.push(Message::CommandResponse {
+            from: to,
+            heartbeat,
+            term,
+        });
+    }
+
+    fn deliver_heartbeat(&mut self, heartbeat: Heartbeat, sent: Instant) {
+        let outcome = self.model.apply_heartbeat(&heartbeat, self.now);
+        let known = self.model.machines().get(&heartbeat.machine);
+        let incarnation_over = known.is_none_or(|machine| {
+            machine.newest_message.0 != heartbeat.incarnation
+                || machine.incarnation_ended(heartbeat.incarnation)
+        });
+        match outcome {
+            HeartbeatOutcome::MachineReleased => return,
+            HeartbeatOutcome::Outdated if incarnation_over => return,
+            HeartbeatOutcome::Outdated | HeartbeatOutcome::Applied => {}
+        }
+        let response = self
+            .model
+            .heartbeat_response(&heartbeat.machine, heartbeat.token, self.now);
+        if let Some(mut response) = response {
+            let stops = self.model.stops_for_cancelled(&heartbeat);
+            response.commands.extend(stops);
+            self.check_no_task_lives_on_unknown(&heartbeat, &response.commands);
+            self.in_transit.push(Message::HeartbeatResponse {
+                to: heartbeat.machine,
+                incarnation: heartbeat.incarnation,
+                response,
+                heartbeat_sent: sent,
+            });
+        }
+    }
+
+    /// Late responses and those for an earlier incarnation or of an earlier leader are
+    /// dropped by the worker.
+    fn deliver_heartbeat_response(
+        &mut self,
+        to: &MachineId,
+        incarnation: u64,
+        response: HeartbeatResponse,
+        heartbeat_sent: Instant,
+    ) {
+        let now = self.now;
+        let reachable = |worker: &&mut Worker| worker.alive && !worker.unreachable;
+        let Some(worker) = self.worker(to).filter(reachable) else {
+            return;
+        };
+        let late = now > heartbeat_sent + RESPONSE_TIMEOUT;
+        if late || incarnation != worker.incarnation || response.token < worker.token {
+            return;
+        }
+        worker.lease_renewed = worker.lease_renewed.max(heartbeat_sent);
+        let started = worker.execute(&CommandBatch {
+            token: response.token,
+            incarnation,
+            commands: response.commands,
+        });
+        assert!(started.is_empty(), "a response starts nothing");
+    }
+
+    /// Guarded by the leader's key; the client gets its response once this is stored.
+    fn store_cancellation(&mut self, id: JobId, term: u64) {
+        let Some(record) = self.stored_jobs.get_mut(&id) else {
+            panic!("{id} was finished while its cancellation was on its way");
+        };
+        record.cancelled = true;
+        self.in_transit.push(Message::CancellationStored { id, term });
+    }
+
+    /// Delivers a copy of a message, now or much later than the message itself.
+    pub fn deliver_copy(&mut self, message: Message) {
+        match message {
+            // Its response reaches nobody.
+            Message::Heartbeat { heartbeat, .. } => {
+                self.model.apply_heartbeat(&heartbeat, self.now);
+                let _ = self
+                    .model
+                    .heartbeat_response(&heartbeat.machine, heartbeat.token, self.now);
             }
             Message::Command { to, commands, .. } => {
-                let hears = |w: &&mut Worker| w.alive && !w.unreachable && !w.hears_no_commands;
-                if let Some(w) = self.worker(&to).filter(hears) {
-                    for t in w.run(&commands) {
-                        self.no_double(t);
+                let takes_commands = |worker: &&mut Worker| worker.takes_commands();
+                if let Some(worker) = self.worker(&to).filter(takes_commands) {
+                    for task in worker.execute(&commands) {
+                        self.check_runs_once_within_limit(task);
                     }
                 }
             }
-            // A transaction's conditions hold once at the most, and what its
-            // sender makes of its answer, or of one given up, it makes once.
-            Message::ApiResponse { .. }
-            | Message::Cancel { .. }
-            | Message::CancelStored { .. }
-            | Message::PendingWrite { .. }
-            | Message::Wrote { .. }
-            | Message::Answer { .. } => {}
+            // A transaction's conditions hold once at the most, and a sender handles the
+            // response, or the lack of one, once.
+            Message::HeartbeatResponse { .. }
+            | Message::StoreCancellation { .. }
+            | Message::CancellationStored { .. }
+            | Message::Write { .. }
+            | Message::WriteResponse { .. }
+            | Message::CommandResponse { .. } => {}
         }
     }
 }
--- a/tests/safety/cluster/invariants.rs
+++ b/tests/safety/cluster/invariants.rs
@@ -5,33 +5,54 @@
 use bitternfold::core::storage::record::JobRecord;
 use bitternfold::wire::*;
 
-use super::World;
+use super::SimulatedCluster;
 use crate::worker::Worker;
 
-impl World {
-    pub fn tell(&mut self, id: JobId, s: JobState) {
-        if let Some(old) = self.told.insert(id, s) {
+/// CPUs that the tasks of the limited team may use together.
+const RED_CPUS: f64 = 40.0;
+/// CPUs of each machine.
+const MACHINE_CPUS: f64 = 8.0;
+
+impl SimulatedCluster {
+    /// Notes that a job's state is confirmed to a client. A final state stays, and a job
+    /// is done only once all its tasks are.
+    pub fn confirm(&mut self, id: JobId, state: JobState) {
+        if let Some(old) = self.confirmed.insert(id, state) {
             if matches!(old, JobState::Done | JobState::Cancelled) {
-                assert_eq!(old, s, "{id} went back");
+                assert_eq!(old, state, "{id} went back");
             }
         }
-        if s == JobState::Done {
-            let f = &self.finals[&id];
-            assert_eq!(f.done, self.spec_tasks(id), "{id} is called done too early");
+        if state == JobState::Done {
+            let record = &self.final_records[&id];
+            assert_eq!(record.done, self.task_count(id), "{id} is called done too early");
         }
     }
 
-    pub fn spec_tasks(&self, id: JobId) -> u32 {
-        self.model
-            .jobs()
-            .get(&id)
-            .map_or_else(|| self.finals[&id].done, |j| j.spec.tasks)
+    fn task_count(&self, id: JobId) -> u32 {
+        let known = self.model.jobs().get(&id);
+        known.map_or_else(|| self.final_records[&id].done, |job| job.spec.tasks)
+    }
+
+    /// A start is sent only if the job isn't cancelled, its dependencies are done and the
+    /// stored log names the machine.
+    pub fn check_start(&self, task: TaskId, machine: &MachineId) {
+        assert!(
+            !matches!(self.confirmed.get(&task.job), Some(JobState::Cancelled)),
+            "{task} of a cancelled job is started"
+        );
+        let mut segments = self.wal.values();
+        let named = segments.any(|segment| segment.to_string().contains(&**machine));
+        assert!(
+            named,
+            "{task} is started on {machine}, which the log doesn't name"
+        );
+        self.check_dependencies_are_done(task);
     }
 
     /// No task starts before all jobs that its job needs are stored as done.
-    pub fn all_needed_are_done(&self, task: TaskId) {
-        for needed in &self.awaits[&task.job] {
-            let state = self.finals.get(needed).map(|f| f.state);
+    pub fn check_dependencies_are_done(&self, task: TaskId) {
+        for needed in &self.dependencies[&task.job] {
+            let state = self.final_records.get(needed).map(|record| record.state);
             assert_eq!(
                 state,
                 Some(JobState::Done),
@@ -40,101 +61,127 @@
         }
     }
 
-    /// An answer that renews a worker's lease lets no task live on that the leader
-    /// doesn't know of, or whose job is over or cancelled: a direct command may
-    /// never reach that worker.
-    pub fn renews_nothing_unknown(&self, r: &Heartbeat, orders: &[Command]) {
-        let unknown: Vec<_> = self.model.unknown_tasks(r).collect();
-        assert!(unknown.is_empty(), "{unknown:?} run on {} unknown", r.machine);
-        let slots = &self.model.machines()[&r.machine].slots;
-        for t in r.tasks.iter().filter(|t| t.state != TaskState::Exited) {
-            let slot = slots.get(&t.task).filter(|slot| slot.attempt == t.attempt);
-            let open = self.model.jobs().get(&t.task.job).is_some_and(|j| !j.cancelled);
-            let stopped = orders.iter().any(
-                |o| matches!(o, Command::Stop { task, attempt, .. } if *task == t.task && *attempt == t.attempt),
-            );
+    /// A response that renews a worker's lease lets no task live on that the leader
+    /// doesn't know of, or whose job is over or cancelled: a direct command may never
+    /// reach that worker.
+    pub fn check_no_task_lives_on_unknown(&self, heartbeat: &Heartbeat, commands: &[Command]) {
+        let unknown: Vec<_> = self.model.unknown_tasks(heartbeat).collect();
+        assert!(
+            unknown.is_empty(),
+            "{unknown:?} run on {} unknown",
+            heartbeat.machine
+        );
+        let slots = &self.model.machines()[&heartbeat.machine].slots;
+        let live = heartbeat.tasks.iter();
+        for reported in live.filter(|task| task.state != TaskState::Exited) {
+            let slot = slots.get(&reported.task);
+            let slot = slot.filter(|slot| slot.attempt == reported.attempt);
+            let job = self.model.jobs().get(&reported.task.job);
+            let open = job.is_some_and(|job| !job.cancelled);
+            let stopped = commands.iter().any(|command| {
+                matches!(command, Command::Stop { task, attempt, .. }
+                    if *task == reported.task && *attempt == reported.attempt)
+            });
             assert!(
                 slot.is_some() && open || stopped,
                 "{} attempt {} lives on with the answer to {}",
-                t.task,
-                t.attempt,
-                r.machine
+                reported.task,
+                reported.attempt,
+                heartbeat.machine
             );
         }
     }
 
-    /// Whether what is stored says that a job is cancelled, by itself or with a
-    /// job that it needs: the plain rule, walked anew each time.
-    pub fn is_cancelled(&self, id: JobId) -> bool {
-        match (self.finals.get(&id), self.jobs.get(&id)) {
-            (Some(f), _) => f.state == JobState::Cancelled,
-            (None, Some(r)) if r.cancelled => true,
-            _ => self.awaits[&id].iter().any(|needed| self.is_cancelled(*needed)),
+    /// Whether what is stored says that a job is cancelled, by itself or with a job that
+    /// it needs: the plain rule, walked anew each time.
+    fn is_cancelled(&self, id: JobId) -> bool {
+        match (self.final_records.get(&id), self.stored_jobs.get(&id)) {
+            (Some(record), _) => record.state == JobState::Cancelled,
+            (None, Some(record)) if record.cancelled => true,
+            _ => self.dependencies[&id]
+                .iter()
+                .any(|needed| self.is_cancelled(*needed)),
         }
     }
 
-    /// What the leader tells from memory agrees with what is stored, also of the
-    /// jobs before the one asked for.
-    pub fn told_as_stored(&self) {
+    /// The statuses that the leader gives from memory agree with what is stored, also of
+    /// the jobs that each job needs.
+    pub fn check_statuses_agree_with_storage(&self) {
         for id in self.model.jobs().keys() {
             let Some(view) = self.model.status(*id) else {
                 continue;
             };
-            let told = view.state == JobState::Cancelled;
-            assert_eq!(told, self.is_cancelled(*id), "{id} is called {:?}", view.state);
+            let cancelled = view.state == JobState::Cancelled;
+            assert_eq!(
+                cancelled,
+                self.is_cancelled(*id),
+                "{id} is called {:?}",
+                view.state
+            );
         }
     }
 
-    /// The task that was just started is live on one machine only.
-    pub fn no_double(&self, task: TaskId) {
-        let live: Vec<_> = self
-            .workers
-            .iter()
-            .filter(|w| w.alive && w.tasks.get(&task).is_some_and(|t| t.1 != TaskState::Exited))
-            .map(|w| w.id.clone())
-            .collect();
+    /// The task that was just started is live on one machine only, and its team is
+    /// within its limit.
+    pub fn check_runs_once_within_limit(&self, task: TaskId) {
+        let runs_task = |worker: &&Worker| {
+            let known = worker.tasks.get(&task);
+            worker.alive && known.is_some_and(|known| known.is_live())
+        };
+        let on = self.workers.iter().filter(runs_task);
+        let live: Vec<_> = on.map(|worker| worker.id.clone()).collect();
         assert!(live.len() <= 1, "{task} is on {live:?}");
-        // Red's tasks use no more than 40 CPUs, wherever they are.
-        let cpus: f64 = self
-            .workers
-            .iter()
-            .filter(|w| w.alive)
-            .flat_map(|w| &w.tasks)
-            .filter(|(_, t)| t.1 != TaskState::Exited)
-            .filter_map(|(t, _)| self.jobs.get(&t.job).or(None).map(|j| &j.spec))
-            .filter(|s| s.team == "red")
-            .map(|s| s.cpus)
+        let all = self.workers.iter().filter(|worker| worker.alive);
+        let cpus: f64 = all
+            .flat_map(|worker| &worker.tasks)
+            .filter(|(_, known)| known.is_live())
+            .filter_map(|(id, _)| self.stored_jobs.get(&id.job).map(|record| &record.spec))
+            .filter(|spec| spec.team == "red")
+            .map(|spec| spec.cpus)
             .sum();
-        assert!(cpus <= 40.0, "red uses {cpus} CPUs");
+        assert!(cpus <= RED_CPUS, "red uses {cpus} CPUs");
     }
 
-    /// Jobs with a task that is nowhere, though some machine has room for it and
-    /// its team is under its limit.
-    pub fn waiting_beside_room(&self) -> BTreeSet<JobId> {
-        let live = |w: &Worker| -> Vec<TaskId> {
-            let t = w.tasks.iter().filter(|t| t.1 .1 != TaskState::Exited);
-            t.map(|t| *t.0).collect()
+    /// Jobs with a task that is nowhere, though some machine has room for it and its team
+    /// is under its limit.
+    pub fn jobs_waiting_despite_room(&self) -> BTreeSet<JobId> {
+        let alive: Vec<_> = self.workers.iter().filter(|worker| worker.alive).collect();
+        let cpus_of = |task: &TaskId| {
+            let record = self.stored_jobs.get(&task.job);
+            record.map_or(0.0, |record| record.spec.cpus)
         };
-        let cpus = |t: &TaskId| self.jobs.get(&t.job).map_or(0.0, |r| r.spec.cpus);
-        let there: Vec<_> = self.workers.iter().filter(|w| w.alive).collect();
-        let most_free = there
+        let is_red = |task: &&TaskId| {
+            let record = self.stored_jobs.get(&task.job);
+            record.is_some_and(|record| record.spec.team == "red")
+        };
+        let max_free = alive
             .iter()
-            .map(|w| 8.0 - live(w).iter().map(cpus).sum::<f64>())
+            .map(|worker| MACHINE_CPUS - live_tasks(worker).iter().map(cpus_of).sum::<f64>())
             .fold(0.0, f64::max);
-        let all: Vec<TaskId> = there.iter().flat_map(|w| live(w)).collect();
-        let red = |t: &&TaskId| self.jobs.get(&t.job).is_some_and(|r| r.spec.team == "red");
-        let red_uses: f64 = all.iter().filter(red).map(cpus).sum();
-        let waits = |r: &&JobRecord| {
-            let s = &r.spec;
-            let here = all.iter().filter(|t| t.job == s.id).count() as u32;
-            let done = self.model.jobs().get(&s.id).map_or(s.tasks, |j| j.done.count());
-            let is_done = |needed: &JobId| self.finals.get(needed).is_some_and(|f| f.state == JobState::Done);
-            !r.cancelled
-                && s.awaits.iter().all(is_done)
-                && here + done < s.tasks
-                && s.cpus <= most_free
-                && (s.team != "red" || red_uses + s.cpus <= 40.0)
+        let live: Vec<TaskId> = alive.iter().flat_map(|worker| live_tasks(worker)).collect();
+        let red_cpus: f64 = live.iter().filter(is_red).map(cpus_of).sum();
+        let waits = |record: &&JobRecord| {
+            let spec = &record.spec;
+            let placed = live.iter().filter(|task| task.job == spec.id).count() as u32;
+            let known = self.model.jobs().get(&spec.id);
+            let done = known.map_or(spec.tasks, |job| job.done.count());
+            !record.cancelled
+                && spec.awaits.iter().all(|needed| self.is_stored_as_done(*needed))
+                && placed + done < spec.tasks
+                && spec.cpus <= max_free
+                && (spec.team != "red" || red_cpus + spec.cpus <= RED_CPUS)
         };
-        self.jobs.values().filter(waits).map(|r| r.spec.id).collect()
+        let waiting = self.stored_jobs.values().filter(waits);
+        waiting.map(|record| record.spec.id).collect()
     }
+
+    fn is_stored_as_done(&self, id: JobId) -> bool {
+        let record = self.final_records.get(&id);
+        record.is_some_and(|record| record.state == JobState::Done)
+    }
+}
+
+fn live_tasks(worker: &Worker) -> Vec<TaskId> {
+    let live = worker.tasks.iter().filter(|(_, known)| known.is_live());
+    live.map(|(id, _)| *id).collect()
 }
--- a/tests/safety/cluster/message.rs
+++ b/tests/safety/cluster/message.rs
@@ -1,10 +1,11 @@
-//! What is on its way between the leader, its state service and the workers.
+//! What is in transit between the leader, its state service and the workers.
 
 use std::time::Instant;
 
 use bitternfold::core::storage::pending_writes::PendingWrite;
 use bitternfold::wire::*;
 
+/// A message in transit. `term` is that of the leader that sent it or waits for it.
 #[derive(Debug, Clone)]
 pub enum Message {
     Command {
@@ -12,39 +13,39 @@
         commands: CommandBatch,
         term: u64,
     },
-    Answer {
+    /// The response to a command; without a heartbeat it failed or was given up.
+    CommandResponse {
         from: MachineId,
-        report: Option<Heartbeat>,
+        heartbeat: Option<Heartbeat>,
         term: u64,
     },
-    /// A report and when it was sent.
-    Heartbeat(Heartbeat, Instant),
-    PendingWrite {
+    Heartbeat {
+        heartbeat: Heartbeat,
+        sent: Instant,
+    },
+    HeartbeatResponse {
+        to: MachineId,
+        incarnation: u64,
+        response: HeartbeatResponse,
+        /// When its heartbeat was sent.
+        heartbeat_sent: Instant,
+    },
+    Write {
         write: PendingWrite,
         term: u64,
     },
-    Wrote {
+    WriteResponse {
         write: PendingWrite,
         ok: bool,
         term: u64,
     },
-    /// A cancellation on its way to be stored.
-    Cancel {
+    /// A cancellation that is to be stored.
+    StoreCancellation {
         id: JobId,
         term: u64,
     },
-    /// The answer that it is.
-    CancelStored {
+    CancellationStored {
         id: JobId,
         term: u64,
     },
-    /// The response to a report, with its token and orders.
-    ApiResponse {
-        to: MachineId,
-        incarnation: u64,
-        token: u64,
-        orders: Vec<Command>,
-        /// When its report was sent.
-        sent: Instant,
-    },
 }
--- a/tests/safety/cluster/mod.rs
+++ b/tests/safety/cluster/mod.rs
@@ -17,34 +17,41 @@
 use crate::support::*;
 use crate::worker::Worker;
 use message::Message;
-pub use operation::Op;
+pub use operation::Operation;
 
 /// The lease of the settings.
 pub const LEASE: Duration = Duration::from_secs(20);
 
-/// A cluster under generated troubles: one leader after the other, its state
-/// service, its workers, and the messages between them.
-pub struct World {
+/// A cluster under generated faults: one leader after the other, its state service, its
+/// workers, and the messages between them.
+pub struct SimulatedCluster {
     pub now: Instant,
     pub term: u64,
-    pub jobs: BTreeMap<JobId, JobRecord>,
-    pub finals: BTreeMap<JobId, FinalRecord>,
+    /// Records of open jobs, as stored.
+    pub stored_jobs: BTreeMap<JobId, JobRecord>,
+    /// Records of jobs that have ended, as stored.
+    pub final_records: BTreeMap<JobId, FinalRecord>,
+    /// Segments of the write-ahead log, as stored.
     pub wal: BTreeMap<u64, serde_json::Value>,
+    /// The state machine of the current leader.
     pub model: ClusterModel,
-    /// The leader before, which doesn't know that it is over.
-    pub old: Option<ClusterModel>,
-    pub copies: Vec<Message>,
+    /// That of the leader before, which doesn't know that it is deposed.
+    pub deposed: Option<ClusterModel>,
+    /// Copies of messages that may still arrive.
+    pub kept_copies: Vec<Message>,
     pub workers: Vec<Worker>,
-    pub mail: Vec<Message>,
-    pub mute: BTreeSet<MachineId>,
+    pub in_transit: Vec<Message>,
+    /// Machines whose heartbeats arrive nowhere.
+    pub heartbeats_lost: BTreeSet<MachineId>,
     pub next_job: u32,
     pub submitted: Vec<JobId>,
     /// The jobs that each job waits for.
-    pub awaits: BTreeMap<JobId, Vec<JobId>>,
-    pub told: BTreeMap<JobId, JobState>,
+    pub dependencies: BTreeMap<JobId, Vec<JobId>>,
+    /// The latest state of each job that was confirmed to a client.
+    pub confirmed: BTreeMap<JobId, JobState>,
 }
 
-impl World {
+impl SimulatedCluster {
     pub fn new() -> Self {
         let now = start();
         let workers = (0..4)
@@ -53,105 +60,75 @@
         Self {
             now,
             term: 1,
-            jobs: BTreeMap::new(),
-            finals: BTreeMap::new(),
+            stored_jobs: BTreeMap::new(),
+            final_records: BTreeMap::new(),
             wal: BTreeMap::new(),
             model: model(1),
-            old: None,
-            copies: Vec::new(),
+            deposed: None,
+            kept_copies: Vec::new(),
             workers,
-            mail: Vec::new(),
-            mute: BTreeSet::new(),
+            in_transit: Vec::new(),
+            heartbeats_lost: BTreeSet::new(),
             next_job: 0,
             submitted: Vec::new(),
-            awaits: BTreeMap::new(),
-            told: BTreeMap::new(),
+            dependencies: BTreeMap::new(),
+            confirmed: BTreeMap::new(),
         }
     }
 
     pub fn worker(&mut self, id: &MachineId) -> Option<&mut Worker> {
-        self.workers.iter_mut().find(|w| w.id == *id)
+        self.workers.iter_mut().find(|worker| worker.id == *id)
     }
 
-    /// Time passes; workers whose lease runs out kill and forget all.
-    pub fn pass(&mut self, time: Duration) {
+    /// Time passes; workers whose lease expires kill and forget all their tasks.
+    pub fn pass_time(&mut self, time: Duration) {
         self.now += time;
-        for w in &mut self.workers {
-            w.end_lease(self.now, LEASE);
+        for worker in &mut self.workers {
+            worker.expire_lease(self.now, LEASE);
         }
     }
 
     /// One round of the leader.
-    pub fn round(&mut self) {
+    pub fn play_round(&mut self) {
         self.model.expire_leases(self.now);
         self.model.plan(self.now);
         let term = self.term;
         for write in self.model.take_writes(self.now) {
-            self.mail.push(Message::PendingWrite { write, term });
+            self.in_transit.push(Message::Write { write, term });
         }
         for due in self.model.take_due_commands(self.now, 2) {
             let (to, commands) = (due.machine, due.batch);
-            for c in &commands.commands {
-                if let Command::Start { task, .. } = c {
-                    assert!(
-                        !matches!(self.told.get(&task.job), Some(JobState::Cancelled)),
-                        "{task} of a cancelled job is started"
-                    );
-                    let named = self.wal.values().any(|v| v.to_string().contains(&*to));
-                    assert!(named, "{task} is started on {to}, which the log doesn't name");
-                    self.all_needed_are_done(*task);
+            for command in &commands.commands {
+                if let Command::Start { task, .. } = command {
+                    self.check_start(*task, &to);
                 }
             }
-            self.mail.push(Message::Command { to, commands, term });
+            self.in_transit.push(Message::Command { to, commands, term });
         }
     }
 
-    pub fn store(&mut self, w: &PendingWrite) {
-        match w {
-            PendingWrite::WriteAheadLog(a) => {
-                for (n, v) in &a.segments {
-                    match v {
-                        Some(v) => {
-                            let bytes = v.to_string().len();
+    /// Carries out a write of the current leader.
+    pub fn store(&mut self, write: &PendingWrite) {
+        match write {
+            PendingWrite::WriteAheadLog(append) => {
+                for (number, segment) in &append.segments {
+                    match segment {
+                        Some(segment) => {
+                            let bytes = segment.to_string().len();
                             assert!(bytes <= 4096, "a segment of {bytes} bytes");
-                            self.wal.insert(*n, v.clone());
+                            self.wal.insert(*number, segment.clone());
                         }
-                        None => drop(self.wal.remove(n)),
+                        None => drop(self.wal.remove(number)),
                     }
                 }
             }
             PendingWrite::Final { id, record, .. } => {
-                self.jobs.remove(id);
-                if let Some(old) = self.finals.insert(*id, record.clone()) {
+                self.stored_jobs.remove(id);
+                if let Some(old) = self.final_records.insert(*id, record.clone()) {
                     assert_eq!(old.state, record.state, "a final state changed");
                 }
             }
             PendingWrite::Ratios(_) => {}
         }
     }
-
-    /// A new leader reads what is stored; the old one's mail stays on its way.
-    pub fn elect(&mut self) {
-        self.term += 1;
-        let mut m = model(self.term);
-        for r in self.jobs.values() {
-            m.add_job(r.clone(), self.now);
-        }
-        for (n, v) in &self.wal {
-            assert!(
-                m.load_log_segment(*n, v.clone()),
-                "a segment is read as it was written"
-            );
-        }
-        m.replay_log(self.now);
-        self.old = Some(std::mem::replace(&mut self.model, m));
-    }
-
-    /// A user calls a job off: its tasks are stopped at once, its user is told
-    /// once that is stored.
-    pub fn cancel(&mut self, id: JobId) {
-        self.model.cancel(id, self.now);
-        let term = self.term;
-        self.mail.push(Message::Cancel { id, term });
-    }
 }
--- /dev/null
+++ b/tests/safety/cluster/step/mod.rs
@@ -0,0 +1,70 @@
+//! What each operation of a generated run does. After each the leader plays a round, and
+//! the statuses that it gives agree with what is stored.
+
+mod leaders;
+mod machines;
+mod network;
+mod users;
+
+use std::time::Duration;
+
+use super::{Operation, SimulatedCluster};
+use crate::support::*;
+
+impl SimulatedCluster {
+    pub fn step(&mut self, operation: Operation) {
+        self.carry_out(operation);
+        self.play_round();
+        self.check_statuses_agree_with_storage();
+    }
+
+    fn carry_out(&mut self, operation: Operation) {
+        match operation {
+            Operation::Submit {
+                tasks,
+                cpus,
+                red,
+                awaits,
+            } => self.submit(tasks, cpus, red, &awaits),
+            Operation::Cancel(job) => self.cancel_if_open(job),
+            Operation::CancelAsTasksEnd(machine) => self.cancel_as_tasks_end(machine),
+            Operation::ResolveDependency(job) => self.resolve_dependency(job),
+
+            Operation::SendHeartbeat(machine) => self.send_heartbeat(machine),
+            Operation::Deliver(message) => self.deliver_any(message),
+            Operation::Duplicate(message) => self.duplicate(message),
+            Operation::Lose(message) => self.lose(message),
+            Operation::KeepCopy(message) => self.keep_copy(message),
+            Operation::DeliverKeptCopy(message) => self.deliver_kept_copy(message),
+            Operation::DeposedLeaderResponds(machine) => self.deposed_leader_responds(machine),
+            Operation::Unreachable { machines, begins } => {
+                self.first_workers(machines)
+                    .for_each(|worker| worker.unreachable = begins);
+            }
+            Operation::CommandsLost { machines, begins } => {
+                self.first_workers(machines)
+                    .for_each(|worker| worker.commands_lost = begins);
+            }
+            Operation::HeartbeatsLost { machines, begins } => self.lose_heartbeats(machines, begins),
+
+            Operation::AdvanceTasks { machine, outcome } => self.advance_tasks(machine, outcome),
+            Operation::FailAllTasks => self.fail_all_tasks(),
+            Operation::ExpireLease(machine) => self.expire_lease(machine),
+            Operation::MachineDies(machine) => self.nth_worker(machine).alive = false,
+            Operation::Release(machine) => self.release(machine),
+            Operation::Reboot {
+                machine,
+                new_incarnation,
+            } => self.reboot(machine, new_incarnation),
+
+            Operation::Elect => self.elect(),
+            Operation::ElectInSuccession(leaders) => self.elect_in_succession(leaders),
+            Operation::NoLeaderForALease => self.no_leader_for_a_lease(),
+            Operation::PauseLeader(seconds) => {
+                self.pass_time(secs(seconds));
+                self.model.ignore_silence_before(self.now);
+            }
+            Operation::PassTime(millis) => self.pass_time(Duration::from_millis(millis)),
+        }
+    }
+}
--- a/tests/safety/generated.rs
+++ b/tests/safety/generated.rs
@@ -6,13 +6,13 @@
 use bitternfold::wire::*;
 use proptest::prelude::*;
 
-use crate::cluster::{Op, World};
+use crate::cluster::{Operation, SimulatedCluster};
 use crate::support::*;
 
 /// Half of all jobs wait for none, the others for up to three.
-fn any_submission() -> impl Strategy<Value = Op> {
+fn any_submission() -> impl Strategy<Value = Operation> {
     let awaits = prop_oneof![Just(Vec::new()), proptest::collection::vec(any::<usize>(), 1..4)];
-    (1..5u32, 1..9u32, any::<bool>(), awaits).prop_map(|(tasks, cpus, red, awaits)| Op::Submit {
+    (1..5u32, 1..9u32, any::<bool>(), awaits).prop_map(|(tasks, cpus, red, awaits)| Operation::Submit {
         tasks,
         cpus,
         red,
@@ -20,69 +20,80 @@
     })
 }
 
-fn any_op() -> impl Strategy<Value = Op> {
+fn any_operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
         2 => any_submission(),
-        1 => any::<usize>().prop_map(Op::Cancel),
-        2 => any::<usize>().prop_map(Op::Resolve),
-        6 => any::<usize>().prop_map(Op::Heartbeat),
-        20 => any::<usize>().prop_map(Op::Deliver),
-        2 => any::<usize>().prop_map(Op::Repeat),
-        2 => any::<usize>().prop_map(Op::Lose),
-        4 => (any::<usize>(), any::<u8>()).prop_map(|(i, h)| Op::Run(i, h)),
-        1 => any::<usize>().prop_map(Op::Expire),
-        1 => any::<usize>().prop_map(Op::Release),
-        1 => any::<usize>().prop_map(Op::Die),
-        1 => (0..4usize, any::<bool>()).prop_map(|(m, d)| Op::Unreachable(m, d)),
-        1 => (0..4usize, any::<bool>()).prop_map(|(m, d)| Op::HearsNoCommands(m, d)),
-        1 => (any::<usize>(), any::<bool>()).prop_map(|(i, r)| Op::Reboot(i, r)),
-        1 => (0..4usize, any::<bool>()).prop_map(|(m, d)| Op::Mute(m, d)),
-        1 => any::<usize>().prop_map(Op::CancelAtEnd),
-        1 => (2..11u8).prop_map(Op::Chain),
-        1 => Just(Op::Away),
-        3 => Just(Op::Fail),
-        2 => any::<usize>().prop_map(Op::Copy),
-        2 => any::<usize>().prop_map(Op::Late),
-        2 => any::<usize>().prop_map(Op::OldReport),
-        1 => Just(Op::Elect),
-        3 => (1..2000u64).prop_map(Op::Wait),
-        1 => (1..60u64).prop_map(Op::Freeze),
+        1 => any::<usize>().prop_map(Operation::Cancel),
+        2 => any::<usize>().prop_map(Operation::ResolveDependency),
+        6 => any::<usize>().prop_map(Operation::SendHeartbeat),
+        20 => any::<usize>().prop_map(Operation::Deliver),
+        2 => any::<usize>().prop_map(Operation::Duplicate),
+        2 => any::<usize>().prop_map(Operation::Lose),
+        4 => (any::<usize>(), any::<u8>()).prop_map(|(machine, outcome)| Operation::AdvanceTasks { machine, outcome }),
+        1 => any::<usize>().prop_map(Operation::ExpireLease),
+        1 => any::<usize>().prop_map(Operation::Release),
+        1 => any::<usize>().prop_map(Operation::MachineDies),
+        1 => (0..4usize, any::<bool>()).prop_map(|(machines, begins)| Operation::Unreachable { machines, begins }),
+        1 => (0..4usize, any::<bool>()).prop_map(|(machines, begins)| Operation::CommandsLost { machines, begins }),
+        1 => (any::<usize>(), any::<bool>()).prop_map(|(machine, new_incarnation)| Operation::Reboot { machine, new_incarnation }),
+        1 => (0..4usize, any::<bool>()).prop_map(|(machines, begins)| Operation::HeartbeatsLost { machines, begins }),
+        1 => any::<usize>().prop_map(Operation::CancelAsTasksEnd),
+        1 => (2..11u8).prop_map(Operation::ElectInSuccession),
+        1 => Just(Operation::NoLeaderForALease),
+        3 => Just(Operation::FailAllTasks),
+        2 => any::<usize>().prop_map(Operation::KeepCopy),
+        2 => any::<usize>().prop_map(Operation::DeliverKeptCopy),
+        2 => any::<usize>().prop_map(Operation::DeposedLeaderResponds),
+        1 => Just(Operation::Elect),
+        3 => (1..2000u64).prop_map(Operation::PassTime),
+        1 => (1..60u64).prop_map(Operation::PauseLeader),
     ]
 }
 
 /// A world in which all that was done, and whose messages arrive again.
-fn after_trouble(ops: Vec<Op>) -> World {
-    let mut w = World::new();
-    for op in ops {
-        if !matches!(op, Op::Die(_)) {
-            w.step(op);
+fn after_trouble(operations: Vec<Operation>) -> SimulatedCluster {
+    let mut cluster = SimulatedCluster::new();
+    for operation in operations {
+        if !matches!(operation, Operation::MachineDies(_)) {
+            cluster.step(operation);
         }
     }
-    w.step(Op::Unreachable(usize::MAX - 1, false));
-    w.mute.clear();
-    for x in &mut w.workers {
-        x.unreachable = false;
-        x.hears_no_commands = false;
+    cluster.step(Operation::Unreachable {
+        machines: usize::MAX - 1,
+        begins: false,
+    });
+    cluster.heartbeats_lost.clear();
+    for worker in &mut cluster.workers {
+        worker.unreachable = false;
+        worker.commands_lost = false;
     }
-    w
+    cluster
 }
 
 /// Trouble is over: all gets done, and nobody waits for long beside room.
-fn quiet_ending(w: &mut World) -> Result<(), TestCaseError> {
+fn quiet_ending(cluster: &mut SimulatedCluster) -> Result<(), TestCaseError> {
     let mut since = BTreeMap::new();
     for i in 0..9600usize {
         // Tasks run for long, so that work waits and every machine is needed.
         let ends = if i / 8 % 60 < 8 { 0 } else { 4 };
-        let op = match i % 8 {
-            0 => Op::Heartbeat(i / 8),
-            1 => Op::Run(i / 8, ends),
-            7 => Op::Wait(400),
-            6 => Op::Resolve(0),
-            _ => Op::Deliver(0),
+        let operation = match i % 8 {
+            0 => Operation::SendHeartbeat(i / 8),
+            1 => Operation::AdvanceTasks {
+                machine: i / 8,
+                outcome: ends,
+            },
+            7 => Operation::PassTime(400),
+            6 => Operation::ResolveDependency(0),
+            _ => Operation::Deliver(0),
         };
         // What the fleet does with silent machines.
-        let alive = |id: &MachineId| w.workers.iter().any(|x| x.alive && x.id == *id);
-        let dead: Vec<MachineId> = w
+        let alive = |id: &MachineId| {
+            cluster
+                .workers
+                .iter()
+                .any(|worker| worker.alive && worker.id == *id)
+        };
+        let dead: Vec<MachineId> = cluster
             .model
             .machines()
             .keys()
@@ -90,22 +101,27 @@
             .cloned()
             .collect();
         for id in dead {
-            w.model.released(&id, w.now);
+            cluster.model.released(&id, cluster.now);
         }
-        w.step(op);
-        let waiting = w.waiting_beside_room();
+        cluster.step(operation);
+        let waiting = cluster.jobs_waiting_despite_room();
         since.retain(|id, _| waiting.contains(id));
         for id in waiting {
-            let t = *since.entry(id).or_insert(w.now);
+            let t = *since.entry(id).or_insert(cluster.now);
             prop_assert!(
-                w.now - t <= secs(90),
+                cluster.now - t <= secs(90),
                 "{id} waits for {:?} beside room",
-                w.now - t
+                cluster.now - t
             );
         }
     }
-    let open: BTreeSet<_> = w.jobs.keys().collect();
-    prop_assert!(open.is_empty(), "left over: {:?}, mail {}", open, w.mail.len());
+    let open: BTreeSet<_> = cluster.stored_jobs.keys().collect();
+    prop_assert!(
+        open.is_empty(),
+        "left over: {:?}, mail {}",
+        open,
+        cluster.in_transit.len()
+    );
     Ok(())
 }
 
@@ -115,96 +131,99 @@
     })]
 
     #[test]
-    fn no_failure_puts_a_task_in_two_places(ops in proptest::collection::vec(any_op(), 50..400)) {
-        let mut w = World::new();
-        for op in ops {
-            w.step(op);
+    fn no_failure_puts_a_task_in_two_places(operations in proptest::collection::vec(any_operation(), 50..400)) {
+        let mut cluster = SimulatedCluster::new();
+        for operation in operations {
+            cluster.step(operation);
         }
     }
 
     /// Once the trouble ends, every job that isn't cancelled gets done, and none
     /// waits for long while a machine that fits has room.
     #[test]
-    fn all_work_is_done_in_the_end(ops in proptest::collection::vec(any_op(), 20..200)) {
-        let mut w = after_trouble(ops);
-        quiet_ending(&mut w)?;
+    fn all_work_is_done_in_the_end(operations in proptest::collection::vec(any_operation(), 20..200)) {
+        let mut cluster = after_trouble(operations);
+        quiet_ending(&mut cluster)?;
     }
 
     /// The same after all that runs has failed everywhere, six times in a row.
     #[test]
-    fn nobody_waits_beside_room_after_failing_everywhere(ops in proptest::collection::vec(any_op(), 20..200)) {
-        let mut w = after_failing_everywhere(ops);
-        quiet_ending(&mut w)?;
+    fn nobody_waits_beside_room_after_failing_everywhere(operations in proptest::collection::vec(any_operation(), 20..200)) {
+        let mut cluster = after_failing_everywhere(operations);
+        quiet_ending(&mut cluster)?;
     }
 }
 
 /// The world after some trouble, the last of which is that all that runs
 /// fails, six times.
-fn after_failing_everywhere(ops: Vec<Op>) -> World {
-    let mut w = after_trouble(ops);
+fn after_failing_everywhere(operations: Vec<Operation>) -> SimulatedCluster {
+    let mut cluster = after_trouble(operations);
     for i in 0..240usize {
-        let op = match (i % 40, i % 8) {
-            (39, _) => Op::Fail,
-            (_, 0) => Op::Heartbeat(i / 8),
-            (_, 7) => Op::Wait(400),
-            _ => Op::Deliver(0),
+        let operation = match (i % 40, i % 8) {
+            (39, _) => Operation::FailAllTasks,
+            (_, 0) => Operation::SendHeartbeat(i / 8),
+            (_, 7) => Operation::PassTime(400),
+            _ => Operation::Deliver(0),
         };
-        w.step(op);
+        cluster.step(operation);
     }
-    w
+    cluster
 }
 
 #[test]
 fn a_job_that_failed_everywhere_is_back_at_full_width_in_time() {
     // A generated sequence after which tasks waited for 90.4 s beside room:
     // pauses of 32 s, then one task at a time, while machines stayed cordoned.
-    let submit = |tasks, cpus, red| Op::Submit {
+    let submit = |tasks, cpus, red| Operation::Submit {
         tasks,
         cpus,
         red,
         awaits: Vec::new(),
     };
-    let deliver = Op::Deliver;
-    let ops = vec![
+    let deliver = Operation::Deliver;
+    let operations = vec![
         submit(4, 8, false),
         deliver(8392230948040143242),
         deliver(16564175535304606279),
-        Op::Away,
-        Op::Heartbeat(9103296329697265438),
-        Op::Elect,
-        Op::Heartbeat(4200274648089707579),
+        Operation::NoLeaderForALease,
+        Operation::SendHeartbeat(9103296329697265438),
+        Operation::Elect,
+        Operation::SendHeartbeat(4200274648089707579),
         submit(2, 3, true),
-        Op::Lose(16004930154143770109),
+        Operation::Lose(16004930154143770109),
         deliver(17343191845699540759),
-        Op::Lose(4468235302978096618),
+        Operation::Lose(4468235302978096618),
         deliver(1425582355381907534),
         deliver(13532930482197435665),
         submit(3, 2, false),
         submit(4, 8, true),
         deliver(14900104632600383177),
         deliver(9102860268548386656),
-        Op::Unreachable(3, true),
+        Operation::Unreachable {
+            machines: 3,
+            begins: true,
+        },
         deliver(8569058169103209391),
-        Op::Cancel(12789475987345334307),
+        Operation::Cancel(12789475987345334307),
         deliver(4598935939551699462),
-        Op::Cancel(11118938990765730372),
-        Op::Chain(7),
-        Op::CancelAtEnd(13691221138265307172),
+        Operation::Cancel(11118938990765730372),
+        Operation::ElectInSuccession(7),
+        Operation::CancelAsTasksEnd(13691221138265307172),
         deliver(6658439204812937593),
-        Op::Release(2914089572435201884),
-        Op::Lose(14365060187647711373),
-        Op::Heartbeat(17289338726488251579),
+        Operation::Release(2914089572435201884),
+        Operation::Lose(14365060187647711373),
+        Operation::SendHeartbeat(17289338726488251579),
         deliver(2993201230049916690),
-        Op::Wait(1597),
+        Operation::PassTime(1597),
         deliver(9587532462849967997),
         deliver(9131733887317759306),
         deliver(9369583810463035282),
-        Op::Elect,
+        Operation::Elect,
         submit(1, 6, true),
         deliver(9037973649855983994),
         deliver(11834334059939642239),
         deliver(5766986400068430867),
     ];
-    let mut w = after_failing_everywhere(ops);
-    quiet_ending(&mut w).expect("nobody waits for long");
+    let mut cluster = after_failing_everywhere(operations);
+    quiet_ending(&mut cluster).expect("nobody waits for long");
 }
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -6,8 +6,30 @@
 
 use bitternfold::wire::*;
 
-/// How long a worker waits for an answer.
-pub const PATIENCE: Duration = Duration::from_secs(4);
+/// How long a worker waits for the response to a heartbeat. Later ones are dropped.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
+
+/// What a worker knows of one of its tasks.
+#[derive(Debug, Clone, Copy)]
+pub struct WorkerTask {
+    pub attempt: u64,
+    pub state: TaskState,
+    /// Set once the task has exited.
+    pub exit_reason: Option<ExitReason>,
+}
+
+impl WorkerTask {
+    /// Whether it takes up resources: it fetches its image or runs.
+    pub fn is_live(&self) -> bool {
+        self.state != TaskState::Exited
+    }
+
+    /// Ends the task for this reason.
+    pub fn exit(&mut self, reason: ExitReason) {
+        self.state = TaskState::Exited;
+        self.exit_reason = Some(reason);
+    }
+}
 
 /// A worker, as the protocol describes it.
 pub struct Worker {
@@ -15,19 +37,20 @@
     pub spot: bool,
     pub incarnation: u64,
     pub sequence: u64,
+    /// The highest fencing token that it has seen.
     pub token: u64,
-    pub tasks: BTreeMap<TaskId, (u64, TaskState, Option<ExitReason>)>,
+    pub tasks: BTreeMap<TaskId, WorkerTask>,
     pub alive: bool,
-    /// Its reports arrive, but answers and commands don't reach it.
+    /// Its heartbeats arrive, but responses and commands don't reach it.
     pub unreachable: bool,
-    /// Answers to its reports reach it, but direct commands don't.
-    pub hears_no_commands: bool,
-    /// Its last answered report was sent then; its lease runs from there.
-    pub renewed: Instant,
+    /// Responses to its heartbeats reach it, but direct commands don't.
+    pub commands_lost: bool,
+    /// When the last heartbeat that got a response was sent; the lease runs from there.
+    pub lease_renewed: Instant,
 }
 
 impl Worker {
-    /// A worker whose session begins now.
+    /// A worker whose incarnation begins now.
     pub fn new(id: &str, spot: bool, now: Instant) -> Self {
         Self {
             id: id.into(),
@@ -38,24 +61,41 @@
             tasks: BTreeMap::new(),
             alive: true,
             unreachable: false,
-            hears_no_commands: false,
-            renewed: now,
+            commands_lost: false,
+            lease_renewed: now,
         }
     }
 
-    /// Kills and forgets all if the lease has run out.
-    pub fn end_lease(&mut self, now: Instant, lease: Duration) {
-        if now.saturating_duration_since(self.renewed) > lease {
+    /// Whether a direct command would arrive.
+    pub fn takes_commands(&self) -> bool {
+        self.alive && !self.unreachable && !self.commands_lost
+    }
+
+    /// Kills and forgets all tasks if the lease has expired.
+    pub fn expire_lease(&mut self, now: Instant, lease: Duration) {
+        if now.saturating_duration_since(self.lease_renewed) > lease {
             self.tasks.clear();
-            self.incarnation += 1;
-            self.sequence = 0;
-            self.renewed = now;
+            self.begin_incarnation();
+            self.lease_renewed = now;
         }
     }
 
-    /// Its next report.
+    /// Begins the next incarnation, whose heartbeats are counted anew.
+    pub fn begin_incarnation(&mut self) {
+        self.incarnation += 1;
+        self.sequence = 0;
+    }
+
+    /// Its next heartbeat.
     pub fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
+        let tasks = self.tasks.iter().map(|(id, task)| ReportedTask {
+            task: *id,
+            attempt: task.attempt,
+            state: task.state,
+            exit_reason: task.exit_reason,
+            saved: None,
+        });
         Heartbeat {
             machine: self.id.clone(),
             addr: "127.0.0.1:9".into(),
@@ -66,55 +106,61 @@
             sequence: self.sequence,
             token: self.token,
             reclaim_in_s: None,
-            tasks: self
-                .tasks
-                .iter()
-                .map(|(t, (a, s, w))| ReportedTask {
-                    task: *t,
-                    attempt: *a,
-                    state: *s,
-                    exit_reason: *w,
-                    saved: None,
-                })
-                .collect(),
+            tasks: tasks.collect(),
         }
     }
 
-    /// Runs a command; the tasks that it started.
-    pub fn run(&mut self, c: &CommandBatch) -> Vec<TaskId> {
-        if c.token < self.token || c.incarnation != self.incarnation {
+    /// Executes a batch of commands, unless it is of an earlier leader or for another
+    /// incarnation; the tasks that it started.
+    pub fn execute(&mut self, batch: &CommandBatch) -> Vec<TaskId> {
+        if batch.token < self.token || batch.incarnation != self.incarnation {
             return Vec::new();
         }
-        self.token = c.token;
+        self.token = batch.token;
         let mut started = Vec::new();
-        for c in &c.commands {
-            match *c {
-                Command::Start { task, attempt } => match self.tasks.get(&task) {
-                    Some((a, _, _)) if *a == attempt => {}
-                    Some((_, TaskState::Exited, _)) | None => {
-                        self.tasks.insert(task, (attempt, TaskState::Fetching, None));
+        for command in &batch.commands {
+            match *command {
+                Command::Start { task, attempt } => {
+                    if self.start(task, attempt) {
                         started.push(task);
                     }
-                    Some(_) => {}
-                },
-                Command::Stop { task, attempt, .. } => {
-                    if let Some(t) = self.tasks.get_mut(&task) {
-                        if t.0 == attempt && t.1 != TaskState::Exited {
-                            *t = (attempt, TaskState::Exited, Some(ExitReason::Stopped));
-                        }
-                    }
-                }
-                Command::Acknowledge { task, attempt } => {
-                    if self
-                        .tasks
-                        .get(&task)
-                        .is_some_and(|t| t.0 == attempt && t.1 == TaskState::Exited)
-                    {
-                        self.tasks.remove(&task);
-                    }
                 }
+                Command::Stop { task, attempt, .. } => self.stop(task, attempt),
+                Command::Acknowledge { task, attempt } => self.forget(task, attempt),
             }
         }
         started
     }
+
+    /// Starts an attempt, unless another one is live or this one is known already.
+    fn start(&mut self, task: TaskId, attempt: u64) -> bool {
+        let may_start = match self.tasks.get(&task) {
+            Some(known) => known.attempt != attempt && !known.is_live(),
+            None => true,
+        };
+        if may_start {
+            let fetching = WorkerTask {
+                attempt,
+                state: TaskState::Fetching,
+                exit_reason: None,
+            };
+            self.tasks.insert(task, fetching);
+        }
+        may_start
+    }
+
+    fn stop(&mut self, task: TaskId, attempt: u64) {
+        if let Some(known) = self.tasks.get_mut(&task) {
+            if known.attempt == attempt && known.is_live() {
+                known.exit(ExitReason::Stopped);
+            }
+        }
+    }
+
+    fn forget(&mut self, task: TaskId, attempt: u64) {
+        let known = self.tasks.get(&task);
+        if known.is_some_and(|known| known.attempt == attempt && !known.is_live()) {
+            self.tasks.remove(&task);
+        }
+    }
 }
