--- a/tests/gap/main.rs
+++ b/tests/gap/main.rs
@@ -15,7 +15,7 @@
 use bitternfold::core::evidence::authority::{Authority, AuthorityLimits, ClockReading, MARGIN};
 use proptest::prelude::*;
 use support::*;
-use world::{any_times, Times, World};
+use world::{any_times, SimulatedSite, Times};
 
 proptest! {
     #![proptest_config(ProptestConfig {
@@ -24,7 +24,7 @@
 
     #[test]
     fn cancelled_tasks_are_gone_in_time_through_the_gap(times in any_times(), seed in any::<u64>()) {
-        World::new(times, seed).play();
+        SimulatedSite::new(times, seed).play();
     }
 
     /// The same while the steady clock of a controller stands still with it, as
@@ -32,7 +32,7 @@
     #[test]
     fn cancelled_tasks_are_gone_in_time_though_a_clock_stood_still(times in any_times(), seed in any::<u64>()) {
         let times = Times { stops_clock: true, ..times };
-        World::new(times, seed).play();
+        SimulatedSite::new(times, seed).play();
     }
 }
 
@@ -104,7 +104,7 @@
     let counted = (0..60)
         .filter(|seed| {
             let times = any_times().new_tree(&mut runner).expect("times").current();
-            World::new(times, *seed).play()
+            SimulatedSite::new(times, *seed).play()
         })
         .count();
     assert!(counted >= 30, "only {counted} of 60");
--- a/tests/gap/world/mod.rs
+++ b/tests/gap/world/mod.rs
@@ -1,8 +1,8 @@
 //! Three controllers of which two believe to lead, their state service, workers and
-//! a user who cancels a job, each with clocks of their own, on simulated time.
+//! a client who cancels a job, each with clocks of their own, on simulated time.
 
 mod leaders;
-mod mail;
+mod messages;
 mod play;
 mod times;
 mod workers;
@@ -22,14 +22,36 @@
 use crate::support::*;
 use crate::worker::Worker;
 use leaders::Leader;
-use mail::Mail;
+use messages::Message;
 pub use times::{any_times, Times};
+use workers::Reporting;
 
-const TICK: Duration = Duration::from_millis(100);
-
+/// Simulated time passes in steps of this.
+const STEP: Duration = Duration::from_millis(100);
+/// Until then the site runs without faults.
+const FAULTS_FROM: Duration = Duration::from_secs(20);
+/// The number of the only job.
 const JOB: u32 = 1;
+const CONTROLLERS: usize = 3;
+const MACHINES: usize = 4;
+/// Whose clock each of `drift` belongs to: controllers, then workers, then this.
+const STATE_SERVICE_CLOCK: usize = CONTROLLERS + MACHINES;
+
+/// A leader's lease, as the state service knows it.
+struct StateLease {
+    holder: usize,
+    /// By the clock of the state service.
+    expires: Instant,
+}
 
-pub struct World {
+/// A pause of a controller's process.
+struct Pause {
+    controller: usize,
+    until: Duration,
+}
+
+/// The site. Controllers and machines are named by their index.
+pub struct SimulatedSite {
     times: Times,
     rng: StdRng,
     config: Arc<SchedulerConfig>,
@@ -37,94 +59,104 @@
     now: Duration,
     /// Error of the time of day.
     clock_error: Duration,
-    /// Clocks of controllers, workers and the state service.
+    /// Relative errors of the clocks of controllers, workers and the state service.
     drift: Vec<f64>,
-    leaders: [Option<Leader>; 3],
+    leaders: [Option<Leader>; CONTROLLERS],
+    /// The latest term.
     term: u64,
-    /// Whose lease of the state service lives, and until when by its clock.
-    held: Option<(usize, Instant)>,
+    lease: Option<StateLease>,
+    /// The controller that the state service refuses.
     refused: Option<usize>,
-    out: bool,
-    jobs: BTreeMap<JobId, JobRecord>,
+    /// Whether the state service refuses everybody.
+    outage: bool,
+    stored_jobs: BTreeMap<JobId, JobRecord>,
     wal: BTreeMap<u64, serde_json::Value>,
     workers: Vec<Worker>,
-    /// Where each reports, when next, and until when it hangs.
-    to: Vec<(usize, Duration, Duration)>,
-    frozen: Option<(usize, Duration)>,
-    /// For how long each controller's steady clock has stood still.
-    clock_stood: [Duration; 3],
-    mail: Vec<(Duration, Mail)>,
+    reporting: Vec<Reporting>,
+    pause: Option<Pause>,
+    /// For how long each controller's steady clock was paused.
+    clock_paused: [Duration; CONTROLLERS],
+    /// Messages and when they arrive.
+    in_transit: Vec<(Duration, Message)>,
+    /// When the cancellation was confirmed to the client.
     confirmed: Option<Duration>,
 }
 
-impl World {
-    /// Four workers, three controllers, none of which leads yet.
+impl SimulatedSite {
+    /// A site none of whose controllers leads yet.
     pub fn new(times: Times, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut deployment = deployment();
-        let w = &mut deployment.cluster.workers;
-        w.heartbeat_interval = Duration::from_secs_f64(times.report);
-        w.lease = Duration::from_secs_f64(times.lease);
-        w.cancel_within = w.lease + MARGIN + Duration::from_secs_f64(times.spare);
+        let settings = &mut deployment.cluster.workers;
+        settings.heartbeat_interval = Duration::from_secs_f64(times.heartbeat_interval);
+        settings.lease = Duration::from_secs_f64(times.worker_lease);
+        settings.cancel_within = settings.lease + MARGIN + Duration::from_secs_f64(times.cancel_slack);
         let base = start();
         Self {
             clock_error: Duration::from_secs_f64(times.clock_error),
-            drift: (0..8).map(|_| rng.random_range(-0.0005..0.0005)).collect(),
+            drift: (0..=STATE_SERVICE_CLOCK)
+                .map(|_| rng.random_range(-0.0005..0.0005))
+                .collect(),
             rng,
             config: Arc::new(SchedulerConfig::new(&deployment, OperatorSettings::default())),
             base,
             now: Duration::ZERO,
             leaders: [None, None, None],
             term: 0,
-            held: None,
+            lease: None,
             refused: None,
-            out: false,
-            jobs: BTreeMap::new(),
+            outage: false,
+            stored_jobs: BTreeMap::new(),
             wal: BTreeMap::new(),
-            workers: (0..4)
+            workers: (0..MACHINES)
                 .map(|i| Worker::new(&format!("i-{i}"), false, base))
                 .collect(),
-            to: vec![(0, Duration::ZERO, Duration::ZERO); 4],
-            frozen: None,
-            clock_stood: [Duration::ZERO; 3],
-            mail: Vec::new(),
+            reporting: vec![Reporting::default(); MACHINES],
+            pause: None,
+            clock_paused: [Duration::ZERO; CONTROLLERS],
+            in_transit: Vec::new(),
             confirmed: None,
             times,
         }
     }
 
-    /// The time by one's own clock: controllers, then workers, then the state service.
-    pub(super) fn clock(&self, who: usize) -> Instant {
-        let stood = self.clock_stood.get(who).copied().unwrap_or_default();
-        self.base + (self.now - stood).mul_f64(1.0 + self.drift[who])
+    /// The time by one's own steady clock; see [`STATE_SERVICE_CLOCK`].
+    fn clock(&self, whose: usize) -> Instant {
+        let paused = self.clock_paused.get(whose).copied().unwrap_or_default();
+        self.base + (self.now - paused).mul_f64(1.0 + self.drift[whose])
+    }
+
+    fn worker_clock(&self, machine: usize) -> Instant {
+        self.clock(CONTROLLERS + machine)
+    }
+
+    /// What a worker's clock showed at a moment of simulated time.
+    fn worker_clock_at(&self, machine: usize, moment: Duration) -> Instant {
+        self.base + moment.mul_f64(1.0 + self.drift[CONTROLLERS + machine])
     }
 
     /// Both clocks of a controller. The time of day wanders within its error.
-    pub(super) fn clocks(&mut self, who: usize) -> ClockReading {
+    fn clocks(&mut self, controller: usize) -> ClockReading {
         let error = self.clock_error.as_secs_f64();
         let off = self.rng.random_range(0.0..=2.0 * error);
         ClockReading {
-            steady: self.clock(who),
+            steady: self.clock(controller),
             time_of_day: SystemTime::UNIX_EPOCH + self.now + Duration::from_secs_f64(off),
         }
     }
 
-    /// Whether the state service answers a controller; ends leases that are over.
-    pub(super) fn state(&mut self, who: usize) -> bool {
-        if self.out {
+    /// Whether the state service responds to a controller; ends a lease that has expired.
+    fn state_service_responds(&mut self, controller: usize) -> bool {
+        if self.outage {
             return false;
         }
-        let now = self.clock(7);
-        self.held = self.held.filter(|h| now < h.1);
-        self.refused != Some(who)
-    }
-
-    pub(super) fn stands_still(&self, who: usize) -> bool {
-        self.frozen.is_some_and(|(f, until)| f == who && self.now < until)
+        let now = self.clock(STATE_SERVICE_CLOCK);
+        self.lease.take_if(|lease| now >= lease.expires);
+        self.refused != Some(controller)
     }
 
-    pub(super) fn live(&self) -> usize {
-        let tasks = self.workers.iter().flat_map(|w| w.tasks.values());
-        tasks.filter(|task| task.is_live()).count()
+    fn is_paused(&self, controller: usize) -> bool {
+        let pause = self.pause.as_ref();
+        pause.is_some_and(|pause| pause.controller == controller && self.now < pause.until)
     }
 }
--- a/tests/gap/world/play.rs
+++ b/tests/gap/world/play.rs
@@ -1,98 +1,150 @@
-//! The course of a run: when trouble begins and ends, and what must hold meanwhile.
+//! The course of a run: when faults begin and end, and what must hold meanwhile.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-use super::mail::Mail;
-use super::{World, JOB, TICK};
+use super::messages::Message;
+use super::{Pause, SimulatedSite, CONTROLLERS, FAULTS_FROM, JOB, MACHINES, STATE_SERVICE_CLOCK, STEP};
 use crate::support::*;
 
-impl World {
-    pub(super) fn tick(&mut self) {
-        self.now += TICK;
-        if let Some((who, _)) = self.frozen.filter(|_| self.times.stops_clock) {
-            self.clock_stood[who] += TICK;
+/// When the faults of a run happen.
+struct Schedule {
+    /// The state service refuses the leader.
+    refused: Duration,
+    /// The state service refuses everybody.
+    outage_begins: Duration,
+    /// It serves everybody again.
+    outage_ends: Duration,
+    /// A client asks to cancel the job.
+    cancelled: Duration,
+    /// A controller is paused.
+    paused: Duration,
+    /// A machine hangs.
+    hung: Duration,
+    end: Duration,
+}
+
+impl SimulatedSite {
+    fn step(&mut self) {
+        self.now += STEP;
+        if let Some(pause) = self.pause.as_ref().filter(|_| self.times.stops_clock) {
+            self.clock_paused[pause.controller] += STEP;
         }
-        for i in 0..4 {
-            let now = self.clock(3 + i);
+        for machine in 0..MACHINES {
+            let now = self.worker_clock(machine);
             let lease = self.config.lease;
-            self.workers[i].expire_lease(now, lease);
+            self.workers[machine].expire_lease(now, lease);
+        }
+        let now = self.now;
+        let in_transit = std::mem::take(&mut self.in_transit);
+        let (due, later): (Vec<(Duration, Message)>, _) =
+            in_transit.into_iter().partition(|(arrives, _)| *arrives <= now);
+        self.in_transit = later;
+        due.into_iter().for_each(|(_, message)| self.deliver(message));
+        (0..CONTROLLERS).for_each(|controller| self.run_controller(controller));
+        (0..MACHINES).for_each(|machine| self.run_worker(machine));
+        self.end_pause();
+    }
+
+    /// Lets a controller go on whose pause is over.
+    fn end_pause(&mut self) {
+        let now = self.now;
+        let Some(over) = self.pause.take_if(|pause| pause.until <= now) else {
+            return;
+        };
+        let now = self.clock(over.controller);
+        // One whose clock was paused, too, can't tell by it.
+        let resumed = self.leaders[over.controller].as_mut();
+        if let Some(leader) = resumed.filter(|_| !self.times.stops_clock) {
+            leader.authority.resumed_after_pause(now);
+            leader.model.ignore_silence_before(now);
+        }
+    }
+
+    fn live_tasks(&self) -> usize {
+        let tasks = self.workers.iter().flat_map(|worker| worker.tasks.values());
+        tasks.filter(|task| task.is_live()).count()
+    }
+
+    fn draw_schedule(&mut self) -> Schedule {
+        let at = |seconds: f64| Duration::from_secs_f64(30.0 + seconds.max(-4.0));
+        let outage_ends = at(self.times.outage_after + self.times.outage);
+        Schedule {
+            refused: at(0.0),
+            outage_begins: at(self.times.outage_after),
+            outage_ends,
+            cancelled: at(self.times.cancel_after),
+            paused: at(self.rng.random_range(-3.0..20.0)),
+            hung: at(self.rng.random_range(-3.0..20.0)),
+            end: outage_ends + self.config.cancel + secs(30),
         }
-        let (due, rest) = std::mem::take(&mut self.mail)
-            .into_iter()
-            .partition(|(t, _)| *t <= self.now);
-        self.mail = rest;
-        let due: Vec<(Duration, Mail)> = due;
-        due.into_iter().for_each(|(_, m)| self.deliver(m));
-        (0..3).for_each(|c| self.lead(c));
-        (0..4).for_each(|i| self.heartbeat(i));
-        if let Some((who, _)) = self.frozen.filter(|f| f.1 <= self.now) {
-            let now = self.clock(who);
-            // One whose clock stood still, too, can't tell by it.
-            if let Some(l) = self.leaders[who].as_mut().filter(|_| !self.times.stops_clock) {
-                l.authority.resumed_after_pause(now);
-                l.model.ignore_silence_before(now);
+    }
+
+    /// Begins and ends the faults that are due since `before`.
+    fn apply_faults(&mut self, schedule: &Schedule, before: Duration) {
+        let now = self.now;
+        let is_due = |time: Duration| before < time && time <= now;
+        if is_due(schedule.refused) {
+            self.refused = self.lease.as_ref().map(|lease| lease.holder);
+        }
+        if is_due(schedule.outage_begins) {
+            self.outage = true;
+        }
+        if is_due(schedule.outage_ends) {
+            self.outage = false;
+            self.refused = None;
+            // Every lease has its full time again.
+            let expires = self.clock(STATE_SERVICE_CLOCK) + self.times.leader_lease();
+            if let Some(lease) = &mut self.lease {
+                lease.expires = expires;
             }
-            self.frozen = None;
+        }
+        if is_due(schedule.paused) && self.times.controller_pause > 5.0 {
+            let until = self.now + Duration::from_secs_f64(self.times.controller_pause);
+            let controller = self.rng.random_range(0..CONTROLLERS);
+            self.pause = Some(Pause { controller, until });
+        }
+        if is_due(schedule.hung) {
+            let machine = self.rng.random_range(0..MACHINES);
+            self.reporting[machine].hangs_until = self.now + Duration::from_secs_f64(self.times.machine_hang);
         }
     }
 
     /// Plays the gap; whether a cancellation was confirmed while tasks ran.
     pub fn play(&mut self) -> bool {
-        let rec = record(job(JOB, 8, 4.0));
-        self.jobs.insert(rec.spec.id, rec);
-        while self.now < secs(20) {
-            self.tick();
+        let record = record(job(JOB, 8, 4.0));
+        self.stored_jobs.insert(record.spec.id, record);
+        while self.now < FAULTS_FROM {
+            self.step();
         }
-        assert!(self.live() >= 4, "tasks run before the trouble begins");
-        let at = |s: f64| Duration::from_secs_f64(30.0 + s.max(-4.0));
-        let (refused, asked) = (at(0.0), at(self.times.asked));
-        let (out, back) = (at(self.times.apart), at(self.times.apart + self.times.outage));
-        let frozen = at(self.rng.random_range(-3.0..20.0));
-        let hung = at(self.rng.random_range(-3.0..20.0));
-        let end = back + self.config.cancel + secs(30);
-        let mut counted = false;
-        while self.now < end {
+        assert!(self.live_tasks() >= 4, "tasks run before the trouble begins");
+        let schedule = self.draw_schedule();
+        let mut confirmed_under_tasks = false;
+        while self.now < schedule.end {
             let before = self.now;
-            self.tick();
-            let passes = |t: Duration| before < t && t <= self.now;
-            if passes(refused) {
-                self.refused = self.held.map(|h| h.0);
-            }
-            if passes(out) {
-                self.out = true;
-            }
-            if passes(back) {
-                self.out = false;
-                self.refused = None;
-                // Every lease has its full time again.
-                let full = self.clock(7) + Duration::from_secs_f64(self.times.hold);
-                self.held = self.held.map(|h| (h.0, full));
-            }
-            if passes(frozen) && self.times.freeze > 5.0 {
-                let until = self.now + Duration::from_secs_f64(self.times.freeze);
-                self.frozen = Some((self.rng.random_range(0..3), until));
-            }
-            if passes(hung) {
-                let i = self.rng.random_range(0..4);
-                self.to[i].2 = self.now + Duration::from_secs_f64(self.times.hang);
-            }
-            if self.now >= asked && self.confirmed.is_none() {
+            self.step();
+            self.apply_faults(&schedule, before);
+            if self.now >= schedule.cancelled && self.confirmed.is_none() {
                 self.cancel();
             }
-            if let Some(t) = self.confirmed {
-                counted |= t == self.now && self.live() > 0;
-                let late = self.now > t + self.config.cancel;
-                assert!(
-                    !late || self.live() == 0,
-                    "{} tasks {:?} after the confirmation at {t:?}: {:?}",
-                    self.live(),
-                    self.now - t,
-                    self.times
-                );
+            if let Some(confirmed) = self.confirmed {
+                confirmed_under_tasks |= confirmed == self.now && self.live_tasks() > 0;
+                self.check_cancelled_in_time(confirmed);
             }
         }
-        counted
+        confirmed_under_tasks
+    }
+
+    /// No task is live once the time for a cancellation has passed since its confirmation.
+    fn check_cancelled_in_time(&self, confirmed: Duration) {
+        let late = self.now > confirmed + self.config.cancel;
+        assert!(
+            !late || self.live_tasks() == 0,
+            "{} tasks {:?} after the confirmation at {confirmed:?}: {:?}",
+            self.live_tasks(),
+            self.now - confirmed,
+            self.times
+        );
     }
 }
--- a/tests/gap/world/workers.rs
+++ b/tests/gap/world/workers.rs
@@ -2,61 +2,83 @@
 
 use std::time::Duration;
 
+use bitternfold::wire::*;
 use rand::Rng;
 
-use super::mail::Mail;
-use super::World;
+use super::messages::Message;
+use super::SimulatedSite;
 use crate::support::*;
 
-impl World {
-    pub(super) fn heartbeat(&mut self, i: usize) {
-        let (to, next, hangs) = self.to[i];
-        if self.now < next || self.now < hangs {
+/// How a worker reports.
+#[derive(Clone, Default)]
+pub(super) struct Reporting {
+    /// The controller that it sends heartbeats to.
+    pub(super) controller: usize,
+    /// When the next heartbeat is due.
+    pub(super) next: Duration,
+    /// Until when the machine hangs: it sends nothing and takes nothing.
+    pub(super) hangs_until: Duration,
+}
+
+impl SimulatedSite {
+    pub(super) fn hangs(&self, machine: usize) -> bool {
+        self.now < self.reporting[machine].hangs_until
+    }
+
+    /// A worker's turn. Without a response it turns to the next controller.
+    pub(super) fn run_worker(&mut self, machine: usize) {
+        if self.now < self.reporting[machine].next || self.hangs(machine) {
             return;
         }
-        let interval = self.times.report * self.rng.random_range(0.75..1.25);
-        self.to[i].1 = self.now + Duration::from_secs_f64(interval);
-        let r = self.workers[i].heartbeat();
+        let interval = self.times.heartbeat_interval * self.rng.random_range(0.75..1.25);
+        self.reporting[machine].next = self.now + Duration::from_secs_f64(interval);
+        let heartbeat = self.workers[machine].heartbeat();
+        let controller = self.reporting[machine].controller;
         // Relayed to the latest leader, if the asked one leads no more.
-        let mut asked = vec![to];
-        if self.times.peers {
-            let latest = (0..3).max_by_key(|c| self.leaders[*c].as_ref().map_or(0, |l| l.term));
-            asked.extend(latest);
+        let mut asked = vec![controller];
+        if self.times.peers_connected {
+            asked.extend(self.latest_leader());
         }
-        for who in asked {
-            let now = self.clock(who);
-            let clocks = self.clocks(who);
-            if self.stands_still(who) {
+        for asked in asked {
+            if self.is_paused(asked) {
+                self.clocks(asked);
                 break;
             }
-            let Some(l) = self.leaders[who].as_mut().filter(|l| !l.over) else {
-                continue;
-            };
-            if !l.authority.may_renew_leases(clocks) {
-                continue;
-            }
-            l.model.apply_heartbeat(&r, now);
-            let Some(mut reply) = l.model.heartbeat_response(&r.machine, r.token, now) else {
-                l.over = true;
-                continue;
-            };
-            if !l.authority.may_act(clocks) {
-                reply.commands.clear();
+            if let Some(response) = self.respond(asked, &heartbeat) {
+                let delay = Duration::from_secs_f64(self.rng.random_range(0.0..4.5f64).powi(3) / 20.0);
+                let response = Message::HeartbeatResponse {
+                    to: machine,
+                    incarnation: heartbeat.incarnation,
+                    response,
+                    heartbeat_sent: self.now,
+                };
+                self.send(delay, response);
+                return;
             }
-            reply.commands.extend(l.model.stops_for_cancelled(&r));
-            let delay = Duration::from_secs_f64(self.rng.random_range(0.0..4.5f64).powi(3) / 20.0);
-            self.mail.push((
-                self.now + delay,
-                Mail::ApiResponse {
-                    to: i,
-                    incarnation: r.incarnation,
-                    reply,
-                    sent: self.now,
-                },
-            ));
-            return;
         }
-        self.to[i].0 = (to + 1) % 3;
-        self.to[i].1 = self.now + secs(1);
+        self.reporting[machine].controller = (controller + 1) % 3;
+        self.reporting[machine].next = self.now + secs(1);
+    }
+
+    /// A controller's response to a heartbeat, if it leads and may give one.
+    fn respond(&mut self, controller: usize, heartbeat: &Heartbeat) -> Option<HeartbeatResponse> {
+        let clocks = self.clocks(controller);
+        let leader = self.leaders[controller].as_mut();
+        let leader = leader.filter(|leader| !leader.deposed)?;
+        if !leader.authority.may_renew_leases(clocks) {
+            return None;
+        }
+        let model = &mut leader.model;
+        model.apply_heartbeat(heartbeat, clocks.steady);
+        let response = model.heartbeat_response(&heartbeat.machine, heartbeat.token, clocks.steady);
+        let Some(mut response) = response else {
+            leader.deposed = true;
+            return None;
+        };
+        if !leader.authority.may_act(clocks) {
+            response.commands.clear();
+        }
+        response.commands.extend(model.stops_for_cancelled(heartbeat));
+        Some(response)
     }
 }
