--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -127,7 +127,7 @@
             self.changes.lower_rate(change_rate, now),
         ];
         if lowered.contains(&true) {
-            info!("the state service refuses for its rate; the announced limits are kept from now on");
+            info!("the state service refuses for its rate, lowering to the announced limits");
         }
     }
 }
--- a/src/store/writer/resolve.rs
+++ b/src/store/writer/resolve.rs
@@ -114,7 +114,7 @@
         if conflicting.is_empty() {
             rest.push(queued);
         } else {
-            info!(keys = ?conflicting, "keys were not as expected");
+            info!(keys = ?conflicting, "write conflicts with keys changed by another");
             queued.finish(Err(CommitError::Conflict(conflicting)));
         }
     }
--- a/src/store/writer/send.rs
+++ b/src/store/writer/send.rs
@@ -41,7 +41,7 @@
                     self.state.lock().record_stored(stored, revision);
                 }
                 Err(StoreError::Conflict { failed_keys }) if self.is_deposed_by(&failed_keys) => {
-                    info!(term = self.term, "a write was refused: another leads");
+                    info!(term = self.term, "transaction refused: another controller leads");
                     self.end();
                 }
                 Err(StoreError::Conflict { failed_keys }) => {
@@ -50,19 +50,19 @@
                 }
                 Err(StoreError::Unanswered { .. }) => {
                     earlier_copy = EarlierCopy::Possible;
-                    debug!("a write was not answered, trying again");
+                    debug!("transaction not answered, retrying");
                     sleep(UNANSWERED_PAUSE).await;
                 }
                 Err(StoreError::Unavailable { .. }) => sleep(UNAVAILABLE_PAUSE).await,
                 Err(error) if batch.len() > 1 => {
                     // The limits may be lower than was announced. Nothing of it was
                     // executed, so it is sent again in smaller parts.
-                    info!(%error, units = batch.len(), "a write can't be taken whole, sent in parts");
+                    info!(%error, writes = batch.len(), "transaction refused, splitting it");
                     self.shrink(&mut batch, transaction.changes.len());
                     keys = batch.keys().cloned().collect();
                 }
                 Err(error) => {
-                    info!(%error, "a write can't be taken");
+                    info!(%error, "transaction refused, its write fails");
                     std::mem::take(&mut batch).fail(&CommitError::Refused);
                 }
             }
