--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -23,8 +23,8 @@
 /// Tasks of each array, so many that the log fills segments as large as it may.
 const TASKS: u32 = 300;
 
-/// Submits arrays to all controllers, changes leaders meanwhile, and waits until
-/// all is done.
+/// Submits arrays to all controllers, ends the leader's lease meanwhile, and waits
+/// until all jobs are done. `lower` is called before the submission `lower_at`.
 async fn serve_through_changes(site: &mut Site, jobs: u32, lower_at: u32, lower: impl Fn(&Site)) {
     for n in 1..=jobs {
         if n == lower_at {
@@ -34,15 +34,15 @@
         if n > 1 {
             body["awaits"] = json!([format!("job-{:06}", n - 1)]);
         }
-        let (status, v) = site.insist("POST", n as usize % 3, "/v2/runs", Some(body)).await;
-        assert!([200, 201].contains(&status), "{v}");
+        let (status, answer) = site.insist("POST", n as usize % 3, "/v2/runs", Some(body)).await;
+        assert!([200, 201].contains(&status), "{answer}");
         if n == jobs / 2 {
             site.state.end_leases();
         }
     }
     for n in 1..=jobs {
-        let v = site.until(n as usize % 3, &format!("job-{n:06}"), "done").await;
-        assert_eq!(v["done"], TASKS);
+        let job = site.until(n as usize % 3, &format!("job-{n:06}"), "done").await;
+        assert_eq!(job["done"], TASKS);
     }
     assert!(site.cloud.doubles.lock().is_empty());
 }
@@ -88,15 +88,15 @@
 
 #[test]
 fn limits_that_fall_without_notice_lose_and_repeat_no_acceptance() {
-    // Nothing tells of them but the refusals: transactions go again in parts.
+    // The refusals are the only sign of them: transactions are split and sent again.
     on_loopback(async {
         let site = Site::start(Duration::from_millis(100)).await;
         site.until_some_leader().await;
         site.state.limit_sizes(4096, 2);
         submit_at_once(&site, 1..=40).await;
         // An array whose placements fill several segments of the log at once.
-        let (status, v) = site.insist("POST", 0, "/v2/runs", Some(site.job(41, 1500))).await;
-        assert!([200, 201].contains(&status), "{v}");
+        let (status, answer) = site.insist("POST", 0, "/v2/runs", Some(site.job(41, 1500))).await;
+        assert!([200, 201].contains(&status), "{answer}");
         assert_eq!(site.until(0, "job-000041", "done").await["done"], 1500);
         assert!(site.state.too_large() > 0, "no transaction was too large");
         for n in 1..=40u32 {
@@ -111,7 +111,7 @@
 #[test]
 fn limits_that_fall_between_a_write_and_its_answer_lose_and_repeat_no_acceptance() {
     // Some transactions get no answer and are carried out late; what is sent again
-    // meanwhile may be refused for its size. The keys tell what became of it.
+    // meanwhile may be refused for its size. The keys show which copy was executed.
     on_loopback(async {
         let site = Site::start(Duration::from_millis(100)).await;
         site.until_some_leader().await;
@@ -134,8 +134,8 @@
 
 #[test]
 fn a_record_that_is_too_large_by_now_is_cancelled_all_the_same() {
-    // Accepted while values could be larger; to write it again as it is would be
-    // refused for ever, and its user never told.
+    // Accepted while values could be larger. To write it again as it is would be
+    // refused for ever, and the cancellation never confirmed.
     on_loopback(async {
         let settings = |text: String| text.replace("\n[cluster.cloud]", NEXT);
         let site = Site::with(Duration::from_millis(100), settings).await;
@@ -148,23 +148,23 @@
         assert!(record.to_string().len() > 2048);
         site.state.plant("jobs/job-000001", record);
         site.state.limit_sizes(2048, 4);
-        let (status, v) = site.insist("POST", 0, "/v2/runs/job-000001/cancel", None).await;
-        assert_eq!((status, &v["standing"]), (200, &json!("cancelled")));
+        let (status, answer) = site.insist("POST", 0, "/v2/runs/job-000001/cancel", None).await;
+        assert_eq!((status, &answer["standing"]), (200, &json!("cancelled")));
         assert_eq!(site.state.too_large(), 0);
-        for at in 0..3 {
-            site.until(at, "job-000001", "cancelled").await;
+        for controller in 0..3 {
+            site.until(controller, "job-000001", "cancelled").await;
         }
     });
 }
 
 #[test]
-fn a_refusal_for_the_rate_slows_down_to_the_announced_one() {
+fn a_refusal_for_the_rate_lowers_it_to_the_announced_one() {
     let now = Instant::now();
     let limiter = RateLimiter::new(40.0, 40.0);
     assert!(!limiter.lower_rate(40.0, now), "no slower than it is");
     assert!(limiter.lower_rate(10.0, now));
     assert_eq!(limiter.rate(), 10.0);
-    // The burst is a second's worth of the new rate, too.
+    // The burst is a second's worth of the new rate as well.
     assert_eq!(limiter.take(10.0, now), Duration::ZERO);
     assert_eq!(limiter.take(5.0, now), Duration::from_millis(500));
     assert!(!limiter.lower_rate(40.0, now), "it never speeds up again");
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,5 +1,5 @@
-//! Too little of something, or too much: sockets, questions, machines at once,
-//! and all that was ever said arriving a second time.
+//! Overload and shortage: of sockets, polls and machines at once, and late copies of
+//! all messages.
 
 #[path = "support/client.rs"]
 mod client;
@@ -25,9 +25,9 @@
 
 pub use support::types;
 
-/// A report sent over a connection that stays open; whether the answer asks
-/// for it to be closed, or nothing if it was not answered.
-async fn report_over(stream: &mut TcpStream, name: &str, sequence: u64) -> Option<bool> {
+/// Sends a heartbeat over a connection that stays open. Whether the response asks for
+/// it to be closed; `None` without a response.
+async fn send_heartbeat(stream: &mut TcpStream, name: &str, sequence: u64) -> Option<bool> {
     let body = serde_json::to_string(&support::heartbeat(name, "small", "north", false, 0, sequence)).ok()?;
     let text = format!(
         "POST /v1/report HTTP/1.1\r\nhost: x\r\ncontent-length: {}\r\n\r\n{body}",
@@ -44,7 +44,7 @@
 fn more_workers_than_sockets_are_served_in_turn_and_users_all_the_same() {
     // One controller is left, and its limit of sockets has room for fewer than
     // a third of the workers. At the limit neither a connection could be taken
-    // nor the state service be reached, and the right to act would be lost.
+    // nor the state service be reached, and the leadership would be lost.
     on_loopback(async {
         let mut site = Site::with(Duration::from_millis(300), |text| {
             format!("{text}\n[cluster.machine_limits]\nfd_limit = 64\n")
@@ -72,7 +72,8 @@
                     };
                     loop {
                         sequence += 1;
-                        let Some(close) = report_over(&mut stream, &format!("x-{w}"), sequence).await else {
+                        let Some(close) = send_heartbeat(&mut stream, &format!("x-{w}"), sequence).await
+                        else {
                             break;
                         };
                         if std::mem::take(&mut first) {
@@ -135,7 +136,7 @@
 }
 
 #[test]
-fn the_shares_of_the_sockets_leave_something_for_each() {
+fn every_use_of_sockets_has_a_share() {
     for limit in [bitternfold::sockets::MIN_SOCKETS, 256, 1024, 3312, 65_536] {
         let sockets = SocketBudget::new(limit);
         let commands = sockets.available_commands();
@@ -166,8 +167,8 @@
 
 #[test]
 fn what_was_decided_before_a_pause_is_not_handed_over_after() {
-    // A controller may stand still between its decision and the sending of it;
-    // by then another leads. The right is asked with the connection in hand.
+    // A controller may be paused between its decision and the sending of it; by then
+    // another leads. The permit is asked for once the connection stands.
     on_loopback(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address").to_string();
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,5 +1,5 @@
-//! How a process notices that it stands still or falls behind, and how its
-//! messages to others are batched.
+//! How a process detects its own pauses and overload, and how its messages to other
+//! controllers are batched.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 use bitternfold::stall::{StallDetector, TIMER_INTERVAL};
 
 #[test]
-fn a_standstill_is_told_once_and_strain_passes() {
+fn a_pause_is_reported_once_and_overload_ends() {
     let start = Instant::now();
     let detector = StallDetector::new(start);
     detector.timer_fired(start + TIMER_INTERVAL);
@@ -30,9 +30,13 @@
 
 #[test]
 fn a_full_batch_takes_nothing_out_of_the_queue() {
-    let (tx, mut rx) = tokio::sync::mpsc::channel(4);
-    tx.try_send(1).expect("room");
-    assert_eq!(next_for_batch(&mut rx, MAX_BATCH_BYTES), None);
-    assert_eq!(next_for_batch(&mut rx, 0), Some(1), "it waits for the next batch");
-    assert_eq!(next_for_batch(&mut rx, 0), None);
+    let (sender, mut receiver) = tokio::sync::mpsc::channel(4);
+    sender.try_send(1).expect("room");
+    assert_eq!(next_for_batch(&mut receiver, MAX_BATCH_BYTES), None);
+    assert_eq!(
+        next_for_batch(&mut receiver, 0),
+        Some(1),
+        "it waits for the next batch"
+    );
+    assert_eq!(next_for_batch(&mut receiver, 0), None);
 }
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -1,5 +1,5 @@
-//! Commands that wait before they are sent: what was decided earlier must still
-//! hold at the moment of sending.
+//! Commands that wait before they are sent: what was decided earlier must still hold
+//! at the moment of sending.
 
 #[path = "support/site.rs"]
 mod site;
@@ -18,8 +18,8 @@
 
 /// Machines that hang with stops due, more than there are sockets for commands.
 const HANGING: u32 = 60;
-/// So many of them at least have to run a task before they hang.
-const MAX_RUN: usize = 36;
+/// At least so many of them have to run a task before they hang.
+const MIN_RUNNING: usize = 36;
 /// Sockets of a controller. A quarter of what is left to workers is for commands: 26.
 const SOCKET_LIMIT: u32 = 128;
 /// Sockets of it for commands.
@@ -33,9 +33,9 @@
     }
 }
 
-/// A start waits for a socket behind machines that take connections and answer
-/// nothing. Its job is cancelled meanwhile, and its user is told. From then on no
-/// task of it may be started.
+/// A start waits for a socket behind machines that accept connections and don't
+/// respond. Its job is cancelled meanwhile, and the cancellation confirmed. From then
+/// on no task of it may be started.
 #[test]
 fn a_start_that_waited_is_not_sent_after_its_job_was_cancelled() {
     on_loopback(async {
@@ -52,7 +52,7 @@
         job["yard"] = "north".into();
         let (status, answer) = site.insist("POST", 0, "/v2/runs", Some(job)).await;
         assert_eq!(status, 201, "{answer}");
-        site.until_running(|n| n >= MAX_RUN).await;
+        site.until_running(|n| n >= MIN_RUNNING).await;
         let empty = site.cloud.empty_machines();
         let full: Vec<String> = site
             .cloud
@@ -85,8 +85,8 @@
     });
 }
 
-/// A start that a round has decided, and that waits to be sent.
-struct Waiting {
+/// A start that a scheduling round has decided, and that waits to be sent.
+struct DecidedStart {
     model: ClusterModel,
     machine: MachineId,
     task: TaskId,
@@ -94,7 +94,7 @@
     now: Instant,
 }
 
-impl Waiting {
+impl DecidedStart {
     fn new() -> Self {
         let now = support::start();
         let mut model = support::model(7);
@@ -117,94 +117,94 @@
         }
     }
 
-    fn judged(&self) -> Option<SendRefusal> {
+    fn refusal(&self) -> Option<SendRefusal> {
         let permit = self.model.permit_send(&self.machine, &self.commands, true);
         permit.err()
     }
 
-    fn refused_for(&self, refusal: StartRefusal) {
-        assert_eq!(self.judged(), Some(SendRefusal::Start(self.task, refusal)));
+    fn assert_refused(&self, refusal: StartRefusal) {
+        assert_eq!(self.refusal(), Some(SendRefusal::Start(self.task, refusal)));
     }
 }
 
 #[test]
 fn a_start_is_judged_by_what_is_known_when_it_is_sent() {
-    let waiting = Waiting::new();
-    assert_eq!(waiting.judged(), None);
-    let lapsed = waiting
+    let decided = DecidedStart::new();
+    assert_eq!(decided.refusal(), None);
+    let without_authority = decided
         .model
-        .permit_send(&waiting.machine, &waiting.commands, false);
-    assert_eq!(lapsed.err(), Some(SendRefusal::NoAuthority));
+        .permit_send(&decided.machine, &decided.commands, false);
+    assert_eq!(without_authority.err(), Some(SendRefusal::NoAuthority));
 
-    let mut waiting = Waiting::new();
-    waiting.model.cancel(waiting.task.job, waiting.now);
-    waiting.refused_for(StartRefusal::JobCancelled);
+    let mut decided = DecidedStart::new();
+    decided.model.cancel(decided.task.job, decided.now);
+    decided.assert_refused(StartRefusal::JobCancelled);
 
-    let mut waiting = Waiting::new();
-    waiting.model.remove_job(waiting.task.job);
-    waiting.refused_for(StartRefusal::JobUnknown);
+    let mut decided = DecidedStart::new();
+    decided.model.remove_job(decided.task.job);
+    decided.assert_refused(StartRefusal::JobUnknown);
 
     // A job that waits for another; whoever decided its start was wrong.
-    let mut waiting = Waiting::new();
+    let mut decided = DecidedStart::new();
     let mut dependent = support::job(2, 1, 4.0);
-    dependent.awaits = vec![waiting.task.job];
-    waiting.task.job = dependent.id;
-    waiting.model.add_job(support::record(dependent), waiting.now);
+    dependent.awaits = vec![decided.task.job];
+    decided.task.job = dependent.id;
+    decided.model.add_job(support::record(dependent), decided.now);
     let start = Command::Start {
-        task: waiting.task,
+        task: decided.task,
         attempt: 1,
     };
-    waiting.commands.commands = vec![start];
-    waiting.refused_for(StartRefusal::JobWaits);
+    decided.commands.commands = vec![start];
+    decided.assert_refused(StartRefusal::JobWaits);
 
-    let mut waiting = Waiting::new();
+    let mut decided = DecidedStart::new();
     let grace = Duration::from_secs(5);
-    waiting
+    decided
         .model
-        .stop(&waiting.machine, waiting.task, grace, waiting.now, "preempted");
-    waiting.refused_for(StartRefusal::Stopping);
+        .stop(&decided.machine, decided.task, grace, decided.now, "preempted");
+    decided.assert_refused(StartRefusal::Stopping);
 
-    let mut waiting = Waiting::new();
-    waiting.model.released(&waiting.machine, waiting.now);
-    waiting.refused_for(StartRefusal::NotPlaced);
+    let mut decided = DecidedStart::new();
+    decided.model.released(&decided.machine, decided.now);
+    decided.assert_refused(StartRefusal::NotPlaced);
 
-    let mut waiting = Waiting::new();
-    let machine = waiting
+    let mut decided = DecidedStart::new();
+    let machine = decided
         .model
         .set_up()
         .machines
-        .get_mut(&waiting.machine)
+        .get_mut(&decided.machine)
         .expect("there");
     machine.phase = MachinePhase::Releasing;
-    waiting.refused_for(StartRefusal::NotPlaced);
+    decided.assert_refused(StartRefusal::NotPlaced);
 
-    let mut waiting = Waiting::new();
-    let machine = waiting
+    let mut decided = DecidedStart::new();
+    let machine = decided
         .model
         .set_up()
         .machines
-        .get_mut(&waiting.machine)
+        .get_mut(&decided.machine)
         .expect("there");
-    machine.slots.get_mut(&waiting.task).expect("placed").attempt += 1;
-    waiting.refused_for(StartRefusal::NotPlaced);
+    machine.slots.get_mut(&decided.task).expect("placed").attempt += 1;
+    decided.assert_refused(StartRefusal::NotPlaced);
 }
 
 #[test]
 fn what_was_withheld_is_decided_anew_at_once() {
-    let mut waiting = Waiting::new();
-    assert!(waiting
+    let mut decided = DecidedStart::new();
+    assert!(decided
         .model
-        .next_command(&waiting.machine, waiting.now)
+        .next_command(&decided.machine, decided.now)
         .is_none());
-    waiting.model.command_withheld(&waiting.machine);
-    let again = waiting
+    decided.model.command_withheld(&decided.machine);
+    let again = decided
         .model
-        .next_command(&waiting.machine, waiting.now)
+        .next_command(&decided.machine, decided.now)
         .expect("the start anew")
         .batch;
     assert!(
-        again.token > waiting.commands.token,
+        again.token > decided.commands.token,
         "every command has a fresh token"
     );
-    assert_eq!(again.commands, waiting.commands.commands);
+    assert_eq!(again.commands, decided.commands.commands);
 }
