--- /dev/null
+++ b/src/core/evidence/commands/response.rs
@@ -0,0 +1,84 @@
+//! Responses to heartbeats. They renew the worker's lease, and never start anything.
+
+use std::time::{Duration, Instant};
+
+use crate::core::state::machine::Machine;
+use crate::core::state::model::ClusterModel;
+use crate::core::state::slot::SlotState;
+use crate::core::state::token;
+use crate::wire::{Command, Heartbeat, HeartbeatResponse, MachineId, TaskState};
+
+impl ClusterModel {
+    /// The response to a heartbeat that showed `reported_token`, and acknowledgements of
+    /// outcomes in it. `None` if a later leader has fenced the worker, or the machine is
+    /// not known.
+    ///
+    /// The token is one that the worker has itself reported in this term, so that no
+    /// response runs ahead of a command that is on its way: the worker would report that
+    /// command's token, and the start in it would look absent though it is still to come.
+    /// Where the worker has reported none, or outcomes are acknowledged while no command
+    /// is on its way, it is a fresh one that no command carries.
+    pub fn heartbeat_response(
+        &mut self,
+        machine: &MachineId,
+        reported_token: u64,
+        now: Instant,
+    ) -> Option<HeartbeatResponse> {
+        if token::term_of(reported_token) > self.term {
+            return None;
+        }
+        let term = self.term;
+        let max_stop_delay = self.config.heartbeat_interval;
+        let (log, jobs) = (&self.log, &self.jobs);
+        let machine = self.machines.get_mut(machine)?;
+        machine.last_response = Some(now);
+        if !machine.fenced(term) || has_stray_start(machine, max_stop_delay, now) {
+            return Some(without_commands(machine.fresh_token(term)));
+        }
+        if machine.command_in_flight || machine.unacknowledged_since.is_none() {
+            return Some(without_commands(machine.seen_token));
+        }
+        let commands = machine.acknowledgements(log, jobs);
+        let token = if commands.is_empty() {
+            machine.seen_token
+        } else {
+            machine.fresh_token(term)
+        };
+        Some(HeartbeatResponse { token, commands })
+    }
+
+    /// Stops for the tasks of cancelled jobs that a heartbeat lists. They go with every
+    /// response that renews a lease, even when the leader may no longer act: no leader
+    /// that knows of a cancellation may prolong the life of its tasks. A stop names an
+    /// attempt and may be repeated; sending it is no evidence that the task is gone.
+    pub fn stops_for_cancelled(&self, heartbeat: &Heartbeat) -> Vec<Command> {
+        let live = heartbeat.tasks.iter().filter(|t| t.state != TaskState::Exited);
+        live.filter(|t| self.jobs.get(&t.task.job).is_some_and(|job| job.cancelled))
+            .map(|t| Command::Stop {
+                task: t.task,
+                attempt: t.attempt,
+                grace_s: 0.0,
+            })
+            .collect()
+    }
+}
+
+/// Whether a start may still be on its way to a task that was to be stopped longer than
+/// `max_stop_delay` ago. Where commands don't get through, it could be accepted for as
+/// long as the worker's lease is renewed by responses; a fresh token has it refused.
+fn has_stray_start(machine: &Machine, max_stop_delay: Duration, now: Instant) -> bool {
+    machine.slots.values().any(|slot| {
+        slot.state == SlotState::Placed
+            && slot.start_token > machine.seen_token
+            && slot
+                .stop_at
+                .is_some_and(|at| now.saturating_duration_since(at) > max_stop_delay)
+    })
+}
+
+fn without_commands(token: u64) -> HeartbeatResponse {
+    HeartbeatResponse {
+        token,
+        commands: Vec::new(),
+    }
+}
