--- /dev/null
+++ b/src/core/evidence/liveness.rs
@@ -0,0 +1,75 @@
+//! Silence of machines, and the expiry of their workers' leases.
+
+use std::time::{Duration, Instant};
+
+use tracing::info;
+
+use crate::core::state::machine::{Machine, MachinePhase};
+use crate::core::state::model::ClusterModel;
+use crate::wire::MachineId;
+
+/// Added to the life of a worker's lease before it counts as expired.
+const LEASE_MARGIN: Duration = Duration::from_secs(1);
+/// Also added is the lease's life divided by this, for the drift of the worker's clock.
+const LEASE_DRIFT_DIVISOR: u32 = 500;
+
+impl ClusterModel {
+    /// This process was paused until now: heartbeats that it missed meanwhile don't
+    /// count as silence.
+    pub fn ignore_silence_before(&mut self, now: Instant) {
+        self.listening_since = Some(now);
+    }
+
+    /// How long a machine has been silent while this process listened. Silence is a
+    /// reason to release a machine, but no evidence that its tasks are gone.
+    pub fn silence(&self, machine: &Machine, now: Instant) -> Duration {
+        let last = Some(machine.last_heartbeat.unwrap_or(machine.since)).max(self.listening_since);
+        last.map_or(Duration::ZERO, |last| now.saturating_duration_since(last))
+    }
+
+    /// Whether all machines that were up when this term began obey it: each has reported
+    /// a token of this term, so it refuses commands of earlier leaders.
+    pub fn all_fenced(&self) -> bool {
+        let machines = self.machines.values();
+        let mut up = machines.filter(|machine| machine.phase == MachinePhase::Up);
+        up.all(|machine| !machine.needs_probe || machine.fenced(self.term))
+    }
+
+    /// Whether the lease of a machine's worker has expired for certain.
+    ///
+    /// Rests on the worker obeying this term, so that no other leader's responses renew
+    /// its lease, and on the last response or heartbeat of this term being longer ago
+    /// than the lease lasts by the slowest clock allowed. A worker whose lease expires
+    /// kills all its tasks and forgets them.
+    pub(in crate::core) fn lease_expired(&self, machine: &Machine, now: Instant) -> bool {
+        let lease = self.config.lease + self.config.lease / LEASE_DRIFT_DIVISOR + LEASE_MARGIN;
+        let last = machine.last_response.max(machine.last_heartbeat);
+        machine.phase == MachinePhase::Up
+            && machine.fenced(self.term)
+            && last.is_some_and(|last| now.saturating_duration_since(last) > lease)
+    }
+
+    /// Drops the slots of machines whose lease has expired: their workers have killed
+    /// and forgotten all tasks. From then on no message of that incarnation is taken in,
+    /// as it can only be a late copy from before the expiry.
+    pub fn expire_leases(&mut self, now: Instant) {
+        let expired: Vec<MachineId> = self
+            .machines
+            .values()
+            .filter(|machine| !machine.slots.is_empty() && self.lease_expired(machine, now))
+            .map(|machine| machine.id.clone())
+            .collect();
+        if !expired.is_empty() {
+            info!(
+                machines = expired.len(),
+                "worker leases expired, their tasks are placed again"
+            );
+        }
+        for id in expired {
+            if let Some(machine) = self.machines.get_mut(&id) {
+                machine.newest_message.1 = u64::MAX;
+            }
+            self.clear_machine(&id, now, "lease expired");
+        }
+    }
+}
--- a/src/core/evidence/permission.rs
+++ b/src/core/evidence/permission.rs
@@ -1,9 +1,9 @@
 //! Whether a command may still be sent.
 //!
-//! A command is decided in a scheduling round and handed over later: it may wait
-//! for a socket behind machines that hang. What it was decided on is old by then,
-//! so it is judged again at the moment of sending. Only the answer here makes the
-//! [`SendPermit`] that sending takes.
+//! A command is decided in a scheduling round and sent later: it may wait for a socket
+//! behind machines that hang. What it was decided on is old by then, so it is checked
+//! again at the moment of sending. Only that check makes the [`SendPermit`] that sending
+//! takes.
 
 use std::collections::BTreeMap;
 
@@ -13,28 +13,29 @@
 use crate::core::state::model::ClusterModel;
 use crate::wire::{Command, CommandBatch, JobId, MachineId, TaskId};
 
-/// The right to send one command now. It is made here alone.
+/// The right to send one batch of commands now. Only [`ClusterModel::permit_send`] makes
+/// one; sending consumes it.
 #[derive(Debug)]
 pub struct SendPermit(());
 
 impl SendPermit {
-    /// Uses the permit up.
+    /// Uses the permit up, when the batch is sent.
     pub fn spend(self) {}
 }
 
-/// Why a task may not be started. What is not known is never taken for allowed.
+/// Why a task may not be started. What is not known counts as not allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StartRefusal {
     /// No such unfinished job is known.
     #[error("its job is not known")]
     JobUnknown,
-    /// The job is cancelled, or its cancellation is on its way.
+    /// The job is cancelled, or its cancellation is being stored.
     #[error("its job is cancelled")]
     JobCancelled,
-    /// A job that it needs is not known to be done.
+    /// A job that it depends on is not known to be done.
     #[error("its job waits for others")]
     JobWaits,
-    /// The task has no place on that machine, or another attempt has.
+    /// The task has no slot on that machine, or one of another attempt.
     #[error("it has no place there")]
     NotPlaced,
     /// It is to be stopped there.
@@ -53,7 +54,8 @@
     Start(TaskId, StartRefusal),
 }
 
-/// Whether a job's tasks may be started as far as the job goes.
+/// Whether a job's tasks may be started, as far as that depends on the job and its
+/// dependencies and not on any machine.
 pub(in crate::core) fn check_job(
     jobs: &BTreeMap<JobId, Job>,
     dependencies: &Dependencies,
@@ -70,8 +72,8 @@
 }
 
 impl ClusterModel {
-    /// Judges a command that was decided earlier by what is known now; `may_act`
-    /// says whether the leader still has the right to.
+    /// Checks commands that were decided earlier by what is known now; `may_act` says
+    /// whether the leader may still act. Stops and acknowledgements need only that.
     pub fn permit_send(
         &self,
         machine: &MachineId,
@@ -96,10 +98,10 @@
         let machine = self
             .machines
             .get(machine)
-            .filter(|m| m.phase != MachinePhase::Releasing);
-        let slot = machine.and_then(|m| m.slots.get(&task));
+            .filter(|machine| machine.phase != MachinePhase::Releasing);
+        let slot = machine.and_then(|machine| machine.slots.get(&task));
         let slot = slot
-            .filter(|s| s.attempt == attempt)
+            .filter(|slot| slot.attempt == attempt)
             .ok_or(StartRefusal::NotPlaced)?;
         if slot.stop.is_some() {
             return Err(StartRefusal::Stopping);
@@ -107,11 +109,11 @@
         Ok(())
     }
 
-    /// A command was not sent after all: nothing is in doubt, and another may be
-    /// due at once.
+    /// A command was not sent after all: nothing is in doubt, and the next may be due at
+    /// once.
     pub fn command_withheld(&mut self, machine: &MachineId) {
-        if let Some(m) = self.machines.get_mut(machine) {
-            m.command_in_flight = false;
+        if let Some(state) = self.machines.get_mut(machine) {
+            state.command_in_flight = false;
             self.command_candidates.insert(machine.clone());
         }
     }
