--- a/src/leader/redirects.rs
+++ b/src/leader/redirects.rs
@@ -1,48 +1,57 @@
 //! Redirects of workers between controllers, and those that failed.
 //!
-//! Each worker reports to one controller, which the leader chooses. A redirect
-//! renews no lease, and a worker that is sent to a controller it can't reach
-//! loses seconds before it tries another. So a worker is redirected only right
-//! after a report of its was answered where it is, and not to a controller that
-//! it has just left or failed to reach.
+//! Each worker sends its heartbeats to one controller, which the leader chooses.
+//! A redirect renews no lease, and a worker that is sent to a controller it can't
+//! reach loses seconds before it tries another. So a worker is redirected only
+//! right after a heartbeat was answered through its present controller, and not
+//! to a controller that it has just left or failed to reach.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 use crate::wire::MachineId;
 
-/// A worker is not sent again to a controller that it couldn't reach for so long.
-const AVOIDED_FOR: Duration = Duration::from_secs(30);
-/// A worker that shows up elsewhere so soon after a redirect has failed to
-/// follow it.
-const FOLLOWED_WITHIN: Duration = Duration::from_secs(15);
+/// How long a worker is not redirected to a controller that it couldn't reach.
+const AVOIDANCE_PERIOD: Duration = Duration::from_secs(30);
+/// A worker whose heartbeat comes through another controller than the target so
+/// soon after a redirect has failed to reach the target.
+const FOLLOW_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Where workers report, where they were sent, and what they couldn't reach.
+/// A redirect that no heartbeat has followed yet.
+#[derive(Debug)]
+struct PendingRedirect {
+    target: String,
+    sent_at: Instant,
+}
+
+/// The controllers that each worker has used, was redirected to and couldn't
+/// reach. Kept in memory only: a new leader starts with an empty one.
 #[derive(Debug, Default)]
 pub struct RedirectHistory {
-    /// The controller that each worker's latest report came through.
+    /// The controller that each worker's latest heartbeat came through.
     latest: HashMap<MachineId, String>,
-    /// Redirects that no report has followed yet.
-    pending: HashMap<MachineId, (String, Instant)>,
+    pending: HashMap<MachineId, PendingRedirect>,
     /// Controllers that a worker left or couldn't reach, and when.
     unreachable: HashMap<MachineId, HashMap<String, Instant>>,
 }
 
 impl RedirectHistory {
-    /// Notes that a report came through a controller. Whether the worker may be
-    /// redirected now: its report before was answered there.
+    /// Notes that a heartbeat came through a controller. Returns whether the
+    /// worker may be redirected now: its heartbeat before this one came through
+    /// the same controller, and no redirect has been sent since.
     pub fn heartbeat_arrived(&mut self, machine: &MachineId, via: &str, now: Instant) -> bool {
         let before = self.latest.insert(machine.clone(), via.to_owned());
-        if let Some((target, at)) = self.pending.remove(machine) {
-            if target != via && now.saturating_duration_since(at) < FOLLOWED_WITHIN {
-                self.avoid(machine, target, now);
+        if let Some(redirect) = self.pending.remove(machine) {
+            let age = now.saturating_duration_since(redirect.sent_at);
+            if redirect.target != via && age < FOLLOW_TIMEOUT {
+                self.avoid(machine, redirect.target, now);
             }
             return false;
         }
         match before {
             Some(host) if host == via => true,
             Some(host) => {
-                // It left without being told to.
+                // It left without a redirect.
                 self.avoid(machine, host, now);
                 false
             }
@@ -50,18 +59,23 @@
         }
     }
 
-    /// Notes that a worker was told to report to another controller.
+    /// Notes that a worker is being redirected to another controller.
     pub fn redirected(&mut self, machine: &MachineId, target: &str, now: Instant) {
-        self.pending.insert(machine.clone(), (target.to_owned(), now));
+        let redirect = PendingRedirect {
+            target: target.to_owned(),
+            sent_at: now,
+        };
+        self.pending.insert(machine.clone(), redirect);
     }
 
-    /// Whether a worker may be sent to a controller, as far as is known.
+    /// Whether a worker may be redirected to a controller: it has not left it, nor
+    /// failed to reach it, of late.
     pub fn may_reach(&self, machine: &MachineId, host: &str, now: Instant) -> bool {
         let failed = self.unreachable.get(machine).and_then(|hosts| hosts.get(host));
-        failed.is_none_or(|at| now.saturating_duration_since(*at) > AVOIDED_FOR)
+        failed.is_none_or(|at| now.saturating_duration_since(*at) > AVOIDANCE_PERIOD)
     }
 
-    /// Forgets workers of machines that are gone.
+    /// Forgets the workers of machines that no longer exist.
     pub fn retain(&mut self, exists: impl Fn(&MachineId) -> bool) {
         self.latest.retain(|machine, _| exists(machine));
         self.pending.retain(|machine, _| exists(machine));
--- a/tests/redirects.rs
+++ b/tests/redirects.rs
@@ -8,10 +8,10 @@
 use support::{secs, start};
 
 #[test]
-fn a_worker_is_redirected_only_after_its_report_was_answered_where_it_is() {
+fn a_worker_is_redirected_only_after_its_heartbeat_was_answered_where_it_is() {
     // A redirect renews no lease. A new leader knows of no failed redirects, and
     // sent all workers of a controller that they couldn't reach there once more:
-    // hundreds of leases ran out.
+    // hundreds of leases expired.
     let now = start();
     let mut history = RedirectHistory::default();
     let worker = MachineId::from("i-1");
@@ -45,7 +45,7 @@
     history.redirected(&worker, "heron-2", now + secs(11));
     assert!(!history.heartbeat_arrived(&worker, "heron-2", now + secs(12)));
     assert!(history.may_reach(&worker, "heron-1", now + secs(12)));
-    // Gone machines are forgotten, or names would add up for ever.
+    // Machines that no longer exist are forgotten, or the history would grow for ever.
     history.retain(|_| false);
     assert!(history.may_reach(&worker, "heron-0", now + secs(12)));
 }
@@ -53,7 +53,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Between two redirects of a worker, one of its reports was answered,
+    /// Between two redirects of a worker, one of its heartbeats was answered,
     /// whichever controllers it goes through and however often it is lost.
     #[test]
     fn no_worker_is_redirected_twice_in_a_row(path in proptest::collection::vec((0..3usize, 0..3usize, 0..20u64), 1..60)) {
@@ -66,7 +66,7 @@
             now += secs(pause);
             let may_redirect = history.heartbeat_arrived(&worker, hosts[via], now);
             if may_redirect && via != target && history.may_reach(&worker, hosts[target], now) {
-                prop_assert!(answered, "redirected though its last report was not answered");
+                prop_assert!(answered, "redirected though its last heartbeat was not answered");
                 history.redirected(&worker, hosts[target], now);
                 answered = false;
             } else {
