--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -43,7 +43,7 @@
     MachineTypesUnknown,
     /// Whether a job that it depends on was accepted is not known now.
     #[error("a job that it waits for can't be read now")]
-    DependencyUnreadable(#[source] StoreError),
+    DependencyUnreadable(#[source] Box<StoreError>),
 }
 
 impl SubmissionError {
@@ -205,7 +205,7 @@
             Ok(StoredJob::Unfinished(record, _)) => Ok(Some(record.spec.kind)),
             Ok(StoredJob::Finished(_)) => Ok(None),
             Ok(StoredJob::NeverAccepted) => Err(AdmissionError::UnknownDependency(dependency).into()),
-            Err(error) => Err(SubmissionError::DependencyUnreadable(error)),
+            Err(error) => Err(SubmissionError::DependencyUnreadable(Box::new(error))),
         }
     }
 }
