--- a/tests/questions.rs
+++ b/tests/questions.rs
@@ -1,5 +1,5 @@
-//! Many questions about jobs, counted: what they cost the state service at
-//! followers and with the leader away, and that the leader's work goes on.
+//! Many polls of a job, counted: what they cost the state service at followers and
+//! with the leader away, and that the leader's work goes on.
 
 #[path = "support/site.rs"]
 mod site;
@@ -13,21 +13,21 @@
 use standins::ask;
 use tokio::time::sleep;
 
-/// Asks so many times about a job, at these controllers in turn; the answers.
-async fn ask_often(site: &Site, job: &str, at: &[usize], times: usize) -> Vec<(u16, serde_json::Value)> {
-    let mut questions = tokio::task::JoinSet::new();
+/// Polls a job so many times, at these controllers in turn; returns the responses.
+async fn poll_often(site: &Site, job: &str, at: &[usize], times: usize) -> Vec<(u16, serde_json::Value)> {
+    let mut polls = tokio::task::JoinSet::new();
     for n in 0..times {
         let addr = site.api[at[n % at.len()]];
         let path = format!("/v2/runs/{job}");
-        questions.spawn(async move { ask("GET", addr, &path, None).await });
+        polls.spawn(async move { ask("GET", addr, &path, None).await });
     }
-    questions.join_all().await
+    polls.join_all().await
 }
 
 #[test]
 fn final_states_are_told_from_memory_whoever_leads_and_whatever_is_down() {
-    // Users ask again and again about jobs that are over. A controller that has
-    // told a final state once needs neither the leader nor the state service.
+    // Users poll again and again jobs that have ended. A controller that has
+    // returned a terminal state once needs neither the leader nor the state service.
     on_loopback(async {
         let mut site = Site::start(Duration::from_millis(200)).await;
         site.insist("POST", 0, "/v2/runs", Some(site.job(1, 2))).await;
@@ -44,17 +44,17 @@
         site.kill(leader);
         site.state.outage(true);
         let before = site.state.reads();
-        let answers = ask_often(&site, "job-000001", &followers, 300).await;
-        for (status, view) in answers {
+        let responses = poll_often(&site, "job-000001", &followers, 300).await;
+        for (status, view) in responses {
             assert_eq!((status, view["standing"].as_str()), (200, Some("done")), "{view}");
         }
-        assert_eq!(site.state.reads(), before, "no read for any of 300 questions");
+        assert_eq!(site.state.reads(), before, "no read for any of 300 polls");
     });
 }
 
 #[test]
 fn questions_with_the_leader_away_take_no_more_than_their_share() {
-    // Followers read the state service for each question then. Beyond their share
+    // Followers read the state service for each poll then. Beyond their share
     // of its requests they say 503 at once; the election, the new leader's work and
     // submissions keep theirs.
     on_loopback(async {
@@ -62,7 +62,7 @@
             text.replace("rps = 200.0\nwrite_rps", "rps = 60.0\nwrite_rps")
         })
         .await;
-        // Hardly over before the questions come.
+        // Hardly done before the polls come.
         let mut long = site.job(1, 40);
         long["expected_s"] = serde_json::json!(30.0);
         site.insist("POST", 0, "/v2/runs", Some(long)).await;
@@ -72,14 +72,14 @@
         site.kill(leader);
         let before = site.state.reads();
         let began = Instant::now();
-        let answers = ask_often(&site, "job-000001", &followers, 400).await;
-        let asked = site.state.reads() - before;
+        let responses = poll_often(&site, "job-000001", &followers, 400).await;
+        let reads = site.state.reads() - before;
         // Two budgets of 0.6 of 60, a second's worth each at once, and the rest as time allows.
-        let most = 2.0 * 36.0 * (2.0 + began.elapsed().as_secs_f64());
-        assert!((asked as f64) < most, "{asked} reads of {most}");
+        let max_reads = 2.0 * 36.0 * (2.0 + began.elapsed().as_secs_f64());
+        assert!((reads as f64) < max_reads, "{reads} reads of {max_reads}");
         assert!(
-            answers.iter().all(|(status, _)| [200, 503].contains(status)),
-            "known, or not now: {answers:?}"
+            responses.iter().all(|(status, _)| [200, 503].contains(status)),
+            "known, or not now: {responses:?}"
         );
         let (status, view) = site
             .insist("POST", followers[0], "/v2/runs", Some(site.job(2, 2)))
