--- /dev/null
+++ b/src/core/state/model/replay.rs
@@ -0,0 +1,95 @@
+//! What a new leader loads of earlier terms: segments of the write-ahead log, the
+//! machines and slots that they name, and the run-time ratios.
+
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+use crate::core::state::machine::{Machine, MachinePhase};
+use crate::core::state::model::ClusterModel;
+use crate::core::state::slot::Slot;
+use crate::core::storage::wal::LogReplay;
+use crate::wire::{MachineId, TaskId};
+
+impl ClusterModel {
+    /// Takes the ratios that an earlier term stored.
+    pub fn load_run_time_ratios(&mut self, ratios: BTreeMap<String, f64>) {
+        self.run_time_ratios = ratios;
+    }
+
+    /// Takes a stored segment of the log, before [`ClusterModel::replay_log`].
+    /// False: it can't be read, so that what may be where is unknown.
+    pub fn load_log_segment(&mut self, number: u64, value: serde_json::Value) -> bool {
+        self.log.load(number, value)
+    }
+
+    /// Takes what the log of earlier terms says, once the jobs are known.
+    pub fn replay_log(&mut self, now: Instant) {
+        let replay = self.log.replay();
+        for (id, indices) in &replay.done {
+            if let Some(job) = self.jobs.get_mut(id) {
+                for i in indices {
+                    job.finish(*i);
+                }
+            }
+        }
+        for id in &replay.released_machines {
+            self.released_machines.insert(id.clone());
+        }
+        let LogReplay {
+            machines, mut starts, ..
+        } = replay;
+        for (id, (addr, kind, zone, spot)) in machines {
+            let tasks = starts.remove(&id).unwrap_or_default();
+            self.load_machine(id, addr, kind, zone, spot, tasks, now);
+        }
+        // A machine's own entry goes before or with its first start, but the
+        // order doesn't matter to safety: what may be on it counts anyway.
+        for (id, tasks) in starts {
+            self.load_machine(id, String::new(), String::new(), String::new(), false, tasks, now);
+        }
+    }
+
+    #[allow(clippy::too_many_arguments)]
+    pub(in crate::core) fn load_machine(
+        &mut self,
+        id: MachineId,
+        addr: String,
+        kind: String,
+        zone: String,
+        spot: bool,
+        tasks: BTreeMap<TaskId, u64>,
+        now: Instant,
+    ) {
+        let m = self
+            .machines
+            .entry(id.clone())
+            .or_insert_with(|| Machine::new(id.clone(), now));
+        m.addr = addr;
+        m.machine_type = kind;
+        m.zone = zone;
+        m.spot = spot;
+        m.needs_probe = !m.addr.is_empty();
+        if m.needs_probe {
+            // It was up: silence from now on counts as silence, not as boot.
+            m.phase = MachinePhase::Up;
+            self.command_candidates.insert(id.clone());
+        }
+        for (task, attempt) in tasks {
+            let job = self.jobs.get_mut(&task.job);
+            if job.as_ref().is_some_and(|j| j.done.has(task.index)) {
+                // It ended, or its outcome would not be known.
+                continue;
+            }
+            let cancelled = job.as_ref().is_none_or(|j| j.cancelled);
+            let mut slot = Slot::unknown(attempt, job.as_ref().map(|j| j.spec.clone()), self.term, now);
+            if cancelled {
+                slot.order_stop(Duration::ZERO, now);
+            }
+            m.slots.insert(task, slot);
+            m.idle_since = None;
+            if let Some(job) = job {
+                job.occupy(task.index, &id);
+            }
+        }
+    }
+}
