--- /dev/null
+++ b/src/core/storage/wal/compaction.rs
@@ -0,0 +1,74 @@
+//! Compaction: the live entries of the oldest segment are written again at the end,
+//! and the segment is deleted with the last of them.
+
+use std::collections::BTreeSet;
+
+use crate::core::storage::wal::entry::{merged, LogEntry};
+use crate::core::storage::wal::WriteAheadLog;
+
+/// A transaction of so few changes has no room for both new entries and a whole
+/// step of a compaction.
+const SMALL_TRANSACTION: usize = 2;
+
+/// The oldest segment on its way out: what is live of it is written again at the
+/// end, over as many appends as that takes, and the last of them deletes it. It
+/// may be larger than the limits allow by now. Until it is deleted, what was
+/// moved stands twice, which changes nothing of a replay.
+#[derive(Debug)]
+pub(super) struct Compaction {
+    segment: u64,
+    /// Entries that are still to be moved.
+    left: Vec<LogEntry>,
+}
+
+impl WriteAheadLog {
+    /// Takes a step of a compaction, if one is due; the segment that is to be
+    /// deleted once this append is stored, if the step is the last.
+    pub(super) fn compact(
+        &mut self,
+        most: usize,
+        live_bytes: usize,
+        live: impl Fn(&LogEntry) -> Option<LogEntry>,
+        changed: &mut BTreeSet<u64>,
+    ) -> Option<u64> {
+        let waits_its_turn = most <= SMALL_TRANSACTION && self.compacted;
+        self.compacted = false;
+        if most < SMALL_TRANSACTION || waits_its_turn {
+            return None;
+        }
+        let compaction = self
+            .compaction
+            .take()
+            .or_else(|| self.next_compaction(live_bytes))?;
+        self.compacted = true;
+        // One change is kept for the deletion, one for what is new.
+        let most_changed = most.saturating_sub(2).max(1);
+        let entries = merged(compaction.left.iter().filter_map(live), self.max_indices);
+        let mut left = Vec::new();
+        for entry in entries {
+            if !left.is_empty() || !self.write(&entry, changed, most_changed) {
+                left.push(entry);
+            }
+        }
+        let segment = compaction.segment;
+        if !left.is_empty() {
+            self.compaction = Some(Compaction { segment, left });
+            return None;
+        }
+        self.segments.remove(&segment);
+        Some(segment)
+    }
+
+    /// The compaction of the oldest segment, if the log is longer than it needs to be.
+    fn next_compaction(&self, live_bytes: usize) -> Option<Compaction> {
+        let room_for = 4 + 2 * live_bytes.div_ceil(self.limit);
+        if self.segments.len() <= room_for {
+            return None;
+        }
+        let (number, oldest) = self.segments.first_key_value()?;
+        (Some(*number) != self.open).then(|| Compaction {
+            segment: *number,
+            left: oldest.entries.clone(),
+        })
+    }
+}
--- a/src/core/storage/wal.rs
+++ b/src/core/storage/wal/mod.rs
@@ -7,54 +7,17 @@
 //! live entries of the oldest are written again at the end in the transaction
 //! that deletes it, so the log stays in proportion to what is live.
 
+mod compaction;
+mod entry;
+mod replay;
+
 use std::collections::{BTreeMap, BTreeSet};
 
-use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::wire::{JobId, MachineId, TaskId};
-
-/// An entry of the log.
-#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LogEntry {
-    /// A machine: name, address (empty if not known yet), type, zone, spot.
-    #[serde(rename = "m")]
-    Machine(MachineId, String, String, String, bool),
-    /// A machine that is gone for good, and all on it.
-    #[serde(rename = "g")]
-    Released(MachineId),
-    /// Tasks that may be on a machine from now on, under one attempt.
-    #[serde(rename = "s")]
-    Start(MachineId, JobId, u64, Vec<u32>),
-    /// Tasks that are done.
-    #[serde(rename = "d")]
-    Done(JobId, Vec<u32>),
-    /// An entry of a later version. It means nothing here, and is kept.
-    #[serde(untagged)]
-    Unknown(Value),
-}
-
-/// Names of the entries that this version knows.
-const KNOWN_ENTRIES: [&str; 4] = ["m", "g", "s", "d"];
-
-impl LogEntry {
-    /// An entry that this version ought to know, and can't read: what it names is
-    /// in doubt.
-    fn is_damaged(&self) -> bool {
-        let LogEntry::Unknown(value) = self else {
-            return false;
-        };
-        let known = |name: &str| KNOWN_ENTRIES.contains(&name);
-        value
-            .as_object()
-            .is_none_or(|fields| fields.keys().any(|name| known(name)))
-    }
-
-    /// Bytes that it takes in a segment.
-    fn bytes(&self) -> usize {
-        serde_json::to_string(self).map_or(0, |s| s.len() + 1)
-    }
-}
+use self::compaction::Compaction;
+pub use self::entry::LogEntry;
+pub use self::replay::LogReplay;
 
 /// Most task numbers in an entry, where a segment holds as many.
 const MAX_INDICES: usize = 200;
@@ -67,27 +30,12 @@
 const VALUE_MARGIN: usize = 256;
 /// Least bytes of a segment.
 const MIN_SEGMENT: usize = 512;
-/// A transaction of so few changes has no room for both new entries and a whole
-/// step of a compaction.
-const SMALL_TRANSACTION: usize = 2;
-
 #[derive(Debug, Default, Clone)]
 struct Segment {
     entries: Vec<LogEntry>,
     bytes: usize,
 }
 
-/// The oldest segment on its way out: what is live of it is written again at the
-/// end, over as many appends as that takes, and the last of them deletes it. It
-/// may be larger than the limits allow by now. Until it is deleted, what was
-/// moved stands twice, which changes nothing of a replay.
-#[derive(Debug)]
-struct Compaction {
-    segment: u64,
-    /// Entries that are still to be moved.
-    left: Vec<LogEntry>,
-}
-
 /// An append on its way: segments to be written, or to be deleted (`None`).
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogAppend {
@@ -97,41 +45,6 @@
     pub upto: u64,
 }
 
-/// What the log says, replayed in order.
-#[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct LogReplay {
-    /// Machines: address, type, zone, spot.
-    pub machines: BTreeMap<MachineId, (String, String, String, bool)>,
-    /// Tasks that may be on each machine, and their attempts.
-    pub starts: BTreeMap<MachineId, BTreeMap<TaskId, u64>>,
-    /// Done tasks.
-    pub done: BTreeMap<JobId, BTreeSet<u32>>,
-    /// Machines that are gone.
-    pub released_machines: BTreeSet<MachineId>,
-}
-
-impl LogReplay {
-    fn take(&mut self, e: &LogEntry) {
-        match e {
-            LogEntry::Machine(id, addr, kind, zone, spot) => {
-                self.machines
-                    .insert(id.clone(), (addr.clone(), kind.clone(), zone.clone(), *spot));
-            }
-            LogEntry::Released(id) => {
-                self.machines.remove(id);
-                self.starts.remove(id);
-                self.released_machines.insert(id.clone());
-            }
-            LogEntry::Start(id, job, attempt, tasks) => {
-                let on = self.starts.entry(id.clone()).or_default();
-                on.extend(tasks.iter().map(|i| (TaskId { job: *job, index: *i }, *attempt)));
-            }
-            LogEntry::Done(job, tasks) => self.done.entry(*job).or_default().extend(tasks),
-            LogEntry::Unknown(_) => {}
-        }
-    }
-}
-
 /// The log as its writer knows it.
 #[derive(Debug)]
 pub struct WriteAheadLog {
@@ -194,7 +107,7 @@
     pub fn replay(&self) -> LogReplay {
         let mut r = LogReplay::default();
         for e in self.segments.values().flat_map(|s| &s.entries) {
-            r.take(e);
+            r.apply(e);
         }
         r
     }
@@ -292,88 +205,9 @@
         true
     }
 
-    /// Takes a step of a compaction, if one is due; the segment that is to be
-    /// deleted once this append is stored, if the step is the last.
-    fn compact(
-        &mut self,
-        most: usize,
-        live_bytes: usize,
-        live: impl Fn(&LogEntry) -> Option<LogEntry>,
-        changed: &mut BTreeSet<u64>,
-    ) -> Option<u64> {
-        let waits_its_turn = most <= SMALL_TRANSACTION && self.compacted;
-        self.compacted = false;
-        if most < SMALL_TRANSACTION || waits_its_turn {
-            return None;
-        }
-        let compaction = self
-            .compaction
-            .take()
-            .or_else(|| self.next_compaction(live_bytes))?;
-        self.compacted = true;
-        // One change is kept for the deletion, one for what is new.
-        let most_changed = most.saturating_sub(2).max(1);
-        let entries = merged(compaction.left.iter().filter_map(live), self.max_indices);
-        let mut left = Vec::new();
-        for entry in entries {
-            if !left.is_empty() || !self.write(&entry, changed, most_changed) {
-                left.push(entry);
-            }
-        }
-        let segment = compaction.segment;
-        if !left.is_empty() {
-            self.compaction = Some(Compaction { segment, left });
-            return None;
-        }
-        self.segments.remove(&segment);
-        Some(segment)
-    }
-
-    /// The compaction of the oldest segment, if the log is longer than it needs to be.
-    fn next_compaction(&self, live_bytes: usize) -> Option<Compaction> {
-        let room_for = 4 + 2 * live_bytes.div_ceil(self.limit);
-        if self.segments.len() <= room_for {
-            return None;
-        }
-        let (number, oldest) = self.segments.first_key_value()?;
-        (Some(*number) != self.open).then(|| Compaction {
-            segment: *number,
-            left: oldest.entries.clone(),
-        })
-    }
-
     /// An append is stored.
     pub fn appended(&mut self, a: &LogAppend) {
         self.in_flight = false;
         self.stored = self.stored.max(a.upto);
     }
 }
-
-/// The entries with those of done tasks put together by job: a huge array ends
-/// task by task between all others, and an entry for each would make its log
-/// several times as long as what it says.
-///
-/// No entry holds more than so many task numbers: earlier ones may be larger than
-/// the limits allow by now.
-fn merged(entries: impl Iterator<Item = LogEntry>, max_indices: usize) -> Vec<LogEntry> {
-    let mut out = Vec::new();
-    let mut done: BTreeMap<JobId, Vec<u32>> = BTreeMap::new();
-    for e in entries {
-        match e {
-            LogEntry::Done(job, tasks) => done.entry(job).or_default().extend(tasks),
-            LogEntry::Start(machine, job, attempt, tasks) => {
-                let parts = tasks.chunks(max_indices);
-                out.extend(parts.map(|part| LogEntry::Start(machine.clone(), job, attempt, part.to_vec())));
-            }
-            other => out.push(other),
-        }
-    }
-    for (job, tasks) in done {
-        out.extend(
-            tasks
-                .chunks(max_indices)
-                .map(|part| LogEntry::Done(job, part.to_vec())),
-        );
-    }
-    out
-}
