--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -7,16 +7,25 @@
 
 use crate::core::state::dependencies::DependencyOutcome;
 use crate::core::state::job::Job;
+use crate::core::state::machine::Machine;
 use crate::core::state::model::{ClusterModel, MIN_RUN_TIME_RATIO};
 use crate::core::storage::atomic_write::AtomicWrite;
 use crate::core::storage::record::{self, FinalRecord};
 use crate::core::storage::wal::{LogAppend, LogEntry};
-use crate::wire::{JobId, JobKind, JobState};
+use crate::wire::{JobId, JobKind, JobState, MachineId, TaskId};
 
 /// Entries of the log that no start waits for are written at most so often.
 const LOG_PAUSE: Duration = Duration::from_millis(800);
 /// Bytes of the log in one transaction, below the protocol's 64 KiB.
-const MAX_BYTES: usize = 44 * 1024;
+const MAX_LOG_BYTES: usize = 44 * 1024;
+/// Bytes that a machine takes in the log, about.
+const MACHINE_ENTRY_BYTES: usize = 90;
+/// Bytes that the start of a task takes in the log, about.
+const START_ENTRY_BYTES: usize = 50;
+/// Bytes that a done task takes in the log, about.
+const DONE_TASK_BYTES: usize = 6;
+/// Least time between two writes of the teams' ratios.
+const MIN_RATIOS_INTERVAL: Duration = Duration::from_secs(3);
 
 /// A write that is due.
 #[derive(Debug, Clone)]
@@ -61,44 +70,39 @@
 }
 
 impl ClusterModel {
-    /// Takes the writes that are due now.
+    /// Takes the writes that are due now. Each is taken once: its end is told by
+    /// [`ClusterModel::write_finished`].
     pub fn take_writes(&mut self, now: Instant) -> Vec<PendingWrite> {
-        let mut out = Vec::new();
-        let idle = self.log_append_taken_at.is_none_or(|t| now >= t + LOG_PAUSE);
-        let paced = self
-            .log_append_taken_at
-            .is_none_or(|t| now >= t + self.config.log_pause);
-        if paced && self.log.wants(idle) {
-            out.extend(self.take_log(now).map(PendingWrite::WriteAheadLog));
-        }
-        let mut learned = Vec::new();
+        let mut writes = Vec::new();
+        writes.extend(self.take_log_append(now).map(PendingWrite::WriteAheadLog));
         self.stop_cancelled(now);
-        let cancelled_on_their_way = self
-            .jobs
-            .values()
-            .filter(|j| j.final_write_pending && j.cancelled)
-            .count();
-        let mut cancelled_left = self.config.txn_ops.max(2).saturating_sub(cancelled_on_their_way);
+        self.take_final_states(&mut writes, now);
+        writes.extend(self.take_run_time_ratios(now).map(PendingWrite::Ratios));
+        writes
+    }
+
+    /// Adds the final states of the jobs that have ended to `writes`, and learns the
+    /// run times of those that are done.
+    fn take_final_states(&mut self, writes: &mut Vec<PendingWrite>, now: Instant) {
+        let mut learned_ratios = Vec::new();
+        let mut cancelled_left = self.max_new_cancelled_states();
         for (id, job) in &mut self.jobs {
             if job.final_write_pending || !job.places.is_empty() {
                 continue;
             }
-            let state = if job.cancellation_is_stored() {
-                // A long chain is cancelled at once; its many final states must
-                // not hold up the log.
+            let Some(state) = final_state(job) else {
+                continue;
+            };
+            if state == JobState::Cancelled {
                 if cancelled_left == 0 {
                     continue;
                 }
                 cancelled_left -= 1;
-                JobState::Cancelled
-            } else if job.is_complete() && !job.cancelled {
-                learned.extend(ratio(job).map(|r| (job.spec.team.clone(), r)));
-                JobState::Done
             } else {
-                continue;
-            };
+                learned_ratios.extend(run_time_ratio(job).map(|ratio| (job.spec.team.clone(), ratio)));
+            }
             job.final_write_pending = true;
-            out.push(PendingWrite::Final {
+            writes.push(PendingWrite::Final {
                 id: *id,
                 record: FinalRecord {
                     state,
@@ -108,20 +112,36 @@
                 needed: state == JobState::Done && self.dependencies.has_dependents(*id),
             });
         }
-        for (team, r) in learned {
-            self.run_time_ratios.insert(team, r);
+        for (team, ratio) in learned_ratios {
+            self.run_time_ratios.insert(team, ratio);
             self.run_time_ratios_changed = true;
         }
-        if self.run_time_ratios_changed
-            && self
-                .run_time_ratios_taken_at
-                .is_none_or(|t| now >= t + Duration::from_secs(3))
-        {
-            self.run_time_ratios_changed = false;
-            self.run_time_ratios_taken_at = Some(now);
-            out.push(PendingWrite::Ratios(self.ratios_that_fit()));
+    }
+
+    /// How many cancelled jobs' final states may be taken besides those that are
+    /// being written: a long chain is cancelled at once, and its many final states
+    /// must not hold up the log.
+    fn max_new_cancelled_states(&self) -> usize {
+        let pending = self
+            .jobs
+            .values()
+            .filter(|job| job.final_write_pending && job.cancelled)
+            .count();
+        self.config.txn_ops.max(2).saturating_sub(pending)
+    }
+
+    /// Takes the teams' ratios if they changed, at most once in
+    /// [`MIN_RATIOS_INTERVAL`].
+    fn take_run_time_ratios(&mut self, now: Instant) -> Option<BTreeMap<String, f64>> {
+        let is_due = self
+            .run_time_ratios_taken_at
+            .is_none_or(|taken_at| now >= taken_at + MIN_RATIOS_INTERVAL);
+        if !self.run_time_ratios_changed || !is_due {
+            return None;
         }
-        out
+        self.run_time_ratios_changed = false;
+        self.run_time_ratios_taken_at = Some(now);
+        Some(self.ratios_that_fit())
     }
 
     /// The ratios, as many as fit into a value: a team without one is predicted
@@ -147,39 +167,32 @@
         }
     }
 
-    fn take_log(&mut self, now: Instant) -> Option<LogAppend> {
-        let per = self.config.value_bytes.max(1);
-        let most = (MAX_BYTES / per).min(self.config.txn_ops).max(1);
-        let slots: usize = self.machines.values().map(|m| m.slots.len()).sum();
-        let done: usize = self.jobs.values().map(|j| j.done.count() as usize).sum();
-        let live_bytes = self.machines.len() * 90 + slots * 50 + done * 6;
-        let (machines, jobs) = (&self.machines, &self.jobs);
-        let live = |e: &LogEntry| match e {
-            LogEntry::Machine(id, addr, ..) => machines
-                .get(id)
-                .is_some_and(|m| m.addr == *addr)
-                .then(|| e.clone()),
-            LogEntry::Released(_) => None,
-            LogEntry::Start(id, job, attempt, tasks) => {
-                let m = machines.get(id)?;
-                let still: Vec<u32> = tasks
-                    .iter()
-                    .copied()
-                    .filter(|i| {
-                        let task = crate::wire::TaskId { job: *job, index: *i };
-                        m.slots
-                            .get(&task)
-                            .is_some_and(|s| s.attempt == *attempt && s.takes_room())
-                    })
-                    .collect();
-                (!still.is_empty()).then(|| LogEntry::Start(id.clone(), *job, *attempt, still))
-            }
-            LogEntry::Done(job, _) => jobs.contains_key(job).then(|| e.clone()),
-            LogEntry::Unknown(_) => Some(e.clone()),
+    /// Takes an append to the log, if one is due.
+    fn take_log_append(&mut self, now: Instant) -> Option<LogAppend> {
+        let has_passed = |pause: Duration| {
+            self.log_append_taken_at
+                .is_none_or(|taken_at| now >= taken_at + pause)
         };
-        let a = self.log.take(most, live_bytes, live)?;
+        let may_append = has_passed(self.config.log_pause);
+        if !may_append || !self.log.wants(has_passed(LOG_PAUSE)) {
+            return None;
+        }
+        let value_bytes = self.config.value_bytes.max(1);
+        let max_segments = (MAX_LOG_BYTES / value_bytes).min(self.config.txn_ops).max(1);
+        let live_bytes = self.live_log_bytes();
+        let (machines, jobs) = (&self.machines, &self.jobs);
+        let append = self
+            .log
+            .take(max_segments, live_bytes, |entry| live_part(entry, machines, jobs))?;
         self.log_append_taken_at = Some(now);
-        Some(a)
+        Some(append)
+    }
+
+    /// About how many bytes of the log say what is still true.
+    fn live_log_bytes(&self) -> usize {
+        let slots: usize = self.machines.values().map(|machine| machine.slots.len()).sum();
+        let done: usize = self.jobs.values().map(|job| job.done.count() as usize).sum();
+        self.machines.len() * MACHINE_ENTRY_BYTES + slots * START_ENTRY_BYTES + done * DONE_TASK_BYTES
     }
 
     /// A write is stored, or was not.
@@ -204,9 +217,49 @@
     }
 }
 
+/// The final state of a job without any place left; `None`: it has not ended.
+fn final_state(job: &Job) -> Option<JobState> {
+    if job.cancellation_is_stored() {
+        return Some(JobState::Cancelled);
+    }
+    (job.is_complete() && !job.cancelled).then_some(JobState::Done)
+}
+
+/// What of a log entry is still true, to be kept by a compaction.
+fn live_part(
+    entry: &LogEntry,
+    machines: &BTreeMap<MachineId, Machine>,
+    jobs: &BTreeMap<JobId, Job>,
+) -> Option<LogEntry> {
+    match entry {
+        LogEntry::Machine(id, addr, ..) => machines
+            .get(id)
+            .is_some_and(|machine| machine.addr == *addr)
+            .then(|| entry.clone()),
+        LogEntry::Released(_) => None,
+        LogEntry::Start(id, job, attempt, tasks) => {
+            let machine = machines.get(id)?;
+            let may_be_there = |index: &u32| {
+                let task = TaskId {
+                    job: *job,
+                    index: *index,
+                };
+                machine
+                    .slots
+                    .get(&task)
+                    .is_some_and(|slot| slot.attempt == *attempt && slot.takes_room())
+            };
+            let live: Vec<u32> = tasks.iter().copied().filter(may_be_there).collect();
+            (!live.is_empty()).then(|| LogEntry::Start(id.clone(), *job, *attempt, live))
+        }
+        LogEntry::Done(job, _) => jobs.contains_key(job).then(|| entry.clone()),
+        LogEntry::Unknown(_) => Some(entry.clone()),
+    }
+}
+
 /// The run-to-estimate ratio of a finished job. Only what ended `done` counts,
 /// never errors or stops: a job that fails at once says nothing of run times.
-fn ratio(job: &Job) -> Option<f64> {
+fn run_time_ratio(job: &Job) -> Option<f64> {
     if job.spec.kind == JobKind::Service || job.spec.estimate_s <= 0.0 || job.run_count == 0 {
         return None;
     }
