--- a/src/core/state/model/replay.rs
+++ b/src/core/state/model/replay.rs
@@ -7,7 +7,7 @@
 use crate::core::state::machine::{Machine, MachinePhase};
 use crate::core::state::model::ClusterModel;
 use crate::core::state::slot::Slot;
-use crate::core::storage::wal::LogReplay;
+use crate::core::storage::wal::{LogReplay, LoggedMachine};
 use crate::wire::{MachineId, TaskId};
 
 impl ClusterModel {
@@ -38,40 +38,38 @@
         let LogReplay {
             machines, mut starts, ..
         } = replay;
-        for (id, (addr, kind, zone, spot)) in machines {
+        for (id, machine) in machines {
             let tasks = starts.remove(&id).unwrap_or_default();
-            self.load_machine(id, addr, kind, zone, spot, tasks, now);
+            self.load_machine(id, machine, tasks, now);
         }
         // A machine's own entry goes before or with its first start, but the
         // order doesn't matter to safety: what may be on it counts anyway.
         for (id, tasks) in starts {
-            self.load_machine(id, String::new(), String::new(), String::new(), false, tasks, now);
+            self.load_machine(id, LoggedMachine::default(), tasks, now);
         }
     }
 
-    #[allow(clippy::too_many_arguments)]
-    pub(in crate::core) fn load_machine(
+    /// Takes a machine of the log and the attempts that may be on it. What its
+    /// tasks have come to is unknown until its worker says so.
+    fn load_machine(
         &mut self,
         id: MachineId,
-        addr: String,
-        kind: String,
-        zone: String,
-        spot: bool,
+        logged: LoggedMachine,
         tasks: BTreeMap<TaskId, u64>,
         now: Instant,
     ) {
-        let m = self
+        let machine = self
             .machines
             .entry(id.clone())
             .or_insert_with(|| Machine::new(id.clone(), now));
-        m.addr = addr;
-        m.machine_type = kind;
-        m.zone = zone;
-        m.spot = spot;
-        m.needs_probe = !m.addr.is_empty();
-        if m.needs_probe {
+        machine.addr = logged.addr;
+        machine.machine_type = logged.machine_type;
+        machine.zone = logged.zone;
+        machine.spot = logged.spot;
+        machine.needs_probe = !machine.addr.is_empty();
+        if machine.needs_probe {
             // It was up: silence from now on counts as silence, not as boot.
-            m.phase = MachinePhase::Up;
+            machine.phase = MachinePhase::Up;
             self.command_candidates.insert(id.clone());
         }
         for (task, attempt) in tasks {
@@ -85,8 +83,8 @@
             if cancelled {
                 slot.order_stop(Duration::ZERO, now);
             }
-            m.slots.insert(task, slot);
-            m.idle_since = None;
+            machine.slots.insert(task, slot);
+            machine.idle_since = None;
             if let Some(job) = job {
                 job.occupy(task.index, &id);
             }
--- a/src/core/storage/wal/mod.rs
+++ b/src/core/storage/wal/mod.rs
@@ -17,7 +17,7 @@
 
 use self::compaction::Compaction;
 pub use self::entry::LogEntry;
-pub use self::replay::LogReplay;
+pub use self::replay::{LogReplay, LoggedMachine};
 
 /// Most task numbers in an entry, where a segment holds as many.
 const MAX_INDICES: usize = 200;
--- a/src/core/storage/wal/replay.rs
+++ b/src/core/storage/wal/replay.rs
@@ -5,11 +5,24 @@
 use crate::core::storage::wal::entry::LogEntry;
 use crate::wire::{JobId, MachineId, TaskId};
 
+/// What the newest entry of a machine says of it.
+#[derive(Debug, Default, Clone, PartialEq, Eq)]
+pub struct LoggedMachine {
+    /// Where its worker takes commands; empty if not known yet.
+    pub addr: String,
+    /// Name of its machine type.
+    pub machine_type: String,
+    /// Its zone.
+    pub zone: String,
+    /// Whether it is a spot machine.
+    pub spot: bool,
+}
+
 /// What the log says, replayed in order.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct LogReplay {
-    /// Machines: address, type, zone, spot.
-    pub machines: BTreeMap<MachineId, (String, String, String, bool)>,
+    /// Machines that are not known to be released.
+    pub machines: BTreeMap<MachineId, LoggedMachine>,
     /// Tasks that may be on each machine, and their attempts.
     pub starts: BTreeMap<MachineId, BTreeMap<TaskId, u64>>,
     /// Done tasks.
@@ -21,9 +34,14 @@
 impl LogReplay {
     pub(super) fn apply(&mut self, e: &LogEntry) {
         match e {
-            LogEntry::Machine(id, addr, kind, zone, spot) => {
-                self.machines
-                    .insert(id.clone(), (addr.clone(), kind.clone(), zone.clone(), *spot));
+            LogEntry::Machine(id, addr, machine_type, zone, spot) => {
+                let machine = LoggedMachine {
+                    addr: addr.clone(),
+                    machine_type: machine_type.clone(),
+                    zone: zone.clone(),
+                    spot: *spot,
+                };
+                self.machines.insert(id.clone(), machine);
             }
             LogEntry::Released(id) => {
                 self.machines.remove(id);
