--- a/src/core/state/bits.rs
+++ b/src/core/state/bits.rs
@@ -1,6 +1,9 @@
-//! A set of task numbers, kept as bits.
+//! A set of task indices, kept as bits, that knows its size.
+//!
+//! A job has up to tens of thousands of tasks, and rounds ask for the size of a set
+//! all the time: so the size is counted along, not computed.
 
-/// A fixed-size set of task numbers.
+/// A set of task indices below a fixed bound.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BitSet {
     words: Vec<u64>,
--- a/src/core/state/config.rs
+++ b/src/core/state/config.rs
@@ -1,70 +1,76 @@
-//! What the cluster model is told once, from the settings.
+//! The settings that the cluster model needs, computed once when a process starts.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use crate::settings::{Objective, Team};
+use crate::settings::{DeploymentSettings, Objective, OperatorSettings, Team};
 
-/// What the model is told once.
+/// Least silence limit, however short the interval of heartbeats.
+const MIN_SILENCE_LIMIT: Duration = Duration::from_secs(9);
+
+/// The part of the settings that the model's rules read. It never changes.
 #[derive(Debug, Clone)]
 pub struct SchedulerConfig {
-    /// Teams by name.
+    /// Teams by name, with their quotas and limits.
     pub teams: HashMap<String, Team>,
-    /// The users' aims.
+    /// The users' objectives: by when jobs of a kind should be done.
     pub objectives: Vec<Objective>,
-    /// Zones of the cluster.
+    /// Zones in which machines may be rented.
     pub zones: Vec<String>,
-    /// Interval of reports.
+    /// Time between two heartbeats of a worker.
     pub heartbeat_interval: Duration,
-    /// Life of a worker's lease.
+    /// How long a worker runs its tasks on after the last answered heartbeat.
     pub lease: Duration,
-    /// Time for a cancellation.
+    /// Within this time of its acceptance, a cancellation must have stopped all tasks.
     pub cancel: Duration,
-    /// A machine silent for so long is released for its tasks' sake.
+    /// A machine without a heartbeat for so long is released, so that its tasks can
+    /// run elsewhere.
     pub silent: Duration,
-    /// Lag of the machine list.
+    /// How far the cloud's machine list may lag behind rentals and releases.
     pub list_lag: Duration,
-    /// Least time between two appends to the log.
+    /// Least time between two appends to the write-ahead log.
     pub log_pause: Duration,
-    /// Most changes in a transaction, now and by the limits that are announced.
+    /// Most changes in a transaction of the state service: the smaller of the limit in
+    /// force and the one that is announced.
     pub txn_ops: usize,
-    /// Largest value of the state service in bytes, likewise.
+    /// Largest value of the state service in bytes, likewise the smaller limit.
     pub value_bytes: usize,
-    /// Operators' settings.
-    pub operator_settings: crate::settings::OperatorSettings,
+    /// What operators may tune without a new deployment.
+    pub operator_settings: OperatorSettings,
 }
 
 impl SchedulerConfig {
     /// Takes what it needs from the settings.
-    pub fn new(
-        p: &crate::settings::DeploymentSettings,
-        operator_settings: crate::settings::OperatorSettings,
-    ) -> Self {
+    pub fn new(deployment: &DeploymentSettings, operator_settings: OperatorSettings) -> Self {
+        let cluster = &deployment.cluster;
+        let workers = &cluster.workers;
         Self {
-            teams: p
-                .cluster
+            teams: cluster
                 .teams
                 .iter()
-                .map(|t| (t.name.clone(), t.clone()))
+                .map(|team| (team.name.clone(), team.clone()))
                 .collect(),
-            objectives: p.cluster.objectives.clone(),
-            zones: p.cluster.zones.clone(),
-            heartbeat_interval: p.cluster.workers.heartbeat_interval,
-            lease: p.cluster.workers.lease,
-            cancel: p.cluster.workers.cancel_within,
-            silent: operator_settings.silence_timeout.unwrap_or_else(|| {
-                // Two reports may be late or lost on the way to a node that
-                // doesn't answer; and no healthy machine is silent for longer.
-                let w = &p.cluster.workers;
-                (w.heartbeat_interval * 9 / 4)
-                    .max(Duration::from_secs(9))
-                    .min(w.lease)
-            }),
-            list_lag: p.cluster.cloud.list_lag,
-            log_pause: Duration::from_secs_f64(2.0 / p.cluster.state.write_rps),
-            txn_ops: p.cluster.state.min_txn_ops(),
-            value_bytes: p.cluster.state.value_bytes(),
+            objectives: cluster.objectives.clone(),
+            zones: cluster.zones.clone(),
+            heartbeat_interval: workers.heartbeat_interval,
+            lease: workers.lease,
+            cancel: workers.cancel_within,
+            silent: operator_settings
+                .silence_timeout
+                .unwrap_or_else(|| default_silence_limit(workers.heartbeat_interval, workers.lease)),
+            list_lag: cluster.cloud.list_lag,
+            log_pause: Duration::from_secs_f64(2.0 / cluster.state.write_rps),
+            txn_ops: cluster.state.min_txn_ops(),
+            value_bytes: cluster.state.value_bytes(),
             operator_settings,
         }
     }
 }
+
+/// Two heartbeats may be late or lost on the way to a node that doesn't answer; and
+/// no healthy machine is silent for longer.
+fn default_silence_limit(heartbeat_interval: Duration, worker_lease: Duration) -> Duration {
+    (heartbeat_interval * 9 / 4)
+        .max(MIN_SILENCE_LIMIT)
+        .min(worker_lease)
+}
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -14,33 +14,33 @@
 pub struct Job {
     /// What its user submitted.
     pub spec: Arc<JobSpec>,
-    /// When, in milliseconds of the time of day.
+    /// When it was accepted, in milliseconds since the Unix epoch.
     pub at: u64,
-    /// The same on the leader's steady clock.
+    /// The same moment on this process's monotonic clock.
     pub arrival: Instant,
-    /// Cancelled; the rest of its tasks is to go.
+    /// It is cancelled: no task starts any more, and those that run are stopped.
     pub cancelled: bool,
-    /// The cancellation is stored.
+    /// The cancellation is stored in the state service.
     pub cancel_stored: bool,
-    /// Tasks done.
+    /// Indices of the tasks that are done.
     pub done: BitSet,
-    /// Tasks neither done nor placed.
+    /// Indices of the tasks that are neither done nor placed.
     pub waiting: BitSet,
-    /// Where each placed task may be.
+    /// The machines on which each placed task may be, by the task's index.
     pub places: HashMap<u32, Vec<MachineId>>,
-    /// Tasks that were last seen running.
+    /// Indices of the tasks that were running by the last heartbeat of their machine.
     pub running: HashSet<u32>,
-    /// Places of all its tasks together.
+    /// Number of machines in `places`, over all tasks.
     pub placed: u32,
-    /// Its final state is being written.
+    /// Its final state is on its way to the state service.
     pub final_write_pending: bool,
     /// Failures since the last success.
     pub failures: FailureHistory,
-    /// Not to be tried before.
+    /// No task is placed before this time.
     pub pause_until: Option<Instant>,
-    /// Sum and count of run times seen.
+    /// Sum of the run times of tasks that ended `done` in this term.
     pub run_sum: Duration,
-    /// How many are in `run_sum`.
+    /// How many run times are in `run_sum`.
     pub run_count: u32,
 }
 
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Notes that a task is done.
+    /// Marks a task as done; it never waits again.
     pub(in crate::core) fn finish(&mut self, index: u32) {
         self.waiting.remove(index);
         self.done.insert(index);
@@ -129,6 +129,7 @@
         self.spec.kind == JobKind::Gang && !self.places.is_empty() && self.waiting.count() > 0
     }
 
+    /// Adds a machine on which a task may be; the task no longer waits.
     pub(in crate::core) fn occupy(&mut self, index: u32, machine: &MachineId) {
         let list = self.places.entry(index).or_default();
         if !list.contains(machine) {
@@ -138,6 +139,8 @@
         }
     }
 
+    /// Removes a machine on which a task is no more. Without any place left, the task
+    /// waits again unless it is done.
     pub(in crate::core) fn vacate(&mut self, index: u32, machine: &MachineId) {
         if let Some(list) = self.places.get_mut(&index) {
             let before = list.len();
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -1,4 +1,5 @@
-//! A rented machine and what its worker has said.
+//! A rented machine: what the cloud lists, what its worker's heartbeats say, and what
+//! commands to it have come to.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -10,12 +11,12 @@
 use crate::core::storage::wal::{LogEntry, WriteAheadLog};
 use crate::wire::{Command, ExitReason, JobId, MachineId, TaskId};
 
-/// How far a machine is.
+/// Phase of a machine between its rental and its release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachinePhase {
-    /// Rented, its worker has not spoken yet.
+    /// Rented; no heartbeat of its worker has come yet.
     Booting,
-    /// Its worker has spoken.
+    /// A heartbeat has come, or the cloud lists it as running.
     Up,
     /// Its release has been asked for; it holds what it holds until confirmed.
     Releasing,
@@ -24,57 +25,58 @@
 /// A rented machine.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its name.
+    /// Its id, as the cloud gave it.
     pub id: MachineId,
-    /// Where it takes commands.
+    /// Where its worker takes commands; empty if not known yet.
     pub addr: String,
-    /// Its type.
+    /// Name of its machine type.
     pub machine_type: String,
     /// Its zone.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
-    /// How far it is.
+    /// Its phase between rental and release.
     pub phase: MachinePhase,
-    /// Known since (rental or first word of it).
+    /// When it was rented, or first listed or heard from; once listed as running, since
+    /// then.
     pub since: Instant,
     /// Session and sequence of the newest message.
     pub newest_message: (u64, u64),
-    /// Highest token it said it has seen.
+    /// Highest fencing token that its heartbeats say it has seen.
     pub seen_token: u64,
-    /// Last token given out for it, below the term's bits.
+    /// Number of fencing tokens issued for it in this term: the low bits of the last.
     pub token_seq: u64,
-    /// Last message of the worker.
+    /// When its last heartbeat came.
     pub last_heartbeat: Option<Instant>,
-    /// Its last report was answered then: its lease runs from there at the latest.
+    /// When a heartbeat of it was last answered: its lease runs from there at the latest.
     pub last_response: Option<Instant>,
-    /// When the cloud takes it.
+    /// When the cloud reclaims it, by a spot notice.
     pub reclaim_at: Option<Instant>,
-    /// What is or may be on it.
+    /// The tasks that are or may be on it.
     pub slots: BTreeMap<TaskId, Slot>,
-    /// Images, most recently used last.
+    /// Images in its cache and their sizes in GB, most recently used last.
     pub images: Vec<(String, f64)>,
-    /// Outcomes wait to be forgotten since.
+    /// Since when ended tasks wait to be acknowledged.
     pub unacknowledged_since: Option<Instant>,
-    /// A command is under way.
+    /// A batch of commands is on its way.
     pub command_in_flight: bool,
-    /// Not to be sent commands before.
+    /// No commands are sent before this time.
     pub no_command_before: Option<Instant>,
-    /// Commands to it have gone unanswered since.
+    /// Since when commands to it have failed without a response between.
     pub commands_unanswered_since: Option<Instant>,
-    /// When it last answered a command.
+    /// When it last responded to a batch of commands.
     pub last_command_answer: Option<Instant>,
-    /// Something is to be settled by a command though no order is due.
+    /// An empty batch of commands is due, to learn what is on it or to fence it.
     pub needs_probe: bool,
     /// Jobs that failed on it since its last success.
     pub failed_jobs: BTreeSet<JobId>,
     /// Failures since its last success.
     pub failures: u32,
-    /// Takes no more tasks, since then.
+    /// Since when it is cordoned, that is, takes no more tasks.
     pub cordoned_since: Option<Instant>,
-    /// Refused a start for want of room; not to be placed on before.
+    /// It refused a start for want of room; no task is placed on it before this time.
     pub full_until: Option<Instant>,
-    /// Empty since.
+    /// Since when no task is on it.
     pub idle_since: Option<Instant>,
 }
 
@@ -110,7 +112,7 @@
         }
     }
 
-    /// What the log is to say of it.
+    /// Its entry of the write-ahead log.
     pub(in crate::core) fn entry(&self) -> LogEntry {
         LogEntry::Machine(
             self.id.clone(),
@@ -121,7 +123,8 @@
         )
     }
 
-    /// Something is to be said to its worker.
+    /// Whether commands to its worker may be due: a probe, a start, a stop or an
+    /// acknowledgement.
     pub(in crate::core) fn wants_command(&self) -> bool {
         self.needs_probe
             || self
@@ -130,12 +133,12 @@
                 .any(|s| s.stop.is_some() || matches!(s.state, SlotState::Placed | SlotState::Ended(_)))
     }
 
-    /// Whether a session is over by its lease, see [`crate::core::ClusterModel::expire_leases`].
+    /// Whether an incarnation of its worker has ended by lease expiry, see [`crate::core::ClusterModel::expire_leases`].
     pub fn incarnation_ended(&self, incarnation: u64) -> bool {
         self.newest_message == (incarnation, u64::MAX)
     }
 
-    /// Whether the worker obeys this term.
+    /// Whether the worker has seen a token of this term, and so refuses earlier leaders.
     pub fn fenced(&self, term: u64) -> bool {
         token::term_of(self.seen_token) == term
     }
@@ -145,6 +148,8 @@
         self.images.iter().any(|(i, _)| i == image)
     }
 
+    /// Marks an image as the most recently used one, evicting the oldest ones that no
+    /// longer fit into the cache.
     pub(in crate::core) fn touch_image(&mut self, image: &str, gb: f64, cache_gb: f64) {
         if let Some(p) = self.images.iter().position(|(i, _)| i == image) {
             let it = self.images.remove(p);
@@ -157,21 +162,22 @@
         }
     }
 
-    /// What its tasks take, or may take, of it.
+    /// The resources that its tasks take, or may take.
     pub fn used(&self) -> Resources {
         let slots = self.slots.values().filter(|slot| slot.takes_room());
         let specs = slots.filter_map(|slot| slot.spec.as_ref());
         specs.map(|spec| Resources::of_task(spec)).sum()
     }
 
-    /// Nothing on it that takes room.
+    /// Whether no task on it takes resources; ended ones take none.
     pub fn empty(&self) -> bool {
         !self.slots.values().any(Slot::takes_room)
     }
 }
 
 impl Machine {
-    /// Orders to forget what has ended and is stored.
+    /// Acknowledgements of the tasks that have ended: of done ones only once that is
+    /// stored, since the worker forgets them.
     pub(in crate::core) fn acknowledgements(
         &self,
         log: &WriteAheadLog,
@@ -194,11 +200,12 @@
             .collect()
     }
 
+    /// The token that [`Machine::fresh_token`] would issue next.
     pub(in crate::core) fn peek_token(&self, term: u64) -> u64 {
         token::first_of_term(term) + self.token_seq + 1
     }
 
-    /// A token above all given out for this machine before.
+    /// Issues a token above all issued for this machine before.
     pub(in crate::core) fn fresh_token(&mut self, term: u64) -> u64 {
         self.token_seq += 1;
         token::first_of_term(term) + self.token_seq
--- a/src/core/state/mod.rs
+++ b/src/core/state/mod.rs
@@ -1,4 +1,8 @@
 //! What the leader of one term knows of jobs and machines.
+//!
+//! [`model::ClusterModel`] owns all of it; its fields change only by methods of
+//! [`crate::core`]. The other modules are its parts, from the lowest up: tokens,
+//! resources, slots and machines, jobs and their dependencies.
 
 pub mod bits;
 pub mod config;
--- a/src/core/state/model/mod.rs
+++ b/src/core/state/model/mod.rs
@@ -1,13 +1,15 @@
-//! What is known of jobs and machines, and what may be where.
+//! The cluster model: jobs, machines, and which task may be on which machine.
 //!
-//! The safety rules live here. A task's place is a [`Slot`](crate::core::state::slot::Slot); it is made before
-//! the log is written, and removed only on evidence that the
-//! attempt is gone: it ended, it is absent from a message of the worker that
-//! has seen a token at least as high as the last `start`, the worker's session
-//! is a later one, or the cloud has confirmed the machine's release.
+//! The safety rules hold here. An attempt of a task on a machine is a
+//! [`Slot`](crate::core::state::slot::Slot). It is made before the log is written, and
+//! removed only on evidence that the attempt is gone: it ended; it is absent from a
+//! heartbeat of a worker that has seen a token at least as high as the last start's;
+//! the worker's incarnation is a later one; or the cloud has confirmed the release of
+//! the machine.
 //!
-//! Its methods lie in a module for each concern: `jobs` (accepted to removed), `places` (slots of
-//! tasks), `machines` (rented to released), `replay` (what earlier terms stored).
+//! The methods lie in a module for each concern: `jobs` (accepted to removed), `places`
+//! (slots of tasks), `machines` (rented to released), `replay` (what earlier terms
+//! stored).
 //!
 //! Only the modules of [`crate::core`] change the fields; all others read them and
 //! send events, the methods that are public.
@@ -37,7 +39,7 @@
 /// The cluster as the leader of one term knows it.
 #[derive(Debug)]
 pub struct ClusterModel {
-    /// What it was told once.
+    /// The settings that its rules need.
     pub(in crate::core) config: Arc<SchedulerConfig>,
     /// The leader's term.
     pub(in crate::core) term: u64,
@@ -61,13 +63,13 @@
     pub(in crate::core) log_append_taken_at: Option<Instant>,
     /// Machines that a command may be due for.
     pub(in crate::core) command_candidates: BTreeSet<MachineId>,
-    /// Machines that are gone; late words of them mean nothing.
+    /// Released machines, whose late heartbeats mean nothing.
     pub(in crate::core) released_machines: Tombstones,
-    /// Some task may have been started by backfilling.
+    /// Some slot may be backfilled, so that there may be shadow load.
     pub(in crate::core) has_backfilled: bool,
-    /// This process has listened since then without a pause of its own.
+    /// Since when this process has listened without a pause of its own.
     pub(in crate::core) listening_since: Option<Instant>,
-    /// Attempts given out.
+    /// Attempt numbers issued in this term.
     attempts: u64,
     /// Rentals under way and pauses, see [`FleetState`].
     pub(in crate::core) fleet: FleetState,
--- a/src/core/state/slot.rs
+++ b/src/core/state/slot.rs
@@ -1,4 +1,4 @@
-//! A place where an attempt of a task is or may be.
+//! Slots: an attempt of a task that is, or may be, on a machine.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -6,39 +6,39 @@
 use crate::core::state::token;
 use crate::wire::{ExitReason, JobSpec};
 
-/// State of a slot.
+/// What the last heartbeat says of the attempt in a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotState {
     /// Placed; the start has not been confirmed yet.
     Placed,
-    /// From the record of an earlier leader; may be there or not.
+    /// Named by the log of an earlier term; may be there or not.
     Unknown,
-    /// Waits for its image.
+    /// Waits for its image to be fetched.
     Fetching,
     /// Runs.
     Running,
-    /// Saves, after a stop.
+    /// Writes a checkpoint after a stop.
     Saving,
-    /// Ended; stays until the worker forgets it.
+    /// Ended; stays until the worker has taken the acknowledgement.
     Ended(ExitReason),
 }
 
 /// A place where an attempt of a task is or may be.
 #[derive(Debug, Clone)]
 pub struct Slot {
-    /// The attempt.
+    /// Number of the attempt, unique over all terms.
     pub attempt: u64,
-    /// What is known of it.
+    /// Its state by the last heartbeat.
     pub state: SlotState,
-    /// The job, unless it is not (or no longer) known.
+    /// Its job's specification, unless the job is not (or no longer) known.
     pub spec: Option<Arc<JobSpec>>,
-    /// Highest token that carried its start; 0: never sent.
+    /// Highest fencing token that was sent with its start; 0: never sent.
     pub start_token: u64,
-    /// Session that the last start was sent to; 0: never sent in this term.
+    /// Worker incarnation that the last start was sent to; 0: never sent in this term.
     pub start_incarnation: u64,
-    /// Mark of the log's entry that names it.
+    /// Mark of the log entry that names its start; the start is sent once that is stored.
     pub logged: u64,
-    /// For ended tasks: mark of the log's entry that holds the outcome.
+    /// For done tasks: mark of the log entry that says so; acknowledged once stored.
     pub outcome: u64,
     /// Started by backfilling; shadow as long as a waiting job outranks it.
     pub backfilled: bool,
@@ -46,9 +46,10 @@
     pub placed_at: Instant,
     /// When it was first seen running.
     pub running_since: Option<Instant>,
-    /// To be stopped, with this much time to save.
+    /// It is to be stopped, with this much time to write a checkpoint.
     pub stop: Option<Duration>,
-    /// When the stop was first asked for.
+    /// When the stop was first ordered. Unset while `stop` is set for an attempt
+    /// that this leader did not expect: such a stop is never overdue.
     pub stop_at: Option<Instant>,
 }
 
@@ -78,6 +79,7 @@
         }
     }
 
+    /// Orders a stop; the time of an earlier order stays.
     pub(in crate::core) fn order_stop(&mut self, grace: Duration, now: Instant) {
         self.stop = Some(grace);
         self.stop_at.get_or_insert(now);
--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -1,4 +1,5 @@
-//! What of the model is to be written, and what follows once it is.
+//! Writes of the model to the state service: which are due, and what follows once they
+//! are stored.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -32,21 +33,21 @@
 pub enum PendingWrite {
     /// Segments of the write-ahead log.
     WriteAheadLog(LogAppend),
-    /// A job's final state.
+    /// A job's final state, in place of its unfinished record.
     Final {
         /// The job.
         id: JobId,
         /// What is written.
         record: FinalRecord,
-        /// Other jobs wait for it.
+        /// Other jobs wait for it, so that the write is urgent.
         needed: bool,
     },
-    /// The teams' ratios.
+    /// The teams' run-to-estimate ratios (Last Model).
     Ratios(BTreeMap<String, f64>),
 }
 
 impl PendingWrite {
-    /// The changes of the state service.
+    /// The changes of the state service that make up this write.
     pub fn unit(&self) -> AtomicWrite {
         let put = |v: Result<serde_json::Value, _>| v.ok();
         let changes = match self {
--- a/src/core/storage/wal/mod.rs
+++ b/src/core/storage/wal/mod.rs
@@ -2,7 +2,7 @@
 //! and which tasks are done. It lies in the state service in numbered segments.
 //!
 //! A start is sent only after the entry that names it is stored, and a worker
-//! is told to forget an outcome only after its `done` is. So the log may name
+//! gets the acknowledgement of a done task only after its `done` is stored. So the log may name
 //! more than is there, never less. Segments are filled one after the other; the
 //! live entries of the oldest are written again at the end in the transaction
 //! that deletes it, so the log stays in proportion to what is live.
@@ -30,6 +30,8 @@
 const VALUE_MARGIN: usize = 256;
 /// Least bytes of a segment.
 const MIN_SEGMENT: usize = 512;
+
+/// A segment as it is stored, or will be by the append on its way.
 #[derive(Debug, Default, Clone)]
 struct Segment {
     entries: Vec<LogEntry>,
@@ -52,19 +54,25 @@
     limit: usize,
     /// Most task numbers in an entry, so that none outgrows a segment.
     max_indices: usize,
+    /// The compaction that is under way.
     compaction: Option<Compaction>,
     /// The last append took a step of a compaction.
     compacted: bool,
+    /// Segments by number, in the order in which they were begun.
     segments: BTreeMap<u64, Segment>,
     /// The segment that is being filled; those of earlier terms stay as they are.
     open: Option<u64>,
+    /// Number of the next new segment; numbers are never used again.
     next: u64,
     /// Entries to be written, each with the mark of its last push.
     pending: Vec<(LogEntry, u64)>,
     /// A start is pending.
     urgent: bool,
+    /// Mark of the last push.
     pushed: u64,
+    /// Everything up to this mark is stored.
     stored: u64,
+    /// An append is on its way; there is never more than one.
     in_flight: bool,
 }
 
