--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,38 +1,42 @@
-//! Bodies of the protocol with the cloud: machine types, rentals, the list.
+//! Bodies of the cloud's API: machine types, rentals, releases and the machine list.
+//!
+//! [`ListedMachine`] and a worker's [`Heartbeat`](super::Heartbeat) name the same
+//! properties of a machine. They share no type: serde's `flatten` buffers the fields,
+//! and a heartbeat is parsed for each worker every few seconds.
 
 use serde::{Deserialize, Serialize};
 
 use super::ids::MachineId;
 
-/// A machine type on offer.
+/// A machine type on offer, an item of `GET /machine_types`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Its name, unique in the cloud.
     #[serde(rename = "label")]
     pub name: String,
-    /// CPUs.
+    /// CPUs of a machine.
     pub cpus: f64,
-    /// Accelerators.
+    /// Accelerators of a machine.
     #[serde(rename = "accelerators", default)]
     pub gpus: f64,
-    /// Memory.
+    /// Memory of a machine in GB.
     pub memory_gb: f64,
-    /// Room for images.
+    /// Local storage for images in GB.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
-    /// Speed of image fetches.
+    /// Speed at which an image is fetched, in GB per second.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
-    /// Price an hour.
+    /// Price of an ordinary machine per hour.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// Current spot price an hour.
+    /// Current price of a spot machine per hour.
     #[serde(default)]
     pub spot_price: f64,
-    /// Usual boot time.
+    /// Usual boot time in seconds.
     #[serde(rename = "startup_s", default)]
     pub boot_s: f64,
-    /// Zones it is offered in.
+    /// Names of the zones that it is offered in.
     #[serde(rename = "yards", default)]
     pub zones: Vec<String>,
 }
@@ -40,31 +44,32 @@
 /// Response of `GET /machine_types`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypeList {
-    /// The types.
+    /// All types on offer.
     #[serde(rename = "rigs")]
     pub types: Vec<MachineType>,
 }
 
-/// Body of `POST /hosts`.
+/// Body of `POST /hosts`: rents machines of one kind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RentalRequest {
     /// Name of the request, never used twice.
     #[serde(rename = "hire")]
     pub request: String,
-    /// Type wanted.
+    /// Name of the machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
-    /// Zone wanted.
+    /// Name of the zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot or ordinary.
+    /// Whether spot machines are rented instead of ordinary ones.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many.
+    /// How many machines; fewer may be rented.
     pub count: u32,
 }
 
-/// Machine names, as response to a rental and as body of a release.
+/// Machine names: the response to `POST /hosts`, and the body of
+/// `POST /hosts/release`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineNames {
     /// The names.
@@ -76,28 +81,28 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CloudState {
-    /// Not up yet.
+    /// It is rented and not up yet.
     #[serde(rename = "starting")]
     Booting,
-    /// Up.
+    /// It is up.
     Running,
-    /// Stopped on its own.
+    /// It stopped on its own: nothing on it runs any more.
     Failed,
 }
 
-/// A machine in the cloud's list.
+/// A machine in the cloud's list, an item of `GET /hosts`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
     /// Its name.
     #[serde(rename = "name_id")]
     pub id: MachineId,
-    /// Where it takes commands.
+    /// Address (host and port) at which its worker takes commands.
     #[serde(rename = "endpoint", default)]
     pub addr: String,
-    /// Its type.
+    /// Name of its machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
-    /// Its zone.
+    /// Name of its zone.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether it is a spot machine.
@@ -106,18 +111,18 @@
     /// Its state.
     #[serde(rename = "standing")]
     pub state: CloudState,
-    /// Its age at the time of the list.
+    /// Time since its rental, as of the list, in seconds.
     #[serde(default)]
     pub age_s: f64,
 }
 
-/// Response of `GET /hosts`.
+/// Response of `GET /hosts`: one page of the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachinePage {
     /// The machines.
     #[serde(rename = "racks")]
     pub machines: Vec<ListedMachine>,
-    /// Whether more follow.
+    /// Whether another page follows.
     #[serde(rename = "has_next", default)]
     pub has_more: bool,
 }
--- a/src/wire/ids.rs
+++ b/src/wire/ids.rs
@@ -1,4 +1,4 @@
-//! Names of jobs, tasks and machines.
+//! Ids of jobs, tasks and machines; on the wire each is a string.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,7 +13,7 @@
     digits: u8,
 }
 
-/// The text is not an id of the wanted form.
+/// The text isn't a valid id of this kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("malformed id")]
 pub struct MalformedId;
@@ -44,12 +44,12 @@
     }
 }
 
-/// A task: its job and its number in it, `job-000412/3`.
+/// A task's id: its job and its index in it, `job-000412/3`.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
     /// The job.
     pub job: JobId,
-    /// Its number, from 0.
+    /// Its index in the job, from 0.
     pub index: u32,
 }
 
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,6 +1,9 @@
-//! Typed JSON bodies of the four protocols. The deployment's field names are
-//! renamed onto the field's standard terms: team, task, priority, zone, token,
-//! lease and so on.
+//! Typed JSON bodies of the four protocols: with users, workers, the cloud and the
+//! state service, one module each; `ids` holds the ids that they share. The types only
+//! describe messages, and any module may use them.
+//!
+//! The names on the wire are the platform's, kept by serde attributes; the Rust names
+//! are the standard terms. Durations ending in `_s` are in seconds, sizes in `_gb` in GB.
 
 mod cloud;
 mod ids;
@@ -14,5 +17,5 @@
 pub use users::*;
 pub use workers::*;
 
-/// Largest request body.
+/// Largest request body in bytes.
 pub const BODY_LIMIT: u64 = 64 * 1024;
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -1,10 +1,10 @@
-//! Bodies of the protocol with users: jobs, and what is told of them.
+//! Bodies of the users' API: the job that is submitted, and its status.
 
 use serde::{Deserialize, Deserializer, Serialize};
 
 use super::ids::JobId;
 
-/// Kind of a job.
+/// How a job's tasks run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks, each runs to completion.
@@ -35,19 +35,19 @@
     Production,
 }
 
-/// A submission.
+/// A job as its user submits it: the body of `POST /v2/runs`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The job's id.
+    /// The job's id, chosen by the user; a repeated submission is recognized by it.
     #[serde(rename = "name_id")]
     pub id: JobId,
-    /// Class of jobs it belongs to.
+    /// Job class, by which objectives apply.
     #[serde(rename = "lot_class")]
     pub class: String,
-    /// Team whose guarantee and limit apply.
+    /// Team whose quota and limit apply.
     #[serde(rename = "desk")]
     pub team: String,
-    /// Array or service.
+    /// How its tasks run.
     #[serde(rename = "sort")]
     pub kind: JobKind,
     /// Its priority.
@@ -61,18 +61,18 @@
     /// Accelerators of each task.
     #[serde(rename = "accelerators")]
     pub gpus: f64,
-    /// Memory of each task.
+    /// Memory of each task in GB.
     pub memory_gb: f64,
     /// Image that a machine must have.
     #[serde(rename = "kit")]
     pub image: String,
-    /// Its size.
+    /// The image's size in GB.
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
-    /// Allowed machine types, or any.
+    /// Names of the allowed machine types; `None`: all.
     #[serde(rename = "rigs", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// Name of the only allowed zone; `None`: all.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// All tasks in the same zone.
@@ -82,19 +82,19 @@
     /// May use spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Owner's estimate of a task's run time.
+    /// The user's estimate of a task's run time in seconds.
     #[serde(rename = "expected_s")]
     pub estimate_s: f64,
-    /// Interval of checkpoints, 0 for none.
+    /// Interval between two checkpoints of a task in seconds; 0: it saves none.
     #[serde(rename = "tally_s")]
     pub checkpoint_s: f64,
-    /// Time to save when stopped.
+    /// Time that a task needs for a checkpoint when it is stopped, in seconds.
     #[serde(rename = "stow_s")]
     pub checkpoint_grace_s: f64,
-    /// When the job should be complete, from its submission.
+    /// Deadline for the whole job, in seconds from its submission.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Jobs that must be done before any task of this one starts.
+    /// Ids of the jobs that must be done before any task of this one starts.
     #[serde(
         default,
         deserialize_with = "null_as_empty",
@@ -111,7 +111,8 @@
 pub const MAX_TASKS: u32 = 100_000;
 
 impl JobSpec {
-    /// Time to save that a task is given when it is stopped: none if it never saves.
+    /// Time that a task is given for a checkpoint when it is stopped: none if it saves
+    /// none.
     pub fn grace(&self) -> std::time::Duration {
         let s = if self.checkpoint_s > 0.0 {
             self.checkpoint_grace_s
@@ -121,7 +122,8 @@
         std::time::Duration::from_secs_f64(s)
     }
 
-    /// Checks the values; the error names the field.
+    /// Checks the values; the error is the JSON name of the first field that is out of
+    /// its bounds.
     pub fn check(&self) -> Result<(), &'static str> {
         let amounts = [
             ("accelerators", self.gpus),
@@ -164,7 +166,7 @@
     }
 }
 
-/// State of a job as told to its user.
+/// State of a job in a response to its user.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
@@ -178,7 +180,8 @@
     Cancelled,
 }
 
-/// Answer to a user about a job.
+/// Response to a user about a job: to its submission, its cancellation and
+/// `GET /v2/runs/{id}`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
     /// The job.
@@ -187,8 +190,8 @@
     /// Its state.
     #[serde(rename = "standing")]
     pub state: JobState,
-    /// Tasks done, for display.
+    /// Number of tasks done, for display only.
     pub done: u32,
-    /// Tasks running, for display.
+    /// Number of tasks running, for display only.
     pub running: u32,
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -1,4 +1,5 @@
-//! Bodies of the protocol with workers: reports and commands.
+//! Bodies of the protocol with the workers: heartbeats (`POST /v1/report` at a
+//! controller) and commands (in the response, or `POST /commands` at the worker).
 
 use serde::{Deserialize, Serialize};
 
@@ -7,24 +8,24 @@
 /// State of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Waits for its image.
+    /// Its image is being fetched.
     #[serde(rename = "fetching")]
     Fetching,
     /// Has its image and waits for the other tasks of its gang.
     #[serde(rename = "waiting")]
     Waiting,
-    /// Runs.
+    /// It runs.
     #[serde(rename = "running")]
     Running,
-    /// Was told to stop and saves.
+    /// It was stopped by a command and saves a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
-    /// Ended, see [`ExitReason`].
+    /// It ended, see [`ExitReason`]; listed until it is acknowledged.
     #[serde(rename = "ended")]
     Exited,
 }
 
-/// Why a task ended.
+/// Why an attempt of a task ended, or was not started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
     /// Completed.
@@ -39,13 +40,13 @@
     /// Refused: not enough free resources.
     #[serde(rename = "full")]
     NoRoom,
-    /// Refused: here with another attempt.
+    /// Refused: another attempt of it is on the machine.
     #[serde(rename = "in_use")]
     OtherAttemptPresent,
-    /// Refused: not known to the worker.
+    /// Refused: the worker has no such attempt.
     #[serde(rename = "no_such")]
     UnknownTask,
-    /// Another task of its gang is gone.
+    /// Another task of its gang ended or was lost.
     #[serde(rename = "mates_gone")]
     GangMemberLost,
     /// The other tasks of its gang did not come in time.
@@ -56,54 +57,54 @@
     Other,
 }
 
-/// A task in a report.
+/// A task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReportedTask {
     /// The task.
     #[serde(rename = "lot")]
     pub task: TaskId,
-    /// The attempt.
+    /// The attempt; each start of the task has another number.
     #[serde(rename = "try")]
     pub attempt: u64,
     /// Its state.
     #[serde(rename = "standing")]
     pub state: TaskState,
-    /// Why it ended.
+    /// Why it ended, if it did.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub exit_reason: Option<ExitReason>,
-    /// Whether it saved its progress.
+    /// Whether it saved a checkpoint, if it ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// A worker's report.
+/// A worker's heartbeat, the body of `POST /v1/report`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The machine.
+    /// Name of its machine.
     #[serde(rename = "rack")]
     pub machine: MachineId,
-    /// Where it takes commands.
+    /// Address (host and port) at which it takes commands.
     #[serde(rename = "endpoint")]
     pub addr: String,
-    /// Its type.
+    /// Name of its machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
-    /// Its zone.
+    /// Name of its zone.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Session of the worker.
+    /// Incarnation of the worker: the agent's process.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Sequence in the session.
+    /// Sequence number within the incarnation; a lower one is outdated.
     #[serde(rename = "tick")]
     pub sequence: u64,
-    /// Highest token seen.
+    /// Highest fencing token that the worker has seen; it refuses lower ones.
     #[serde(rename = "gavel")]
     pub token: u64,
-    /// Seconds until the cloud takes the machine.
+    /// Time until the cloud reclaims a spot machine, in seconds, once it is announced.
     #[serde(rename = "recall_s", default, skip_serializing_if = "Option::is_none")]
     pub reclaim_in_s: Option<f64>,
     /// All tasks on the machine.
@@ -111,7 +112,7 @@
     pub tasks: Vec<ReportedTask>,
 }
 
-/// What a worker is told to do.
+/// A command to a worker about one attempt of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "order", rename_all = "snake_case")]
 pub enum Command {
@@ -124,7 +125,7 @@
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stop it.
+    /// Stop an attempt.
     #[serde(rename = "kill")]
     Stop {
         /// The task.
@@ -133,11 +134,11 @@
         /// The attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time it has to save.
+        /// Time that it has for a checkpoint, in seconds.
         #[serde(rename = "leeway_s")]
         grace_s: f64,
     },
-    /// Drop an ended attempt from the reports.
+    /// List an ended attempt in no more heartbeats.
     #[serde(rename = "reap")]
     Acknowledge {
         /// The task.
@@ -149,35 +150,35 @@
     },
 }
 
-/// Response to a report.
+/// Response to a [`Heartbeat`] (200); it renews the worker's lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Token.
+    /// The leader's fencing token.
     #[serde(rename = "gavel")]
     pub token: u64,
-    /// Commands, in order.
+    /// Commands, to be executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Body of 421.
+/// Response to a [`Heartbeat`] that another controller is to get (421).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The controller to report to.
+    /// Name of the controller that heartbeats are to be sent to, if one is known.
     #[serde(rename = "answer_to", skip_serializing_if = "Option::is_none", default)]
     pub report_to: Option<String>,
 }
 
-/// Body of `POST /commands`.
+/// Body of `POST /commands`: commands sent to the worker directly.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CommandBatch {
-    /// Token.
+    /// The leader's fencing token.
     #[serde(rename = "gavel")]
     pub token: u64,
-    /// Session they are meant for.
+    /// Incarnation that they are meant for; another one refuses them.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Commands, in order.
+    /// Commands, to be executed in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
