--- a/src/main.rs
+++ b/src/main.rs
@@ -1,13 +1,19 @@
-//! The program: reads its settings and runs one controller until it is killed.
+//! The program: reads and checks the settings, then runs one controller until it is
+//! killed. Exit status 2: the settings can't be used; 1: the controller can't run.
+
+#![deny(missing_docs)]
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use bitternfold::settings::{DeploymentSettings, OperatorSettings};
+use bitternfold::settings::{DeploymentSettings, OperatorSettings, SettingsError};
 use clap::Parser;
 use tracing_subscriber::filter::{LevelFilter, Targets};
 use tracing_subscriber::prelude::*;
 
+/// Exit status for settings that can't be used.
+const EXIT_BAD_SETTINGS: u8 = 2;
+
 /// A highly available cluster scheduler.
 #[derive(Parser)]
 #[command(version, about)]
@@ -25,41 +31,53 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
+    start_logging();
+    let (deployment, operator_settings) = match load_settings(&args) {
+        Ok(settings) => settings,
+        Err(e) => {
+            eprintln!("bitternfold: {e}");
+            return ExitCode::from(EXIT_BAD_SETTINGS);
+        }
+    };
+    if args.check {
+        println!("settings are in order");
+        return ExitCode::SUCCESS;
+    }
+    run(deployment, operator_settings)
+}
+
+/// Logs to stderr: this program's events from `LOG_LEVEL` (`debug`, `error`, otherwise
+/// `info`) on, those of its dependencies only if they are errors.
+fn start_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => tracing::Level::DEBUG,
         Ok("error") => tracing::Level::ERROR,
         _ => tracing::Level::INFO,
     };
-    let quiet = Targets::new()
+    let filter = Targets::new()
         .with_default(LevelFilter::ERROR)
         .with_target("bitternfold", level);
     let lines = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .with_ansi(false);
     tracing_subscriber::registry()
-        .with(lines.with_filter(quiet))
+        .with(lines.with_filter(filter))
         .init();
-    let settings = DeploymentSettings::load(&args.config).and_then(|p| {
-        Ok((
-            p,
-            args.properties
-                .as_deref()
-                .map_or_else(|| Ok(OperatorSettings::default()), OperatorSettings::load)?,
-        ))
-    });
-    let (deployment, operator_settings) = match settings {
-        Ok(s) => s,
-        Err(e) => {
-            eprintln!("bitternfold: {e}");
-            return ExitCode::from(2);
-        }
+}
+
+fn load_settings(args: &Args) -> Result<(DeploymentSettings, OperatorSettings), SettingsError> {
+    let deployment = DeploymentSettings::load(&args.config)?;
+    let operator_settings = match &args.properties {
+        Some(file) => OperatorSettings::load(file)?,
+        None => OperatorSettings::default(),
     };
-    if args.check {
-        println!("settings are in order");
-        return ExitCode::SUCCESS;
-    }
+    Ok((deployment, operator_settings))
+}
+
+/// Runs the controller on this thread.
+fn run(deployment: DeploymentSettings, operator_settings: OperatorSettings) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(r) => r,
+        Ok(runtime) => runtime,
         Err(e) => {
             eprintln!("bitternfold: no runtime: {e}");
             return ExitCode::FAILURE;
