--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -75,7 +75,7 @@
     }
 
     /// Whether the latest request succeeded, or requests have failed for less than
-    /// [`UNREACHABLE_AFTER`].
+    /// `UNREACHABLE_AFTER`.
     pub fn is_reachable(&self) -> bool {
         self.failing_since
             .lock()
--- a/src/store/reads.rs
+++ b/src/store/reads.rs
@@ -54,7 +54,7 @@
     }
 
     /// [`Store::get`] for a user who waits for the response: if the budget is used
-    /// up for longer than [`MAX_BUDGET_WAIT`], as in a flood of polls, it fails with
+    /// up for longer than `MAX_BUDGET_WAIT`, as in a flood of polls, it fails with
     /// [`StoreError::Unavailable`] at once, so that the leader's own requests don't
     /// queue behind it.
     pub async fn get_soon(&self, key: &str) -> Result<KeyRead, StoreError> {
