--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -20,7 +20,7 @@
 pub enum Failure {
     /// No response.
     #[error("{0}")]
-    Http(#[from] HttpError),
+    Http(#[source] Box<HttpError>),
     /// A response with this HTTP status.
     #[error("status {0}")]
     Status(u16),
@@ -93,7 +93,7 @@
     fn no_response(path: &str, source: HttpError) -> Self {
         let path = path.to_owned();
         let unsent = matches!(source, HttpError::Unsent { .. });
-        let source = Failure::Http(source);
+        let source = Failure::Http(Box::new(source));
         if unsent {
             Self::Unavailable { path, source }
         } else {
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -66,7 +66,7 @@
 pub enum Failure {
     /// No response.
     #[error("{0}")]
-    Http(#[from] HttpError),
+    Http(#[source] Box<HttpError>),
     /// A response with this HTTP status.
     #[error("status {0}")]
     Status(u16),
@@ -163,7 +163,7 @@
     /// executed.
     pub(super) fn no_response(operation: Operation, source: HttpError) -> Self {
         let unsent = matches!(source, HttpError::Unsent { .. });
-        let source = Failure::Http(source);
+        let source = Failure::Http(Box::new(source));
         if unsent {
             Self::Unavailable { operation, source }
         } else {
