--- a/src/core/fleet/outcomes.rs
+++ b/src/core/fleet/outcomes.rs
@@ -23,7 +23,7 @@
 /// What became of a release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseOutcome {
-    /// The cloud confirmed it: the machines and all on them are gone.
+    /// The cloud confirmed it: the machines and all on them have ended.
     Confirmed,
     /// It was refused, or is not known to have happened.
     Failed,
--- a/src/core/scheduling/placement/preemption.rs
+++ b/src/core/scheduling/placement/preemption.rs
@@ -95,7 +95,7 @@
     slot.stop.is_some() || matches!(slot.state, SlotState::Saving)
 }
 
-/// When a task gives back its resources; one that was told to stop, at once.
+/// When a task gives back its resources; one that is being stopped, at once.
 fn predicted_end(model: &ClusterModel, slot: &Slot, now: Instant) -> Instant {
     if slot.stop.is_some() {
         now
--- a/src/core/scheduling/placement/reservation.rs
+++ b/src/core/scheduling/placement/reservation.rs
@@ -8,7 +8,7 @@
 
 impl Planner<'_> {
     /// When the head's next task is predicted to fit, counting sunny load
-    /// only; `None` if it can't be told.
+    /// only; `None` if no predicted end makes room for it.
     pub(super) fn reservation(&mut self, head: JobId) -> Option<Instant> {
         let job = self.model.jobs.get(&head)?;
         job.waiting.first()?;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -51,8 +51,8 @@
     m
 }
 
-/// Each machine of a zone reports what it holds, and is answered.
-fn speak(m: &mut ClusterModel, zone: &str, sequence: u64, now: Instant) {
+/// Each machine of a zone sends a heartbeat with what it holds, and gets a response.
+fn send_heartbeats(m: &mut ClusterModel, zone: &str, sequence: u64, now: Instant) {
     let ids: Vec<MachineId> = m
         .machines()
         .keys()
@@ -74,15 +74,15 @@
     // a boot and their images.
     let now = start();
     let mut m = cluster(5, now);
-    speak(&mut m, "north", 10, now);
-    speak(&mut m, "south", 10, now);
+    send_heartbeats(&mut m, "north", 10, now);
+    send_heartbeats(&mut m, "south", 10, now);
     for s in 1..=20 {
-        speak(&mut m, "north", 10 + s, now + secs(s));
+        send_heartbeats(&mut m, "north", 10 + s, now + secs(s));
         assert_eq!(released(&mut m, now + secs(s)), Vec::<String>::new(), "{s} s");
         assert!(m.machines().values().all(|x| x.slots.len() == 1), "{s} s");
     }
     // The lease is 20 s: not sooner, and with a margin, their tasks are gone.
-    speak(&mut m, "north", 40, now + secs(22));
+    send_heartbeats(&mut m, "north", 40, now + secs(22));
     assert_eq!(released(&mut m, now + secs(22)), Vec::<String>::new());
     let cut = |m: &ClusterModel| {
         m.machines()
@@ -92,7 +92,7 @@
     };
     assert_eq!(cut(&m), 5);
     assert_eq!(m.jobs().values().next().expect("the job").waiting.count(), 5);
-    // Words of the session that is over come late and change nothing.
+    // A message of the incarnation that has ended comes late and changes nothing.
     let id = MachineId::from("i-south-0");
     let mut late = heartbeat(&id, "small", "south", false, 7, 30);
     late.token = m.machines()[&id].seen_token;
@@ -108,7 +108,7 @@
         HeartbeatOutcome::Applied
     );
     // One that is still silent long after is given up.
-    speak(&mut m, "north", 50, now + secs(75));
+    send_heartbeats(&mut m, "north", 50, now + secs(75));
     let gone = released(&mut m, now + secs(75));
     let expected: Vec<String> = (1..5).map(|i| format!("i-south-{i}")).collect();
     assert_eq!(gone, expected, "the one that spoke meanwhile is not");
@@ -120,8 +120,8 @@
     let mut m = cluster(5, now);
     let odd = MachineId::from("i-north-3");
     for s in 1..=9 {
-        speak(&mut m, "north", 10 + s, now + secs(s));
-        speak(&mut m, "south", 10 + s, now + secs(s));
+        send_heartbeats(&mut m, "north", 10 + s, now + secs(s));
+        send_heartbeats(&mut m, "south", 10 + s, now + secs(s));
         let x = m.set_up().machines.get_mut(&odd).expect("known");
         x.last_heartbeat = Some(now);
     }
@@ -201,8 +201,8 @@
     for s in 13..30 {
         r.sequence += 1;
         m.apply_heartbeat(&r, now + secs(s));
-        speak(&mut m, "north", s * 10, now + secs(s));
-        speak(&mut m, "south", s * 10, now + secs(s));
+        send_heartbeats(&mut m, "north", s * 10, now + secs(s));
+        send_heartbeats(&mut m, "south", s * 10, now + secs(s));
     }
     assert_eq!(released(&mut m, now + secs(29)), ["i-south-1"]);
     assert_eq!(m.machines()[&id].phase, MachinePhase::Releasing);
@@ -210,39 +210,39 @@
 
 #[test]
 fn a_pause_of_this_process_is_no_silence_of_others() {
-    // A controller that stood still has heard nobody; its lease may have lived on,
-    // as in an outage. To release all machines for that would end all work.
+    // A controller that resumes after a pause has received nothing meanwhile; its
+    // lease may have lived on, as in an outage. To release all machines for that would end all work.
     let now = start();
     let mut m = cluster(5, now);
-    speak(&mut m, "north", 10, now);
-    speak(&mut m, "south", 10, now);
+    send_heartbeats(&mut m, "north", 10, now);
+    send_heartbeats(&mut m, "south", 10, now);
     let id = MachineId::from("i-north-0");
     m.command_finished(&id, None, now);
-    let woke = now + secs(15);
-    m.ignore_silence_before(woke);
-    // Most report within a second, a few only when their interval is over.
-    speak(&mut m, "south", 20, woke);
-    speak(&mut m, "north-1", 20, woke);
-    speak(&mut m, "north-2", 20, woke);
-    assert_eq!(released(&mut m, woke + secs(1)), Vec::<String>::new());
-    assert!(!m.is_partitioned_from_workers(woke + secs(1)));
+    let resumed_at = now + secs(15);
+    m.ignore_silence_before(resumed_at);
+    // Most send a heartbeat within a second, a few only when their interval is over.
+    send_heartbeats(&mut m, "south", 20, resumed_at);
+    send_heartbeats(&mut m, "north-1", 20, resumed_at);
+    send_heartbeats(&mut m, "north-2", 20, resumed_at);
+    assert_eq!(released(&mut m, resumed_at + secs(1)), Vec::<String>::new());
+    assert!(!m.is_partitioned_from_workers(resumed_at + secs(1)));
     assert!(m
         .machines()
         .values()
         .all(|x| x.cordoned_since.is_none() && x.slots.len() == 1));
     // One that stays silent from then on is released as ever.
     for s in 1..=12 {
-        speak(&mut m, "south", 30 + s, woke + secs(s));
+        send_heartbeats(&mut m, "south", 30 + s, resumed_at + secs(s));
         let ids: Vec<MachineId> = m.machines().keys().cloned().collect();
         for id in ids.iter().filter(|i| i.contains("north") && ***i != *"i-north-0") {
             let mut r = heartbeat(id, "small", "north", false, 7, 30 + s);
             r.token = m.machines()[id].seen_token;
             r.tasks = running(&m, id);
-            m.apply_heartbeat(&r, woke + secs(s));
-            m.heartbeat_response(id, r.token, woke + secs(s));
+            m.apply_heartbeat(&r, resumed_at + secs(s));
+            m.heartbeat_response(id, r.token, resumed_at + secs(s));
         }
     }
-    assert_eq!(released(&mut m, woke + secs(12)), ["i-north-0"]);
+    assert_eq!(released(&mut m, resumed_at + secs(12)), ["i-north-0"]);
 }
 
 #[test]
