--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -1,8 +1,9 @@
 //! One term of this controller as the leader.
 //!
 //! [`ActiveLeader`] owns the cluster model, the writer, the authority and the
-//! redirects of the term; only the modules of this folder change them. What they
-//! share is each behind a lock of its own, and no lock is held across an await.
+//! redirects of the term; only the modules of this folder change them. Each has a
+//! lock of its own, which is never held across an await. Where several are taken
+//! together, the model's comes first.
 //!
 //! * `term`: the course of a term, from the load of the stored state to its end.
 //! * `takeover`: the load of the stored state.
@@ -15,6 +16,7 @@
 //! * `dependency_lookup`: how jobs ended that others depend on.
 //! * `machine_types`, `machine_list`, `fleet_actions`: the cloud.
 //! * `term_leader`: this type as the controller sees it.
+//! * `moment`: stored times as times of this process.
 
 mod cancellation;
 mod command_dispatch;
@@ -56,7 +58,7 @@
 #[derive(Debug)]
 pub struct ActiveLeader {
     /// The term: the revision at which this controller was elected.
-    pub term: u64,
+    term: u64,
     controller: Arc<Controller>,
     /// The lease at the state service that the leader's key is attached to.
     lease: u64,
