--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use crate::core::state::bits::BitSet;
 use crate::core::state::probation::FailureHistory;
+use crate::core::state::task_set::TaskSet;
 use crate::core::storage::record::JobRecord;
 use crate::wire::{JobKind, JobSpec, MachineId};
 
@@ -23,9 +23,9 @@
     /// The cancellation is stored in the state service.
     pub cancel_stored: bool,
     /// Indices of the tasks that are done.
-    pub done: BitSet,
+    pub done: TaskSet,
     /// Indices of the tasks that are neither done nor placed.
-    pub waiting: BitSet,
+    pub waiting: TaskSet,
     /// The machines on which each placed task may be, by the task's index.
     pub places: HashMap<u32, Vec<MachineId>>,
     /// Indices of the tasks that were running by the last heartbeat of their machine.
@@ -54,8 +54,8 @@
             arrival,
             cancelled: record.cancelled,
             cancel_stored: record.cancelled,
-            done: BitSet::new(n),
-            waiting: BitSet::full(n),
+            done: TaskSet::new(n),
+            waiting: TaskSet::full(n),
             places: HashMap::new(),
             running: HashSet::new(),
             placed: 0,
@@ -149,7 +149,7 @@
             self.running.remove(&index);
             if list.is_empty() {
                 self.places.remove(&index);
-                if !self.done.has(index) {
+                if !self.done.contains(index) {
                     self.waiting.insert(index);
                 }
             }
--- a/src/core/state/mod.rs
+++ b/src/core/state/mod.rs
@@ -4,7 +4,6 @@
 //! [`crate::core`]. The other modules are its parts, from the lowest up: tokens,
 //! resources, slots and machines, jobs and their dependencies.
 
-pub mod bits;
 pub mod config;
 pub(in crate::core) mod deadlines;
 pub mod dependencies;
@@ -18,5 +17,6 @@
 pub mod resources;
 pub mod set_up;
 pub mod slot;
+pub mod task_set;
 pub(in crate::core) mod token;
 pub mod tombstones;
--- a/src/core/state/model/replay.rs
+++ b/src/core/state/model/replay.rs
@@ -74,7 +74,7 @@
         }
         for (task, attempt) in tasks {
             let job = self.jobs.get_mut(&task.job);
-            if job.as_ref().is_some_and(|j| j.done.has(task.index)) {
+            if job.as_ref().is_some_and(|j| j.done.contains(task.index)) {
                 // It ended, or its outcome would not be known.
                 continue;
             }
--- a/src/core/state/bits.rs
+++ b/src/core/state/task_set.rs
@@ -5,13 +5,13 @@
 
 /// A set of task indices below a fixed bound.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct BitSet {
+pub struct TaskSet {
     words: Vec<u64>,
     len: u32,
     count: u32,
 }
 
-impl BitSet {
+impl TaskSet {
     /// An empty set of numbers below `len`.
     pub fn new(len: u32) -> Self {
         Self {
@@ -23,13 +23,13 @@
 
     /// A set of all numbers below `len`.
     pub fn full(len: u32) -> Self {
-        let mut s = Self::new(len);
-        for (i, w) in s.words.iter_mut().enumerate() {
+        let mut set = Self::new(len);
+        for (i, w) in set.words.iter_mut().enumerate() {
             let left = len - i as u32 * 64;
             *w = if left >= 64 { u64::MAX } else { (1 << left) - 1 };
         }
-        s.count = len;
-        s
+        set.count = len;
+        set
     }
 
     /// How many numbers are in the set.
@@ -38,13 +38,13 @@
     }
 
     /// Whether `i` is in the set.
-    pub fn has(&self, i: u32) -> bool {
+    pub fn contains(&self, i: u32) -> bool {
         i < self.len && self.words[(i / 64) as usize] >> (i % 64) & 1 == 1
     }
 
     /// Puts `i` in; true if it was not.
     pub fn insert(&mut self, i: u32) -> bool {
-        if i >= self.len || self.has(i) {
+        if i >= self.len || self.contains(i) {
             return false;
         }
         self.words[(i / 64) as usize] |= 1 << (i % 64);
@@ -54,7 +54,7 @@
 
     /// Takes `i` out; true if it was in.
     pub fn remove(&mut self, i: u32) -> bool {
-        if !self.has(i) {
+        if !self.contains(i) {
             return false;
         }
         self.words[(i / 64) as usize] &= !(1 << (i % 64));
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use bitternfold::core::state::bits::BitSet;
+use bitternfold::core::state::task_set::TaskSet;
 use bitternfold::settings::{DeploymentSettings, OperatorSettings};
 use bitternfold::wire::*;
 use proptest::prelude::*;
@@ -98,7 +98,7 @@
 
     #[test]
     fn a_set_holds_what_was_put_in(len in 1u32..3_000, some in proptest::collection::vec(any::<(u32, bool)>(), 0..200)) {
-        let mut a = BitSet::new(len);
+        let mut a = TaskSet::new(len);
         let mut b = std::collections::BTreeSet::new();
         for (i, put) in some {
             let i = i % len;
