--- a/src/core/state/model/machines.rs
+++ b/src/core/state/model/machines.rs
@@ -29,17 +29,17 @@
     /// Takes in the cloud's list. Absence from it means nothing.
     pub fn listed(&mut self, list: &[ListedMachine], now: Instant) {
         let mut found = 0;
-        for l in list {
-            if self.released_machines.contains(&l.id) {
+        for listed in list {
+            if self.released_machines.contains(&listed.id) {
                 continue;
             }
-            let known = self.machines.contains_key(&l.id);
+            let known = self.machines.contains_key(&listed.id);
             if !known {
                 found += 1;
             }
-            let m = self.machines.entry(l.id.clone()).or_insert_with(|| {
-                let mut m = Machine::new(l.id.clone(), now);
-                if let Some(s) = Duration::try_from_secs_f64(l.age_s)
+            let m = self.machines.entry(listed.id.clone()).or_insert_with(|| {
+                let mut m = Machine::new(listed.id.clone(), now);
+                if let Some(s) = Duration::try_from_secs_f64(listed.age_s)
                     .ok()
                     .and_then(|a| now.checked_sub(a))
                 {
@@ -48,34 +48,34 @@
                 m
             });
             if !known {
-                m.machine_type = l.machine_type.clone();
-                m.zone = l.zone.clone();
-                m.spot = l.spot;
-                if l.state == CloudState::Running {
+                m.machine_type = listed.machine_type.clone();
+                m.zone = listed.zone.clone();
+                m.spot = listed.spot;
+                if listed.state == CloudState::Running {
                     m.phase = MachinePhase::Up;
                     m.since = now;
                     m.needs_probe = true;
                 }
             }
-            if m.addr.is_empty() && !l.addr.is_empty() {
-                m.addr = l.addr.clone();
+            if m.addr.is_empty() && !listed.addr.is_empty() {
+                m.addr = listed.addr.clone();
                 let entry = m.entry();
                 self.log.push(entry);
             }
-            if l.state == CloudState::Running && m.phase == MachinePhase::Booting {
+            if listed.state == CloudState::Running && m.phase == MachinePhase::Booting {
                 m.needs_probe = true;
             }
             if m.needs_probe {
-                self.command_candidates.insert(l.id.clone());
+                self.command_candidates.insert(listed.id.clone());
             }
-            if l.state == CloudState::Failed {
+            if listed.state == CloudState::Failed {
                 m.cordoned_since.get_or_insert(now);
                 // Stopped on its own: nothing on it runs any more.
-                self.clear_machine(&l.id, now, "listed as failed");
+                self.clear_machine(&listed.id, now, "listed as failed");
             }
         }
         if found > 0 {
-            info!(machines = found, "found in the list, taken over");
+            info!(machines = found, "unknown machines in the cloud's list, adopted");
         }
     }
 
--- a/src/core/state/model/places.rs
+++ b/src/core/state/model/places.rs
@@ -62,7 +62,7 @@
             return;
         };
         if slot.state == SlotState::Placed && slot.start_token == 0 {
-            debug!(%task, attempt = slot.attempt, machine = %machine, reason, "taken back before its start");
+            debug!(%task, attempt = slot.attempt, machine = %machine, reason, "placement withdrawn before its start");
             self.drop_slot(machine, task, now);
             return;
         }
@@ -96,7 +96,7 @@
         let Some(m) = self.machines.get(id) else { return };
         let tasks: Vec<TaskId> = m.slots.keys().copied().collect();
         if !tasks.is_empty() {
-            debug!(machine = %id, tasks = tasks.len(), reason, "gone with its tasks");
+            debug!(machine = %id, tasks = tasks.len(), reason, "its tasks are removed with the machine");
         }
         for task in tasks {
             self.drop_slot(id, task, now);
--- a/src/core/storage/wal/compaction.rs
+++ b/src/core/storage/wal/compaction.rs
@@ -26,14 +26,14 @@
     /// deleted once this append is stored, if the step is the last.
     pub(super) fn compact(
         &mut self,
-        most: usize,
+        max_segments: usize,
         live_bytes: usize,
         live: impl Fn(&LogEntry) -> Option<LogEntry>,
         changed: &mut BTreeSet<u64>,
     ) -> Option<u64> {
-        let waits_its_turn = most <= SMALL_TRANSACTION && self.compacted;
+        let waits_its_turn = max_segments <= SMALL_TRANSACTION && self.compacted;
         self.compacted = false;
-        if most < SMALL_TRANSACTION || waits_its_turn {
+        if max_segments < SMALL_TRANSACTION || waits_its_turn {
             return None;
         }
         let compaction = self
@@ -42,11 +42,11 @@
             .or_else(|| self.next_compaction(live_bytes))?;
         self.compacted = true;
         // One change is kept for the deletion, one for what is new.
-        let most_changed = most.saturating_sub(2).max(1);
+        let max_changed = max_segments.saturating_sub(2).max(1);
         let entries = merged(compaction.left.iter().filter_map(live), self.max_indices);
         let mut left = Vec::new();
         for entry in entries {
-            if !left.is_empty() || !self.write(&entry, changed, most_changed) {
+            if !left.is_empty() || !self.write(&entry, changed, max_changed) {
                 left.push(entry);
             }
         }
--- a/src/core/storage/wal/mod.rs
+++ b/src/core/storage/wal/mod.rs
@@ -113,18 +113,18 @@
 
     /// What the stored segments say.
     pub fn replay(&self) -> LogReplay {
-        let mut r = LogReplay::default();
-        for e in self.segments.values().flat_map(|s| &s.entries) {
-            r.apply(e);
+        let mut replay = LogReplay::default();
+        for entry in self.segments.values().flat_map(|s| &s.entries) {
+            replay.apply(entry);
         }
-        r
+        replay
     }
 
     /// Adds an entry; the mark that [`WriteAheadLog::is_stored`] is asked with.
-    pub fn push(&mut self, e: LogEntry) -> u64 {
-        self.urgent |= matches!(e, LogEntry::Start(..));
+    pub fn push(&mut self, entry: LogEntry) -> u64 {
+        self.urgent |= matches!(entry, LogEntry::Start(..));
         self.pushed += 1;
-        let joined = match (self.pending.last_mut(), &e) {
+        let joined = match (self.pending.last_mut(), &entry) {
             (Some((LogEntry::Start(m, j, a, list), mark)), LogEntry::Start(m2, j2, a2, more))
                 if m == m2 && j == j2 && a == a2 && list.len() < self.max_indices =>
             {
@@ -142,7 +142,7 @@
             _ => false,
         };
         if !joined {
-            self.pending.push((e, self.pushed));
+            self.pending.push((entry, self.pushed));
         }
         self.pushed
     }
@@ -162,7 +162,7 @@
     /// `live_bytes`; `live` gives what of an entry is still true.
     pub fn take(
         &mut self,
-        most: usize,
+        max_segments: usize,
         live_bytes: usize,
         live: impl Fn(&LogEntry) -> Option<LogEntry>,
     ) -> Option<LogAppend> {
@@ -171,12 +171,12 @@
         }
         let mut changed: BTreeSet<u64> = BTreeSet::new();
         // What is written again comes first: it is older than what is new.
-        let deleted = self.compact(most, live_bytes, live, &mut changed);
-        let most_changed = (most - usize::from(deleted.is_some())).max(1);
+        let deleted = self.compact(max_segments, live_bytes, live, &mut changed);
+        let max_changed = (max_segments - usize::from(deleted.is_some())).max(1);
         let mut upto = self.stored;
         let mut left = Vec::new();
         for (entry, mark) in std::mem::take(&mut self.pending) {
-            if left.is_empty() && self.write(&entry, &mut changed, most_changed) {
+            if left.is_empty() && self.write(&entry, &mut changed, max_changed) {
                 upto = mark;
             } else {
                 left.push((entry, mark));
@@ -193,13 +193,13 @@
 
     /// Writes an entry to the open segment or a new one, if no more segments are
     /// changed by that than may be. Whether it did.
-    fn write(&mut self, entry: &LogEntry, changed: &mut BTreeSet<u64>, most_changed: usize) -> bool {
+    fn write(&mut self, entry: &LogEntry, changed: &mut BTreeSet<u64>, max_changed: usize) -> bool {
         let bytes = entry.bytes();
-        let may_change = |n: &u64| changed.contains(n) || changed.len() < most_changed;
+        let may_change = |n: &u64| changed.contains(n) || changed.len() < max_changed;
         let fitting = self.open.filter(|n| self.segments[n].bytes + bytes <= self.limit);
         let number = match fitting {
             Some(open) if may_change(&open) => open,
-            None if changed.len() < most_changed => {
+            None if changed.len() < max_changed => {
                 self.next += 1;
                 self.open = Some(self.next - 1);
                 self.next - 1
@@ -214,8 +214,8 @@
     }
 
     /// An append is stored.
-    pub fn appended(&mut self, a: &LogAppend) {
+    pub fn appended(&mut self, append: &LogAppend) {
         self.in_flight = false;
-        self.stored = self.stored.max(a.upto);
+        self.stored = self.stored.max(append.upto);
     }
 }
--- a/src/core/storage/wal/replay.rs
+++ b/src/core/storage/wal/replay.rs
@@ -32,8 +32,8 @@
 }
 
 impl LogReplay {
-    pub(super) fn apply(&mut self, e: &LogEntry) {
-        match e {
+    pub(super) fn apply(&mut self, entry: &LogEntry) {
+        match entry {
             LogEntry::Machine(id, addr, machine_type, zone, spot) => {
                 let machine = LoggedMachine {
                     addr: addr.clone(),
