--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_cancellation_is_told_of_all_jobs_after_it_at_every_controller() {
+fn a_cancellation_is_reported_for_all_dependent_jobs_at_every_controller() {
     on_loopback(async {
         let mut site = Site::start(Duration::from_millis(200)).await;
         site.cloud.run_slowly(&job_name(1));
--- a/tests/dependencies/cancellation.rs
+++ b/tests/dependencies/cancellation.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn jobs_after_one_whose_cancellation_is_answered_with_done_go_on() {
+fn jobs_after_one_that_was_done_before_its_cancellation_go_on() {
     let now = start();
     let (mut m, machine) = with_machine(now);
     m.add_job(chained(1, &[]), now);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_new_leader_tells_and_starts_nothing_before_it_knows_how_the_others_ended() {
+fn a_new_leader_gives_no_status_and_starts_nothing_before_dependencies_are_resolved() {
     let now = start();
     let (mut m, _) = with_machine(now);
     m.add_job(chained(2, &[1]), now);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_single_silent_machine_is_released_for_its_tasks_sake() {
+fn a_single_silent_machine_is_released_so_that_its_tasks_run_elsewhere() {
     let now = start();
     let mut m = cluster(5, now);
     let odd = MachineId::from("i-north-3");
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_machine_that_hears_nothing_gets_no_starts_and_is_given_up() {
+fn a_machine_that_no_command_reaches_gets_no_starts_and_is_given_up() {
     // Its reports arrive, so it isn't silent; but no command reaches it, and no
     // answer, so its lease runs out, its session changes, and so on for ever.
     let now = start();
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_pause_of_this_process_is_no_silence_of_others() {
+fn a_process_pause_is_not_taken_for_missed_heartbeats() {
     // A controller that resumes after a pause has received nothing meanwhile; its
     // lease may have lived on, as in an outage. To release all machines for that would end all work.
     let now = start();
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_lease_that_another_may_renew_is_not_taken_as_run_out() {
+fn a_lease_that_another_may_renew_is_not_taken_as_expired() {
     // Until a machine obeys this term, the leader before may answer its reports.
     let now = start();
     let mut m = cluster(1, now);
--- a/tests/gap/main.rs
+++ b/tests/gap/main.rs
@@ -23,14 +23,14 @@
     })]
 
     #[test]
-    fn cancelled_tasks_are_gone_in_time_through_the_gap(times in any_times(), seed in any::<u64>()) {
+    fn cancelled_tasks_end_in_time_through_the_gap(times in any_times(), seed in any::<u64>()) {
         SimulatedSite::new(times, seed).play();
     }
 
     /// The same while the steady clock of a controller stands still with it, as
     /// when a virtual machine is paused. The time of day goes on.
     #[test]
-    fn cancelled_tasks_are_gone_in_time_though_a_clock_stood_still(times in any_times(), seed in any::<u64>()) {
+    fn cancelled_tasks_end_in_time_though_a_steady_clock_was_paused(times in any_times(), seed in any::<u64>()) {
         let times = Times { stops_clock: true, ..times };
         SimulatedSite::new(times, seed).play();
     }
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 
 #[test]
-fn a_leader_past_its_authority_still_stops_what_is_cancelled() {
+fn a_leader_past_its_authority_still_stops_cancelled_tasks() {
     // The stops are lost, the state service is out, the authority ends, and the
     // workers go on reporting: the answers that renew their leases have to stop
     // the cancelled tasks, or they live on for grace and lease.
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn transactions_that_are_carried_out_late_change_nothing_that_was_told() {
+fn late_transactions_change_nothing_that_was_confirmed() {
     // Every other transaction gets no answer and applies 2.5 s later, after its
     // repetition and after newer ones: acceptances by leader and followers,
     // cancellations, the log, final states.
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_leader_that_cannot_confirm_its_lead_tells_nothing_from_memory() {
+fn a_leader_that_cannot_confirm_its_lease_gives_no_status_from_memory() {
     // It may have stood still together with its clocks: by its own time it leads
     // on, while another has told a user that the job is cancelled or done.
     on_loopback(async {
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn what_one_controller_has_told_no_other_takes_back_while_answers_are_lost() {
+fn a_status_that_one_controller_gave_is_not_reverted_by_another_while_responses_are_lost() {
     // Transactions are carried out, and their answers lost: a follower reads and
     // tells a cancellation that the leader doesn't know to be stored.
     on_loopback(async {
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_cancellation_that_meets_a_changed_key_is_stored_all_the_same() {
+fn a_cancellation_that_conflicts_with_a_changed_key_is_stored_all_the_same() {
     // Its user asks once and gives up: the job must not be neither run nor
     // cancelled for as long as the term lasts.
     on_loopback(async {
--- a/tests/planner/admission.rs
+++ b/tests/planner/admission.rs
@@ -6,7 +6,7 @@
 use crate::support::*;
 
 #[test]
-fn what_can_never_run_is_told_so() {
+fn a_job_that_can_never_run_is_refused_with_the_reason() {
     let m = model(1);
     let teams = &m.config().teams;
     let mut j = job(1, 6, 8.0);
--- a/tests/planner/backfilling.rs
+++ b/tests/planner/backfilling.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn shadow_is_killed_when_that_starts_the_head_at_once_and_only_then() {
+fn shadow_load_is_preempted_only_when_that_starts_the_head_at_once() {
     let (mut m, now) = blocked();
     let mut long = job(3, 1, 8.0);
     long.estimate_s = 500.0;
--- a/tests/planner/cordon.rs
+++ b/tests/planner/cordon.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_job_whose_other_tasks_run_on_is_not_blamed_for_its_failures() {
+fn a_job_whose_other_tasks_run_on_does_not_stay_on_probation() {
     // Three sick machines among good ones, and no task is done for long: tried
     // on one at a time, its other tasks would wait beside free machines.
     let now = start();
--- a/tests/planner/preemption.rs
+++ b/tests/planner/preemption.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn young_borrowed_tasks_make_room_for_urgent_work() {
+fn young_over_quota_tasks_are_preempted_for_urgent_work() {
     // A guest without a guarantee filled all machines in order, so that none of
     // its tasks was shadow load, right before work with a deadline arrived.
     let as_is = |_: &mut JobSpec| {};
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn stops_of_borrowed_tasks_pause_their_job_for_a_bounded_time() {
+fn preempting_over_quota_tasks_pauses_their_job_for_a_bounded_time() {
     // A pause that each stop prolonged would let other tasks wait beside room
     // that the blocked head can't use, for as long as stops go on.
     let as_is = |_: &mut JobSpec| {};
--- a/tests/planner/ranking.rs
+++ b/tests/planner/ranking.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn under_load_those_come_first_who_can_still_be_served_as_told() {
+fn under_load_jobs_that_can_still_be_in_time_come_before_late_ones() {
     // One machine, room for one: by arrival the lost job would come first, and
     // all others would be late in turn.
     let now = start();
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_guarantee_covers_a_teams_earliest_jobs_only() {
+fn a_quota_covers_a_teams_earliest_jobs_only() {
     let now = start();
     let mut m = model(1);
     for n in 1..4 {
--- a/tests/safety/commands.rs
+++ b/tests/safety/commands.rs
@@ -5,7 +5,7 @@
 use crate::support::*;
 
 #[test]
-fn a_report_older_than_the_last_start_settles_nothing() {
+fn a_heartbeat_older_than_the_last_start_reconciles_nothing() {
     // A start with no answer may still arrive: only a token at least as high
     // as the start's, in the worker's own words, shows that it can't.
     let now = start();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_reply_never_carries_the_token_of_a_command_on_its_way() {
+fn a_heartbeat_response_never_carries_the_token_of_a_command_in_transit() {
     // Else the worker would report that token though the command, and the
     // start in it, is still to come, and is accepted with an equal token.
     let now = start();
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_start_that_strayed_is_refused_for_good_once_its_job_is_cancelled() {
+fn a_delayed_start_is_refused_for_good_once_its_job_is_cancelled() {
     // Commands to the machine get no answers, its reports arrive. While they are
     // answered its session lives, and the start would be taken whenever it comes.
     let now = start();
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_leader_that_only_the_workers_cant_hear_notices() {
+fn a_leader_whose_commands_reach_too_few_workers_finds_itself_partitioned() {
     // Their reports come by way of others and renew their leases, so without
     // this the stops of a cancelled job would never arrive.
     let now = start();
--- a/tests/safety/generated.rs
+++ b/tests/safety/generated.rs
@@ -141,14 +141,14 @@
     /// Once the trouble ends, every job that isn't cancelled gets done, and none
     /// waits for long while a machine that fits has room.
     #[test]
-    fn all_work_is_done_in_the_end(operations in proptest::collection::vec(any_operation(), 20..200)) {
+    fn all_work_is_done_once_faults_end(operations in proptest::collection::vec(any_operation(), 20..200)) {
         let mut cluster = after_trouble(operations);
         quiet_ending(&mut cluster)?;
     }
 
     /// The same after all that runs has failed everywhere, six times in a row.
     #[test]
-    fn nobody_waits_beside_room_after_failing_everywhere(operations in proptest::collection::vec(any_operation(), 20..200)) {
+    fn no_job_waits_despite_room_after_failing_everywhere(operations in proptest::collection::vec(any_operation(), 20..200)) {
         let mut cluster = after_failing_everywhere(operations);
         quiet_ending(&mut cluster)?;
     }
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_job_that_failed_everywhere_is_back_at_full_width_in_time() {
+fn a_job_that_failed_everywhere_is_placed_in_full_again_in_time() {
     // A generated sequence after which tasks waited for 90.4 s beside room:
     // pauses of 32 s, then one task at a time, while machines stayed cordoned.
     let submit = |tasks, cpus, red| Operation::Submit {
--- a/tests/safety/heartbeats.rs
+++ b/tests/safety/heartbeats.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn words_older_than_the_fence_make_no_places() {
+fn heartbeats_older_than_the_fencing_token_create_no_slots() {
     // A new leader may hear late copies first: what they list is not there any
     // more, and a place made for it would keep its task from starting elsewhere.
     let now = start();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_gone_machine_stays_gone_in_the_next_term() {
+fn a_released_machine_stays_released_in_the_next_term() {
     // Late copies of its reports must not bring it back into the fleet.
     let now = start();
     let mut m = model(7);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_task_that_is_not_known_is_noticed() {
+fn a_reported_task_without_its_slot_or_job_is_unknown() {
     let now = start();
     let mut m = model(7);
     let id = MachineId::from("i-1");
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_or_was_changed_heals() {
+fn jobs_with_unreadable_or_changed_records_go_on_once_these_can_be_read() {
     // A record that can't be read is not a job nobody submitted: 503, and its
     // job goes on once it can. A record that another has written meanwhile is
     // read again, and the job's end is stored all the same.
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_report_a_start_and_an_append_cost_the_same_in_a_large_fleet() {
+fn a_heartbeat_a_start_and_an_append_cost_the_same_in_a_large_fleet() {
     let now = start();
     let costs = [SMALL, LARGE].map(|machines| {
         let (mut m, _) = full(machines, now);
