--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -179,7 +179,7 @@
     /// Whether a record fits into a value of the state service, also once cancelled.
     fn record_fits(&self, record: &JobRecord) -> bool {
         serde_json::to_vec(record)
-            .is_ok_and(|value| value.len() + CANCELLATION_BYTES <= self.config.value_bytes)
+            .is_ok_and(|value| value.len() + CANCELLATION_BYTES <= self.config.max_value_bytes)
     }
 
     async fn check_dependencies(
--- a/src/core/evidence/commands/batch.rs
+++ b/src/core/evidence/commands/batch.rs
@@ -92,9 +92,9 @@
 fn collect_stops(slots: &BTreeMap<TaskId, Slot>, commands: &mut Vec<Command>, now: Instant) -> Resources {
     let mut in_use = Resources::default();
     for (task, slot) in slots {
-        let Some(ordered_grace) = slot.stop.filter(|_| slot.takes_room()) else {
+        let Some(ordered_grace) = slot.stop_grace.filter(|_| slot.takes_resources()) else {
             let never_started = slot.state == SlotState::Placed && slot.start_token == 0;
-            if slot.takes_room() && !never_started {
+            if slot.takes_resources() && !never_started {
                 in_use += resources_of(slot);
             }
             continue;
@@ -117,7 +117,9 @@
 
 /// The time that a stopped task still has to save: none once its time is long over.
 fn remaining_grace(slot: &Slot, ordered: Duration, now: Instant) -> Duration {
-    let is_overdue = slot.stop_at.is_some_and(|at| now > at + ordered + OVERDUE_STOP);
+    let is_overdue = slot
+        .stop_ordered_at
+        .is_some_and(|at| now > at + ordered + OVERDUE_STOP);
     if is_overdue {
         Duration::ZERO
     } else {
@@ -149,7 +151,10 @@
     commands: &mut Vec<Command>,
 ) {
     for (task, slot) in slots {
-        if slot.state != SlotState::Placed || slot.stop.is_some() || !conditions.log.is_stored(slot.logged) {
+        if slot.state != SlotState::Placed
+            || slot.stop_grace.is_some()
+            || !conditions.log.is_stored(slot.start_log_mark)
+        {
             continue;
         }
         let Some(spec) = &slot.spec else { continue };
--- a/src/core/evidence/commands/mod.rs
+++ b/src/core/evidence/commands/mod.rs
@@ -61,7 +61,7 @@
                 continue;
             };
             let is_probe = machine.needs_probe;
-            if probes_left == 0 && is_probe && !machine.fenced(self.term) {
+            if probes_left == 0 && is_probe && !machine.is_fenced_by(self.term) {
                 self.command_candidates.insert(id);
                 continue;
             }
@@ -101,7 +101,7 @@
             state.commands_unanswered_since.get_or_insert(now);
             state.needs_probe = true;
             state.no_command_before = Some(now + RETRY_PAUSE);
-        } else if !state.fenced(term) {
+        } else if !state.is_fenced_by(term) {
             state.needs_probe = true;
         }
     }
--- a/src/core/evidence/commands/response.rs
+++ b/src/core/evidence/commands/response.rs
@@ -32,7 +32,7 @@
         let (log, jobs) = (&self.log, &self.jobs);
         let machine = self.machines.get_mut(machine)?;
         machine.last_response = Some(now);
-        if !machine.fenced(term) || has_stray_start(machine, max_stop_delay, now) {
+        if !machine.is_fenced_by(term) || has_stray_start(machine, max_stop_delay, now) {
             return Some(without_commands(machine.fresh_token(term)));
         }
         if machine.command_in_flight || machine.unacknowledged_since.is_none() {
@@ -71,7 +71,7 @@
         slot.state == SlotState::Placed
             && slot.start_token > machine.seen_token
             && slot
-                .stop_at
+                .stop_ordered_at
                 .is_some_and(|at| now.saturating_duration_since(at) > max_stop_delay)
     })
 }
--- a/src/core/evidence/heartbeats/exit.rs
+++ b/src/core/evidence/heartbeats/exit.rs
@@ -41,7 +41,7 @@
     let reason = task.exit_reason.unwrap_or(ExitReason::Other);
     slot.state = SlotState::Ended(reason);
     let ran = slot.running_since.map(|since| now - since);
-    let was_stopped = slot.stop.is_some();
+    let was_stopped = slot.stop_grace.is_some();
     debug!(task = %task.task, attempt = slot.attempt, machine = %machine.id, ?reason, "attempt ended");
     machine.unacknowledged_since.get_or_insert(now);
     if reason == ExitReason::Done {
@@ -53,7 +53,7 @@
         match reason {
             ExitReason::Done => {
                 if let Some(mark) = record_done(job, log, task, ran) {
-                    slot.outcome = mark;
+                    slot.outcome_log_mark = mark;
                 }
             }
             ExitReason::Failed | ExitReason::Other => {
@@ -61,14 +61,14 @@
                 effect = ExitEffect::FailureOfMachine;
             }
             ExitReason::NoRoom if !was_stopped => {
-                machine.full_until = Some(now + FULL_MACHINE_PAUSE);
+                machine.no_placement_before = Some(now + FULL_MACHINE_PAUSE);
             }
             ExitReason::UnknownTask => job.pause_until = Some(now + UNKNOWN_TASK_PAUSE),
             _ => {}
         }
-        job.vacate(task.task.index, &machine.id);
+        job.remove_place(task.task.index, &machine.id);
     }
-    if machine.empty() && machine.idle_since.is_none() {
+    if machine.is_empty() && machine.idle_since.is_none() {
         machine.idle_since = Some(now);
     }
     effect
@@ -87,12 +87,12 @@
     if job.spec.kind == JobKind::Service || id.index >= job.spec.tasks {
         return None;
     }
-    job.finish(id.index);
+    job.mark_done(id.index);
     let mark = log.push(LogEntry::Done(id.job, vec![id.index]));
     job.failures.clear();
     if let Some(ran) = ran {
-        job.run_sum += ran;
-        job.run_count += 1;
+        job.total_run_time += ran;
+        job.counted_runs += 1;
     }
     Some(mark)
 }
--- a/src/core/evidence/heartbeats/machine.rs
+++ b/src/core/evidence/heartbeats/machine.rs
@@ -22,7 +22,7 @@
     if machine.phase == MachinePhase::Booting {
         machine.phase = MachinePhase::Up;
         machine.idle_since = machine.idle_since.map(|_| now);
-        let boot_s = (now - machine.since).as_secs_f64();
+        let boot_s = (now - machine.known_since).as_secs_f64();
         debug!(machine = %heartbeat.machine, zone = %heartbeat.zone, boot_s, "machine is up");
     }
     true
@@ -54,7 +54,7 @@
         debug!(machine = %heartbeat.machine, notice_s = heartbeat.reclaim_in_s, "spot notice");
     }
     machine.reclaim_at = reclaim_at;
-    if !machine.fenced(term) {
+    if !machine.is_fenced_by(term) {
         machine.needs_probe = true;
     }
 }
--- a/src/core/evidence/heartbeats/mod.rs
+++ b/src/core/evidence/heartbeats/mod.rs
@@ -67,13 +67,13 @@
             return HeartbeatOutcome::Outdated;
         }
         if machine::update_identity(machine, heartbeat) {
-            self.log.push(machine.entry());
+            self.log.push(machine.log_entry());
         }
         machine::update_token_and_notice(machine, heartbeat, self.term, now);
         let absent = absence::absent_attempts(machine, heartbeat);
         for task in absent {
             debug!(%task, machine = %heartbeat.machine, "attempt is gone from its machine");
-            self.drop_slot(&heartbeat.machine, task, now);
+            self.remove_slot(&heartbeat.machine, task, now);
         }
         self.apply_reported_tasks(&AcceptedHeartbeat {
             heartbeat,
--- a/src/core/evidence/heartbeats/reported_task.rs
+++ b/src/core/evidence/heartbeats/reported_task.rs
@@ -31,7 +31,7 @@
             vacant.insert(unexpected_slot(task, spec, self.term, accepted.now));
             machine.idle_since = None;
             if let Some(job) = job.as_mut().filter(|job| task.task.index < job.spec.tasks) {
-                job.occupy(task.task.index, &machine.id);
+                job.add_place(task.task.index, &machine.id);
             }
         }
         if task.state != TaskState::Exited {
@@ -55,14 +55,14 @@
         if slot.attempt == task.attempt {
             return;
         }
-        slot.stop = Some(Duration::ZERO);
-        if slot.takes_room() {
+        slot.stop_grace = Some(Duration::ZERO);
+        if slot.takes_resources() {
             return;
         }
         slot.attempt = task.attempt;
         slot.state = SlotState::Unknown;
         if let Some(job) = self.jobs.get_mut(&task.task.job) {
-            job.occupy(task.task.index, machine);
+            job.add_place(task.task.index, machine);
         }
     }
 }
@@ -86,7 +86,7 @@
     let slot = slots
         .get_mut(&task.task)
         .expect("a reported task had a slot, or was given one just before");
-    (slot.attempt == task.attempt && slot.takes_room()).then_some(slot)
+    (slot.attempt == task.attempt && slot.takes_resources()).then_some(slot)
 }
 
 /// Takes in the state of an attempt that has not ended.
@@ -113,6 +113,6 @@
     }
     if let (Some(spec), SlotState::Running | SlotState::Fetching) = (&slot.spec, slot.state) {
         let (image, image_gb) = (spec.image.clone(), spec.image_gb);
-        machine.touch_image(&image, image_gb, accepted.cache_gb);
+        machine.note_image_use(&image, image_gb, accepted.cache_gb);
     }
 }
--- a/src/core/evidence/invariants.rs
+++ b/src/core/evidence/invariants.rs
@@ -12,7 +12,7 @@
     /// late copies.
     pub fn unknown_tasks<'a>(&'a self, heartbeat: &'a Heartbeat) -> impl Iterator<Item = &'a ReportedTask> {
         let machine = self.machines.get(&heartbeat.machine);
-        let machine = machine.filter(|machine| machine.fenced(self.term));
+        let machine = machine.filter(|machine| machine.is_fenced_by(self.term));
         let is_known = move |task: &ReportedTask| {
             let slot = machine.and_then(|machine| machine.slots.get(&task.task));
             let is_held = slot.is_some_and(|slot| slot.attempt == task.attempt);
--- a/src/core/evidence/liveness.rs
+++ b/src/core/evidence/liveness.rs
@@ -23,7 +23,7 @@
     /// How long a machine has been silent while this process listened. Silence is a
     /// reason to release a machine, but no evidence that its tasks are gone.
     pub fn silence(&self, machine: &Machine, now: Instant) -> Duration {
-        let last = Some(machine.last_heartbeat.unwrap_or(machine.since)).max(self.listening_since);
+        let last = Some(machine.last_heartbeat.unwrap_or(machine.known_since)).max(self.listening_since);
         last.map_or(Duration::ZERO, |last| now.saturating_duration_since(last))
     }
 
@@ -32,7 +32,7 @@
     pub fn all_fenced(&self) -> bool {
         let machines = self.machines.values();
         let mut up = machines.filter(|machine| machine.phase == MachinePhase::Up);
-        up.all(|machine| !machine.needs_probe || machine.fenced(self.term))
+        up.all(|machine| !machine.needs_probe || machine.is_fenced_by(self.term))
     }
 
     /// Whether the lease of a machine's worker has expired for certain.
@@ -42,10 +42,10 @@
     /// than the lease lasts by the slowest clock allowed. A worker whose lease expires
     /// kills all its tasks and forgets them.
     pub(in crate::core) fn lease_expired(&self, machine: &Machine, now: Instant) -> bool {
-        let lease = self.config.lease + self.config.lease / LEASE_DRIFT_DIVISOR + LEASE_MARGIN;
+        let lease = self.config.worker_lease + self.config.worker_lease / LEASE_DRIFT_DIVISOR + LEASE_MARGIN;
         let last = machine.last_response.max(machine.last_heartbeat);
         machine.phase == MachinePhase::Up
-            && machine.fenced(self.term)
+            && machine.is_fenced_by(self.term)
             && last.is_some_and(|last| now.saturating_duration_since(last) > lease)
     }
 
@@ -69,7 +69,7 @@
             if let Some(machine) = self.machines.get_mut(&id) {
                 machine.newest_message.1 = u64::MAX;
             }
-            self.clear_machine(&id, now, "lease expired");
+            self.remove_all_slots(&id, now, "lease expired");
         }
     }
 }
--- a/src/core/evidence/permission.rs
+++ b/src/core/evidence/permission.rs
@@ -103,7 +103,7 @@
         let slot = slot
             .filter(|slot| slot.attempt == attempt)
             .ok_or(StartRefusal::NotPlaced)?;
-        if slot.stop.is_some() {
+        if slot.stop_grace.is_some() {
             return Err(StartRefusal::Stopping);
         }
         Ok(())
--- a/src/core/fleet/capacity.rs
+++ b/src/core/fleet/capacity.rs
@@ -31,7 +31,7 @@
             let Some(type_index) = self.type_index(machine) else {
                 continue;
             };
-            let used = machine.used().cpus;
+            let used = machine.used_resources().cpus;
             cpus.used += used;
             if self.adds_capacity(machine, now) {
                 cpus.free += self.machine_types[type_index].cpus - used;
--- a/src/core/fleet/evacuation.rs
+++ b/src/core/fleet/evacuation.rs
@@ -53,7 +53,7 @@
                 continue;
             };
             for (task, slot) in &machine.slots {
-                let Some(spec) = slot.spec.as_ref().filter(|_| slot.stop.is_none()) else {
+                let Some(spec) = slot.spec.as_ref().filter(|_| slot.stop_grace.is_none()) else {
                     continue;
                 };
                 if !has_begun(slot) || free < spec.cpus {
--- a/src/core/fleet/outcomes.rs
+++ b/src/core/fleet/outcomes.rs
@@ -34,7 +34,7 @@
     pub fn rental_done(&mut self, rental: &RentalRequest, machines: &[MachineId], now: Instant) {
         self.fleet.pending.remove(&rental.request);
         for id in machines {
-            self.rented(id.clone(), &rental.machine_type, &rental.zone, rental.spot, now);
+            self.add_rented_machine(id.clone(), &rental.machine_type, &rental.zone, rental.spot, now);
         }
         if (machines.len() as u32) < rental.count {
             self.suspend_offer(rental, now);
@@ -55,7 +55,7 @@
     pub fn release_done(&mut self, ids: &[MachineId], outcome: ReleaseOutcome, now: Instant) {
         for id in ids {
             if outcome == ReleaseOutcome::Confirmed {
-                self.released(id, now);
+                self.remove_released_machine(id, now);
             } else if let Some(machine) = self.machines.get_mut(id) {
                 machine.phase = if machine.last_heartbeat.is_some() {
                     MachinePhase::Up
--- a/src/core/fleet/partitions.rs
+++ b/src/core/fleet/partitions.rs
@@ -43,7 +43,7 @@
             .collect();
         let silent = up
             .iter()
-            .filter(|machine| self.silence(machine, now) > self.config.silent)
+            .filter(|machine| self.silence(machine, now) > self.config.silence_limit)
             .count();
         silent > MAX_SILENT_BY_CHANCE && silent * 2 > up.len()
     }
--- a/src/core/fleet/releases.rs
+++ b/src/core/fleet/releases.rs
@@ -77,7 +77,7 @@
         let type_index = self.type_index(machine);
         let boot_s = type_index.map_or(UNKNOWN_BOOT_S, |index| self.machine_types[index].boot_s);
         let max_boot = Duration::from_secs_f64(boot_s * MAX_BOOT_TIMES + MAX_BOOT_EXTRA_S);
-        if now.saturating_duration_since(machine.since) <= max_boot + self.config.list_lag {
+        if now.saturating_duration_since(machine.known_since) <= max_boot + self.config.machine_list_lag {
             Disposition::Keep
         } else if machine.slots.is_empty() {
             Disposition::Release(ReleaseReason::NeverCameUp)
@@ -87,18 +87,18 @@
     }
 
     fn up_disposition(&self, machine: &Machine, network: &NetworkView, now: Instant) -> Disposition {
-        let silent = self.silence(machine, now) > self.config.silent;
+        let silent = self.silence(machine, now) > self.config.silence_limit;
         if silent && self.awaits_partition_end(machine, network, now) {
             Disposition::Keep
         } else if silent && !network.most_machines_silent {
             Disposition::Release(ReleaseReason::Silent)
         } else if !network.partitioned_from_workers
-            && self.ignores_commands(machine, now, self.config.silent * 2)
+            && self.ignores_commands(machine, now, self.config.silence_limit * 2)
         {
             Disposition::Release(ReleaseReason::TakesNoCommands)
-        } else if machine.cordoned_since.is_some() && machine.empty() {
+        } else if machine.cordoned_since.is_some() && machine.is_empty() {
             Disposition::Release(ReleaseReason::Cordoned)
-        } else if machine.reclaim_at.is_some() && machine.empty() {
+        } else if machine.reclaim_at.is_some() && machine.is_empty() {
             Disposition::Release(ReleaseReason::SpotNotice)
         } else if machine.slots.is_empty() && machine.idle_since.is_some() && !silent {
             Disposition::Idle
@@ -110,9 +110,9 @@
     /// Whether a silent machine is kept because its zone is partitioned. The expiry of
     /// its lease frees its tasks without a release, but only if it obeys this term.
     fn awaits_partition_end(&self, machine: &Machine, network: &NetworkView, now: Instant) -> bool {
-        let max_silence = self.config.silent + self.config.lease + PARTITION_GRACE;
+        let max_silence = self.config.silence_limit + self.config.worker_lease + PARTITION_GRACE;
         network.partitioned_zones.contains(&machine.zone)
             && self.silence(machine, now) < max_silence
-            && (machine.fenced(self.term) || machine.slots.is_empty())
+            && (machine.is_fenced_by(self.term) || machine.slots.is_empty())
     }
 }
--- a/src/core/fleet/rentals.rs
+++ b/src/core/fleet/rentals.rs
@@ -104,7 +104,7 @@
             }
             let machine_type = &self.machine_types[type_index];
             let mut open = OpenMachine::empty(type_index, machine_type, &machine.zone, machine.spot);
-            let holds_capacity = |slot: &&Slot| slot.takes_room() && slot.state != SlotState::Unknown;
+            let holds_capacity = |slot: &&Slot| slot.takes_resources() && slot.state != SlotState::Unknown;
             let stays = |slot: &&Slot| self.predicted_end(slot, now) > soon;
             let staying = machine.slots.values().filter(holds_capacity).filter(stays);
             for spec in staying.filter_map(|slot| slot.spec.as_ref()) {
--- a/src/core/scheduling/eligibility.rs
+++ b/src/core/scheduling/eligibility.rs
@@ -13,8 +13,8 @@
     /// What each team's tasks use, or may use, wherever they may be.
     pub(in crate::core) fn team_usage(&self) -> HashMap<String, TeamUsage> {
         let mut usage_by_team: HashMap<String, TeamUsage> = HashMap::new();
-        for job in self.jobs.values().filter(|job| job.placed > 0) {
-            let tasks = f64::from(job.placed);
+        for job in self.jobs.values().filter(|job| job.place_count > 0) {
+            let tasks = f64::from(job.place_count);
             let usage = usage_by_team.entry(job.spec.team.clone()).or_default();
             usage.cpus += tasks * job.spec.cpus;
             usage.gpus += tasks * job.spec.gpus;
@@ -26,10 +26,10 @@
     /// reachable in both directions, and is neither cordoned nor full.
     pub fn is_schedulable(&self, machine: &Machine, now: Instant) -> bool {
         machine.phase == MachinePhase::Up
-            && machine.fenced(self.term)
+            && machine.is_fenced_by(self.term)
             && machine.cordoned_since.is_none()
             && !machine.addr.is_empty()
-            && machine.full_until.is_none_or(|end| end <= now)
+            && machine.no_placement_before.is_none_or(|end| end <= now)
             // It may hang, or receive nothing of what it is sent.
             && machine.commands_unanswered_since.is_none()
             && machine.last_heartbeat.is_some()
@@ -43,6 +43,6 @@
         if job.cancelled || job.pause_until.is_some_and(|end| end > now) {
             return 0;
         }
-        self.placement_limit(job, now).saturating_sub(job.placed)
+        self.placement_limit(job, now).saturating_sub(job.place_count)
     }
 }
--- a/src/core/scheduling/gang_repair.rs
+++ b/src/core/scheduling/gang_repair.rs
@@ -12,7 +12,7 @@
         let broken: Vec<(JobId, u32, MachineId)> = self
             .jobs
             .iter()
-            .filter(|(_, job)| job.broken_gang())
+            .filter(|(_, job)| job.is_broken_gang())
             .flat_map(|(id, job)| {
                 let places = job.places.iter();
                 places.flat_map(|(index, machines)| machines.iter().map(|m| (*id, *index, m.clone())))
--- a/src/core/scheduling/over_quota.rs
+++ b/src/core/scheduling/over_quota.rs
@@ -61,7 +61,7 @@
         let jobs = model
             .jobs
             .iter()
-            .filter(|(_, job)| job.placed > STARVED_FIRST_TASKS)
+            .filter(|(_, job)| job.place_count > STARVED_FIRST_TASKS)
             .filter(|(_, job)| job.spec.kind == JobKind::Array)
             .filter(|(_, job)| model.priority(job) < head_priority)
             .filter(|(id, _)| beyond_quota(id))
--- a/src/core/scheduling/placement/planner.rs
+++ b/src/core/scheduling/placement/planner.rs
@@ -107,7 +107,7 @@
                 zone,
                 spot: machine.spot,
                 type_index,
-                free: capacity - machine.used(),
+                free: capacity - machine.used_resources(),
                 excluded: false,
                 reclaim_at: machine.reclaim_at,
                 running: Vec::new(),
--- a/src/core/scheduling/placement/preemption.rs
+++ b/src/core/scheduling/placement/preemption.rs
@@ -63,7 +63,7 @@
             let Some(known) = model.machines.get(&machine.machine) else {
                 continue;
             };
-            for (task, slot) in known.slots.iter().filter(|(_, slot)| slot.takes_room()) {
+            for (task, slot) in known.slots.iter().filter(|(_, slot)| slot.takes_resources()) {
                 let Some(spec) = &slot.spec else { continue };
                 let rank = self.ranks.get(&task.job).copied();
                 let outranked = !is_stopping(slot) && rank.is_some_and(|rank| rank > head);
@@ -92,12 +92,12 @@
 
 /// Whether a task is about to end for another reason already.
 fn is_stopping(slot: &Slot) -> bool {
-    slot.stop.is_some() || matches!(slot.state, SlotState::Saving)
+    slot.stop_grace.is_some() || matches!(slot.state, SlotState::Saving)
 }
 
 /// When a task gives back its resources; one that is being stopped, at once.
 fn predicted_end(model: &ClusterModel, slot: &Slot, now: Instant) -> Instant {
-    if slot.stop.is_some() {
+    if slot.stop_grace.is_some() {
         now
     } else {
         model.predicted_end(slot, now)
--- a/src/core/scheduling/placement/rules.rs
+++ b/src/core/scheduling/placement/rules.rs
@@ -17,7 +17,7 @@
             return false;
         };
         self.model.is_ready(job)
-            && !job.broken_gang()
+            && !job.is_broken_gang()
             && self.model.start_allowance(job, self.now) > 0
             && self.within_team_limit(&job.spec, tasks)
     }
--- a/src/core/state/config.rs
+++ b/src/core/state/config.rs
@@ -20,21 +20,21 @@
     /// Time between two heartbeats of a worker.
     pub heartbeat_interval: Duration,
     /// How long a worker runs its tasks on after the last answered heartbeat.
-    pub lease: Duration,
+    pub worker_lease: Duration,
     /// Within this time of its acceptance, a cancellation must have stopped all tasks.
-    pub cancel: Duration,
+    pub cancel_deadline: Duration,
     /// A machine without a heartbeat for so long is released, so that its tasks can
     /// run elsewhere.
-    pub silent: Duration,
+    pub silence_limit: Duration,
     /// How far the cloud's machine list may lag behind rentals and releases.
-    pub list_lag: Duration,
+    pub machine_list_lag: Duration,
     /// Least time between two appends to the write-ahead log.
-    pub log_pause: Duration,
+    pub min_log_append_interval: Duration,
     /// Most changes in a transaction of the state service: the smaller of the limit in
     /// force and the one that is announced.
-    pub txn_ops: usize,
+    pub max_transaction_changes: usize,
     /// Largest value of the state service in bytes, likewise the smaller limit.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// What operators may tune without a new deployment.
     pub operator_settings: OperatorSettings,
 }
@@ -53,15 +53,15 @@
             objectives: cluster.objectives.clone(),
             zones: cluster.zones.clone(),
             heartbeat_interval: workers.heartbeat_interval,
-            lease: workers.lease,
-            cancel: workers.cancel_within,
-            silent: operator_settings
+            worker_lease: workers.lease,
+            cancel_deadline: workers.cancel_within,
+            silence_limit: operator_settings
                 .silence_timeout
                 .unwrap_or_else(|| default_silence_limit(workers.heartbeat_interval, workers.lease)),
-            list_lag: cluster.cloud.list_lag,
-            log_pause: Duration::from_secs_f64(2.0 / cluster.state.write_rps),
-            txn_ops: cluster.state.min_txn_ops(),
-            value_bytes: cluster.state.value_bytes(),
+            machine_list_lag: cluster.cloud.list_lag,
+            min_log_append_interval: Duration::from_secs_f64(2.0 / cluster.state.write_rps),
+            max_transaction_changes: cluster.state.min_txn_ops(),
+            max_value_bytes: cluster.state.value_bytes(),
             operator_settings,
         }
     }
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -15,13 +15,13 @@
     /// What its user submitted.
     pub spec: Arc<JobSpec>,
     /// When it was accepted, in milliseconds since the Unix epoch.
-    pub at: u64,
+    pub accepted_at_ms: u64,
     /// The same moment on this process's monotonic clock.
     pub arrival: Instant,
     /// It is cancelled: no task starts any more, and those that run are stopped.
     pub cancelled: bool,
     /// The cancellation is stored in the state service.
-    pub cancel_stored: bool,
+    pub cancellation_stored: bool,
     /// Indices of the tasks that are done.
     pub done: TaskSet,
     /// Indices of the tasks that are neither done nor placed.
@@ -31,7 +31,7 @@
     /// Indices of the tasks that were running by the last heartbeat of their machine.
     pub running: HashSet<u32>,
     /// Number of machines in `places`, over all tasks.
-    pub placed: u32,
+    pub place_count: u32,
     /// Its final state is on its way to the state service.
     pub final_write_pending: bool,
     /// Failures since the last success.
@@ -39,43 +39,43 @@
     /// No task is placed before this time.
     pub pause_until: Option<Instant>,
     /// Sum of the run times of tasks that ended `done` in this term.
-    pub run_sum: Duration,
-    /// How many run times are in `run_sum`.
-    pub run_count: u32,
+    pub total_run_time: Duration,
+    /// How many run times are in `total_run_time`.
+    pub counted_runs: u32,
 }
 
 impl Job {
     /// A fresh or reloaded job.
     pub fn new(record: JobRecord, arrival: Instant) -> Self {
-        let n = record.spec.tasks;
+        let task_count = record.spec.tasks;
         Self {
             spec: Arc::new(record.spec),
-            at: record.at,
+            accepted_at_ms: record.at,
             arrival,
             cancelled: record.cancelled,
-            cancel_stored: record.cancelled,
-            done: TaskSet::new(n),
-            waiting: TaskSet::full(n),
+            cancellation_stored: record.cancelled,
+            done: TaskSet::new(task_count),
+            waiting: TaskSet::full(task_count),
             places: HashMap::new(),
             running: HashSet::new(),
-            placed: 0,
+            place_count: 0,
             final_write_pending: false,
             failures: FailureHistory::default(),
             pause_until: None,
-            run_sum: Duration::ZERO,
-            run_count: 0,
+            total_run_time: Duration::ZERO,
+            counted_runs: 0,
         }
     }
 
     /// Marks a task as done; it never waits again.
-    pub(in crate::core) fn finish(&mut self, index: u32) {
+    pub(in crate::core) fn mark_done(&mut self, index: u32) {
         self.waiting.remove(index);
         self.done.insert(index);
     }
 
     /// Whether some task was ever started, as far as is known.
     pub fn has_started(&self) -> bool {
-        self.placed > 0 || self.done.count() > 0
+        self.place_count > 0 || self.done.count() > 0
     }
 
     /// It failed on several machines of late, and no task was ever done.
@@ -83,9 +83,9 @@
         self.done.count() == 0 && self.failures.on_probation(now)
     }
 
-    /// Its cancellation is stored, so that anybody may be told of it.
+    /// Its cancellation is stored, so that any controller may confirm it to a client.
     pub fn cancellation_is_stored(&self) -> bool {
-        self.cancelled && self.cancel_stored
+        self.cancelled && self.cancellation_stored
     }
 
     /// Each place where one of its tasks may be, and the task's number.
@@ -102,9 +102,9 @@
     }
 
     /// The time of day at an instant, in milliseconds.
-    pub(in crate::core) fn wall_clock(&self, now: Instant) -> u64 {
+    pub(in crate::core) fn unix_time_ms_at(&self, now: Instant) -> u64 {
         let age = now.saturating_duration_since(self.arrival);
-        self.at.saturating_add(age.as_millis() as u64)
+        self.accepted_at_ms.saturating_add(age.as_millis() as u64)
     }
 
     /// What survives. A cancelled job never starts again, so the lists that only
@@ -118,36 +118,36 @@
         }
         JobRecord {
             spec,
-            at: self.at,
+            at: self.accepted_at_ms,
             cancelled: self.cancelled,
         }
     }
 
     /// A gang that lost some of its tasks: the rest has to go before it can
     /// be placed again, whole.
-    pub fn broken_gang(&self) -> bool {
+    pub fn is_broken_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang && !self.places.is_empty() && self.waiting.count() > 0
     }
 
     /// Adds a machine on which a task may be; the task no longer waits.
-    pub(in crate::core) fn occupy(&mut self, index: u32, machine: &MachineId) {
-        let list = self.places.entry(index).or_default();
-        if !list.contains(machine) {
-            list.push(machine.clone());
-            self.placed += 1;
+    pub(in crate::core) fn add_place(&mut self, index: u32, machine: &MachineId) {
+        let machines = self.places.entry(index).or_default();
+        if !machines.contains(machine) {
+            machines.push(machine.clone());
+            self.place_count += 1;
             self.waiting.remove(index);
         }
     }
 
     /// Removes a machine on which a task is no more. Without any place left, the task
     /// waits again unless it is done.
-    pub(in crate::core) fn vacate(&mut self, index: u32, machine: &MachineId) {
-        if let Some(list) = self.places.get_mut(&index) {
-            let before = list.len();
-            list.retain(|m| m != machine);
-            self.placed -= (before - list.len()) as u32;
+    pub(in crate::core) fn remove_place(&mut self, index: u32, machine: &MachineId) {
+        if let Some(machines) = self.places.get_mut(&index) {
+            let before = machines.len();
+            machines.retain(|m| m != machine);
+            self.place_count -= (before - machines.len()) as u32;
             self.running.remove(&index);
-            if list.is_empty() {
+            if machines.is_empty() {
                 self.places.remove(&index);
                 if !self.done.contains(index) {
                     self.waiting.insert(index);
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -39,13 +39,13 @@
     pub phase: MachinePhase,
     /// When it was rented, or first listed or heard from; once listed as running, since
     /// then.
-    pub since: Instant,
-    /// Session and sequence of the newest message.
+    pub known_since: Instant,
+    /// Incarnation and sequence of the newest message.
     pub newest_message: (u64, u64),
     /// Highest fencing token that its heartbeats say it has seen.
     pub seen_token: u64,
     /// Number of fencing tokens issued for it in this term: the low bits of the last.
-    pub token_seq: u64,
+    pub issued_tokens: u64,
     /// When its last heartbeat came.
     pub last_heartbeat: Option<Instant>,
     /// When a heartbeat of it was last answered: its lease runs from there at the latest.
@@ -75,7 +75,7 @@
     /// Since when it is cordoned, that is, takes no more tasks.
     pub cordoned_since: Option<Instant>,
     /// It refused a start for want of room; no task is placed on it before this time.
-    pub full_until: Option<Instant>,
+    pub no_placement_before: Option<Instant>,
     /// Since when no task is on it.
     pub idle_since: Option<Instant>,
 }
@@ -89,10 +89,10 @@
             zone: String::new(),
             spot: false,
             phase: MachinePhase::Booting,
-            since: now,
+            known_since: now,
             newest_message: (0, 0),
             seen_token: 0,
-            token_seq: 0,
+            issued_tokens: 0,
             last_heartbeat: None,
             last_response: None,
             reclaim_at: None,
@@ -107,13 +107,13 @@
             failed_jobs: BTreeSet::new(),
             failures: 0,
             cordoned_since: None,
-            full_until: None,
+            no_placement_before: None,
             idle_since: Some(now),
         }
     }
 
     /// Its entry of the write-ahead log.
-    pub(in crate::core) fn entry(&self) -> LogEntry {
+    pub(in crate::core) fn log_entry(&self) -> LogEntry {
         LogEntry::Machine(
             self.id.clone(),
             self.addr.clone(),
@@ -130,7 +130,7 @@
             || self
                 .slots
                 .values()
-                .any(|s| s.stop.is_some() || matches!(s.state, SlotState::Placed | SlotState::Ended(_)))
+                .any(|s| s.stop_grace.is_some() || matches!(s.state, SlotState::Placed | SlotState::Ended(_)))
     }
 
     /// Whether an incarnation of its worker has ended by lease expiry, see [`crate::core::ClusterModel::expire_leases`].
@@ -139,7 +139,7 @@
     }
 
     /// Whether the worker has seen a token of this term, and so refuses earlier leaders.
-    pub fn fenced(&self, term: u64) -> bool {
+    pub fn is_fenced_by(&self, term: u64) -> bool {
         token::term_of(self.seen_token) == term
     }
 
@@ -150,7 +150,7 @@
 
     /// Marks an image as the most recently used one, evicting the oldest ones that no
     /// longer fit into the cache.
-    pub(in crate::core) fn touch_image(&mut self, image: &str, gb: f64, cache_gb: f64) {
+    pub(in crate::core) fn note_image_use(&mut self, image: &str, gb: f64, cache_gb: f64) {
         if let Some(p) = self.images.iter().position(|(i, _)| i == image) {
             let it = self.images.remove(p);
             self.images.push(it);
@@ -163,15 +163,15 @@
     }
 
     /// The resources that its tasks take, or may take.
-    pub fn used(&self) -> Resources {
-        let slots = self.slots.values().filter(|slot| slot.takes_room());
+    pub fn used_resources(&self) -> Resources {
+        let slots = self.slots.values().filter(|slot| slot.takes_resources());
         let specs = slots.filter_map(|slot| slot.spec.as_ref());
         specs.map(|spec| Resources::of_task(spec)).sum()
     }
 
     /// Whether no task on it takes resources; ended ones take none.
-    pub fn empty(&self) -> bool {
-        !self.slots.values().any(Slot::takes_room)
+    pub fn is_empty(&self) -> bool {
+        !self.slots.values().any(Slot::takes_resources)
     }
 }
 
@@ -185,7 +185,7 @@
     ) -> Vec<Command> {
         let kept = |task: &TaskId, slot: &Slot| match slot.state {
             SlotState::Ended(ExitReason::Done) => {
-                log.is_stored(slot.outcome) || !jobs.contains_key(&task.job)
+                log.is_stored(slot.outcome_log_mark) || !jobs.contains_key(&task.job)
             }
             SlotState::Ended(_) => true,
             _ => false,
@@ -202,12 +202,12 @@
 
     /// The token that [`Machine::fresh_token`] would issue next.
     pub(in crate::core) fn peek_token(&self, term: u64) -> u64 {
-        token::first_of_term(term) + self.token_seq + 1
+        token::first_of_term(term) + self.issued_tokens + 1
     }
 
     /// Issues a token above all issued for this machine before.
     pub(in crate::core) fn fresh_token(&mut self, term: u64) -> u64 {
-        self.token_seq += 1;
-        token::first_of_term(term) + self.token_seq
+        self.issued_tokens += 1;
+        token::first_of_term(term) + self.issued_tokens
     }
 }
--- a/src/core/state/model/jobs.rs
+++ b/src/core/state/model/jobs.rs
@@ -23,8 +23,8 @@
         for m in self.machines.values_mut() {
             for (task, slot) in m.slots.iter_mut().filter(|(t, _)| t.job == id) {
                 slot.spec = Some(spec.clone());
-                if slot.takes_room() && task.index < spec.tasks {
-                    job.occupy(task.index, &m.id);
+                if slot.takes_resources() && task.index < spec.tasks {
+                    job.add_place(task.index, &m.id);
                 }
             }
         }
@@ -80,7 +80,7 @@
             // One that its own user cancels meanwhile has its own record on its way.
             if let Some(job) = self.jobs.get_mut(&dependent).filter(|j| !j.cancelled) {
                 job.cancelled = true;
-                job.cancel_stored = true;
+                job.cancellation_stored = true;
                 info!(job = %dependent, needs = %id, "cancelled with a job that it needs");
             }
         }
@@ -117,7 +117,7 @@
     /// Takes a cancellation that has been stored.
     pub fn cancel_stored(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
-            job.cancel_stored = true;
+            job.cancellation_stored = true;
         }
         self.cancel_dependents(id);
     }
@@ -127,7 +127,7 @@
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.cancelled = true;
         let places = job.all_places();
-        if !job.cancel_stored {
+        if !job.cancellation_stored {
             self.dependencies.cancellation_requested(id);
         }
         for (machine, index) in places {
--- a/src/core/state/model/machines.rs
+++ b/src/core/state/model/machines.rs
@@ -11,7 +11,14 @@
 
 impl ClusterModel {
     /// A machine that was just rented.
-    pub fn rented(&mut self, id: MachineId, machine_type: &str, zone: &str, spot: bool, now: Instant) {
+    pub fn add_rented_machine(
+        &mut self,
+        id: MachineId,
+        machine_type: &str,
+        zone: &str,
+        spot: bool,
+        now: Instant,
+    ) {
         if self.released_machines.contains(&id) {
             return;
         }
@@ -22,12 +29,12 @@
         m.machine_type = machine_type.to_owned();
         m.zone = zone.to_owned();
         m.spot = spot;
-        let entry = m.entry();
+        let entry = m.log_entry();
         self.log.push(entry);
     }
 
     /// Takes in the cloud's list. Absence from it means nothing.
-    pub fn listed(&mut self, list: &[ListedMachine], now: Instant) {
+    pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
         let mut found = 0;
         for listed in list {
             if self.released_machines.contains(&listed.id) {
@@ -43,7 +50,7 @@
                     .ok()
                     .and_then(|a| now.checked_sub(a))
                 {
-                    m.since = s;
+                    m.known_since = s;
                 }
                 m
             });
@@ -53,13 +60,13 @@
                 m.spot = listed.spot;
                 if listed.state == CloudState::Running {
                     m.phase = MachinePhase::Up;
-                    m.since = now;
+                    m.known_since = now;
                     m.needs_probe = true;
                 }
             }
             if m.addr.is_empty() && !listed.addr.is_empty() {
                 m.addr = listed.addr.clone();
-                let entry = m.entry();
+                let entry = m.log_entry();
                 self.log.push(entry);
             }
             if listed.state == CloudState::Running && m.phase == MachinePhase::Booting {
@@ -71,7 +78,7 @@
             if listed.state == CloudState::Failed {
                 m.cordoned_since.get_or_insert(now);
                 // Stopped on its own: nothing on it runs any more.
-                self.clear_machine(&listed.id, now, "listed as failed");
+                self.remove_all_slots(&listed.id, now, "listed as failed");
             }
         }
         if found > 0 {
@@ -80,8 +87,8 @@
     }
 
     /// The cloud has confirmed the release: the machine and all on it are gone.
-    pub fn released(&mut self, id: &MachineId, now: Instant) {
-        self.clear_machine(id, now, "machine released");
+    pub fn remove_released_machine(&mut self, id: &MachineId, now: Instant) {
+        self.remove_all_slots(id, now, "machine released");
         if self.machines.remove(id).is_some() {
             self.log.push(LogEntry::Released(id.clone()));
         }
--- a/src/core/state/model/mod.rs
+++ b/src/core/state/model/mod.rs
@@ -79,7 +79,7 @@
     /// An empty cluster.
     pub fn new(config: Arc<SchedulerConfig>, term: u64) -> Self {
         Self {
-            log: WriteAheadLog::new(config.value_bytes),
+            log: WriteAheadLog::new(config.max_value_bytes),
             log_append_taken_at: None,
             command_candidates: BTreeSet::new(),
             config,
--- a/src/core/state/model/places.rs
+++ b/src/core/state/model/places.rs
@@ -23,10 +23,10 @@
         let (Some(job), Some(m)) = (self.jobs.get_mut(&task.job), self.machines.get_mut(machine)) else {
             return;
         };
-        job.occupy(task.index, machine);
+        job.add_place(task.index, machine);
         self.has_backfilled |= backfilled;
         m.idle_since = None;
-        let logged = self.log.push(LogEntry::Start(
+        let start_log_mark = self.log.push(LogEntry::Start(
             machine.clone(),
             task.job,
             attempt,
@@ -40,13 +40,13 @@
                 spec: Some(job.spec.clone()),
                 start_token: 0,
                 start_incarnation: 0,
-                logged,
-                outcome: 0,
+                start_log_mark,
+                outcome_log_mark: 0,
                 backfilled,
                 placed_at: now,
                 running_since: None,
-                stop: None,
-                stop_at: None,
+                stop_grace: None,
+                stop_ordered_at: None,
             },
         );
         self.command_candidates.insert(machine.clone());
@@ -63,10 +63,10 @@
         };
         if slot.state == SlotState::Placed && slot.start_token == 0 {
             debug!(%task, attempt = slot.attempt, machine = %machine, reason, "placement withdrawn before its start");
-            self.drop_slot(machine, task, now);
+            self.remove_slot(machine, task, now);
             return;
         }
-        if !slot.takes_room() || slot.stop.is_some_and(|g| g <= grace) {
+        if !slot.takes_resources() || slot.stop_grace.is_some_and(|g| g <= grace) {
             return;
         }
         debug!(%task, attempt = slot.attempt, machine = %machine, reason, "stopping");
@@ -75,7 +75,7 @@
     }
 
     /// Removes a slot on evidence; its task waits again unless done.
-    pub(in crate::core) fn drop_slot(&mut self, machine: &MachineId, task: TaskId, now: Instant) {
+    pub(in crate::core) fn remove_slot(&mut self, machine: &MachineId, task: TaskId, now: Instant) {
         let Some(m) = self.machines.get_mut(machine) else {
             return;
         };
@@ -83,23 +83,23 @@
             if !m.slots.values().any(|s| matches!(s.state, SlotState::Ended(_))) {
                 m.unacknowledged_since = None;
             }
-            if m.empty() && m.idle_since.is_none() {
+            if m.is_empty() && m.idle_since.is_none() {
                 m.idle_since = Some(now);
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                job.vacate(task.index, machine);
+                job.remove_place(task.index, machine);
             }
         }
     }
 
-    pub(in crate::core) fn clear_machine(&mut self, id: &MachineId, now: Instant, reason: &str) {
+    pub(in crate::core) fn remove_all_slots(&mut self, id: &MachineId, now: Instant, reason: &str) {
         let Some(m) = self.machines.get(id) else { return };
         let tasks: Vec<TaskId> = m.slots.keys().copied().collect();
         if !tasks.is_empty() {
             debug!(machine = %id, tasks = tasks.len(), reason, "its tasks are removed with the machine");
         }
         for task in tasks {
-            self.drop_slot(id, task, now);
+            self.remove_slot(id, task, now);
         }
     }
 }
--- a/src/core/state/model/replay.rs
+++ b/src/core/state/model/replay.rs
@@ -28,7 +28,7 @@
         for (id, indices) in &replay.done {
             if let Some(job) = self.jobs.get_mut(id) {
                 for i in indices {
-                    job.finish(*i);
+                    job.mark_done(*i);
                 }
             }
         }
@@ -86,7 +86,7 @@
             machine.slots.insert(task, slot);
             machine.idle_since = None;
             if let Some(job) = job {
-                job.occupy(task.index, &id);
+                job.add_place(task.index, &id);
             }
         }
     }
--- a/src/core/state/slot.rs
+++ b/src/core/state/slot.rs
@@ -37,9 +37,9 @@
     /// Worker incarnation that the last start was sent to; 0: never sent in this term.
     pub start_incarnation: u64,
     /// Mark of the log entry that names its start; the start is sent once that is stored.
-    pub logged: u64,
+    pub start_log_mark: u64,
     /// For done tasks: mark of the log entry that says so; acknowledged once stored.
-    pub outcome: u64,
+    pub outcome_log_mark: u64,
     /// Started by backfilling; shadow as long as a waiting job outranks it.
     pub backfilled: bool,
     /// When it was placed.
@@ -47,10 +47,10 @@
     /// When it was first seen running.
     pub running_since: Option<Instant>,
     /// It is to be stopped, with this much time to write a checkpoint.
-    pub stop: Option<Duration>,
-    /// When the stop was first ordered. Unset while `stop` is set for an attempt
+    pub stop_grace: Option<Duration>,
+    /// When the stop was first ordered. Unset while `stop_grace` is set for an attempt
     /// that this leader did not expect: such a stop is never overdue.
-    pub stop_at: Option<Instant>,
+    pub stop_ordered_at: Option<Instant>,
 }
 
 impl Slot {
@@ -69,24 +69,24 @@
             spec,
             start_token: token::first_of_term(term),
             start_incarnation: 0,
-            logged: 0,
-            outcome: 0,
+            start_log_mark: 0,
+            outcome_log_mark: 0,
             backfilled: false,
             placed_at: now,
             running_since: None,
-            stop: None,
-            stop_at: None,
+            stop_grace: None,
+            stop_ordered_at: None,
         }
     }
 
     /// Orders a stop; the time of an earlier order stays.
     pub(in crate::core) fn order_stop(&mut self, grace: Duration, now: Instant) {
-        self.stop = Some(grace);
-        self.stop_at.get_or_insert(now);
+        self.stop_grace = Some(grace);
+        self.stop_ordered_at.get_or_insert(now);
     }
 
-    /// Whether it still takes room: everything but an ended one.
-    pub fn takes_room(&self) -> bool {
+    /// Whether it still takes resources of its machine: all but an ended one do.
+    pub fn takes_resources(&self) -> bool {
         !matches!(self.state, SlotState::Ended(_))
     }
 }
--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -48,7 +48,7 @@
 
 impl PendingWrite {
     /// The changes of the state service that make up this write.
-    pub fn unit(&self) -> AtomicWrite {
+    pub fn to_atomic_write(&self) -> AtomicWrite {
         let put = |v: Result<serde_json::Value, _>| v.ok();
         let changes = match self {
             PendingWrite::WriteAheadLog(a) => a
@@ -73,7 +73,7 @@
 impl ClusterModel {
     /// Takes the writes that are due now. Each is taken once: its end is told by
     /// [`ClusterModel::write_finished`].
-    pub fn take_writes(&mut self, now: Instant) -> Vec<PendingWrite> {
+    pub fn take_due_writes(&mut self, now: Instant) -> Vec<PendingWrite> {
         let mut writes = Vec::new();
         writes.extend(self.take_log_append(now).map(PendingWrite::WriteAheadLog));
         self.stop_cancelled(now);
@@ -108,7 +108,7 @@
                 record: FinalRecord {
                     state,
                     done: job.done.count(),
-                    ended_at: Some(job.wall_clock(now)),
+                    ended_at: Some(job.unix_time_ms_at(now)),
                 },
                 needed: state == JobState::Done && self.dependencies.has_dependents(*id),
             });
@@ -128,7 +128,7 @@
             .values()
             .filter(|job| job.final_write_pending && job.cancelled)
             .count();
-        self.config.txn_ops.max(2).saturating_sub(pending)
+        self.config.max_transaction_changes.max(2).saturating_sub(pending)
     }
 
     /// Takes the teams' ratios if they changed, at most once in
@@ -149,7 +149,7 @@
     /// by its estimates.
     fn ratios_that_fit(&self) -> BTreeMap<String, f64> {
         let bytes = |entry: &(&String, &f64)| serde_json::to_string(entry).map_or(0, |text| text.len());
-        let mut left = self.config.value_bytes;
+        let mut left = self.config.max_value_bytes;
         let fitting = self.run_time_ratios.iter().take_while(|entry| {
             left = left.saturating_sub(bytes(entry));
             left > 0
@@ -174,12 +174,14 @@
             self.log_append_taken_at
                 .is_none_or(|taken_at| now >= taken_at + pause)
         };
-        let may_append = has_passed(self.config.log_pause);
+        let may_append = has_passed(self.config.min_log_append_interval);
         if !may_append || !self.log.wants(has_passed(LOG_PAUSE)) {
             return None;
         }
-        let value_bytes = self.config.value_bytes.max(1);
-        let max_segments = (MAX_LOG_BYTES / value_bytes).min(self.config.txn_ops).max(1);
+        let value_bytes = self.config.max_value_bytes.max(1);
+        let max_segments = (MAX_LOG_BYTES / value_bytes)
+            .min(self.config.max_transaction_changes)
+            .max(1);
         let live_bytes = self.live_log_bytes();
         let (machines, jobs) = (&self.machines, &self.jobs);
         let append = self
@@ -248,7 +250,7 @@
                 machine
                     .slots
                     .get(&task)
-                    .is_some_and(|slot| slot.attempt == *attempt && slot.takes_room())
+                    .is_some_and(|slot| slot.attempt == *attempt && slot.takes_resources())
             };
             let live: Vec<u32> = tasks.iter().copied().filter(may_be_there).collect();
             (!live.is_empty()).then(|| LogEntry::Start(id.clone(), *job, *attempt, live))
@@ -261,9 +263,9 @@
 /// The run-to-estimate ratio of a finished job. Only what ended `done` counts,
 /// never errors or stops: a job that fails at once says nothing of run times.
 fn run_time_ratio(job: &Job) -> Option<f64> {
-    if job.spec.kind == JobKind::Service || job.spec.estimate_s <= 0.0 || job.run_count == 0 {
+    if job.spec.kind == JobKind::Service || job.spec.estimate_s <= 0.0 || job.counted_runs == 0 {
         return None;
     }
-    let mean = job.run_sum.as_secs_f64() / f64::from(job.run_count);
+    let mean = job.total_run_time.as_secs_f64() / f64::from(job.counted_runs);
     Some((mean / job.spec.estimate_s).max(MIN_RUN_TIME_RATIO))
 }
--- a/src/leader/active_leader/machine_list.rs
+++ b/src/leader/active_leader/machine_list.rs
@@ -20,7 +20,7 @@
             let mut pages = 1;
             if let Ok(machines) = self.controller.cloud().machines().await {
                 pages += (machines.len() / PAGE_SIZE) as u32;
-                self.model.lock().listed(&machines, Instant::now());
+                self.model.lock().apply_machine_list(&machines, Instant::now());
                 self.request_round();
             }
             // A long list is read less often: rentals and releases share the
--- a/src/leader/active_leader/machine_types.rs
+++ b/src/leader/active_leader/machine_types.rs
@@ -53,7 +53,7 @@
     /// next leader reads them from the cloud as well.
     async fn store_machine_types(&self, types: &[MachineType]) {
         let value = serde_json::to_value(types).unwrap_or(Value::Null);
-        if value.to_string().len() >= self.controller.config().value_bytes {
+        if value.to_string().len() >= self.controller.config().max_value_bytes {
             return;
         }
         let write = AtomicWrite {
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -91,7 +91,7 @@
         lease: u64,
         lease_requested: ClockReading,
     ) -> Arc<Self> {
-        let max_changes = controller.config().txn_ops;
+        let max_changes = controller.config().max_transaction_changes;
         let writer = Writer::new(controller.store().clone(), record::LEADER, term, max_changes);
         let model = ClusterModel::new(controller.config().clone(), term);
         let workers = &controller.deployment().cluster.workers;
--- a/src/leader/active_leader/rounds.rs
+++ b/src/leader/active_leader/rounds.rs
@@ -78,7 +78,7 @@
             debug!(?summary, "round");
         }
         self.log_fencing_completed(&model, now);
-        let writes = model.take_writes(now);
+        let writes = model.take_due_writes(now);
         let max_probes = MAX_PROBES.min(self.controller.sockets().available_commands() / 2);
         let commands = model.take_due_commands(now, max_probes);
         RoundDecisions { writes, commands }
--- a/src/leader/active_leader/state_writes.rs
+++ b/src/leader/active_leader/state_writes.rs
@@ -38,7 +38,7 @@
     }
 
     async fn commit_write(&self, write: &PendingWrite) -> Result<(), CommitError> {
-        let result = self.writer.commit(write.unit()).await;
+        let result = self.writer.commit(write.to_atomic_write()).await;
         match (&result, write) {
             (Err(CommitError::Refused), PendingWrite::WriteAheadLog(append)) => {
                 self.commit_in_order(append).await
--- a/tests/dependencies/cancellation.rs
+++ b/tests/dependencies/cancellation.rs
@@ -26,7 +26,7 @@
     m.add_job(chained(5, &[3, 4]), now);
     assert_eq!(standing(&m, 5), Some(JobState::Cancelled));
     // While their final states are on their way they are called nothing else.
-    let writes = m.take_writes(now);
+    let writes = m.take_due_writes(now);
     let finals = writes
         .iter()
         .filter(|w| matches!(w, PendingWrite::Final { .. }))
@@ -67,7 +67,7 @@
     m.cancel(id(1), now);
     assert_eq!(standing(&m, 2), Some(JobState::Queued));
     m.plan(now);
-    assert_eq!(m.jobs()[&id(2)].placed, 1);
+    assert_eq!(m.jobs()[&id(2)].place_count, 1);
 }
 
 #[test]
@@ -77,7 +77,7 @@
     m.add_job(chained(2, &[1]), now);
     m.add_job(chained(3, &[2]), now);
     m.plan(now);
-    assert_eq!(m.jobs()[&id(2)].placed, 0);
+    assert_eq!(m.jobs()[&id(2)].place_count, 0);
     assert_eq!((standing(&m, 2), standing(&m, 3)), (None, None));
     assert_eq!(m.dependencies().unresolved().iter().collect::<Vec<_>>(), [&id(1)]);
     m.resolve_dependency(id(1), DependencyOutcome::Cancelled);
@@ -103,6 +103,6 @@
     m.cancel(id(1), now);
     m.cancel_stored(id(1));
     store_all(&mut m, now);
-    assert!(m.machines()[&machine].slots[&task].stop.is_some());
+    assert!(m.machines()[&machine].slots[&task].stop_grace.is_some());
     assert!(m.jobs().contains_key(&id(2)), "not over before its task is gone");
 }
--- a/tests/dependencies/fixtures.rs
+++ b/tests/dependencies/fixtures.rs
@@ -30,7 +30,7 @@
 /// Writes whatever is due, and says that it is stored. The final states among it.
 pub fn store_all(m: &mut ClusterModel, now: Instant) -> Vec<(JobId, JobState)> {
     let mut finals = Vec::new();
-    for write in m.take_writes(now) {
+    for write in m.take_due_writes(now) {
         m.write_finished(&write, true, now);
         if let PendingWrite::Final { id, record, .. } = write {
             finals.push((id, record.state));
--- a/tests/dependencies/readiness.rs
+++ b/tests/dependencies/readiness.rs
@@ -16,7 +16,7 @@
     m.add_job(chained(1, &[]), now);
     m.add_job(chained(2, &[1]), now);
     m.plan(now);
-    let placed = |m: &ClusterModel, n: usize| m.jobs().get(&id(n)).map_or(0, |j| j.placed);
+    let placed = |m: &ClusterModel, n: usize| m.jobs().get(&id(n)).map_or(0, |j| j.place_count);
     assert_eq!((placed(&m, 1), placed(&m, 2)), (1, 0));
     end_tasks(&mut m, &machine, 2, now);
     // All tasks are done, which isn't stored yet.
@@ -38,9 +38,9 @@
     }
     m.plan(now);
     end_tasks(&mut m, &machine, 2, now);
-    let writes = m.take_writes(now);
+    let writes = m.take_due_writes(now);
     let finals = writes.iter().filter_map(|w| match w {
-        PendingWrite::Final { id, .. } => Some((*id, w.unit().urgent)),
+        PendingWrite::Final { id, .. } => Some((*id, w.to_atomic_write().urgent)),
         _ => None,
     });
     assert_eq!(finals.collect::<Vec<_>>(), [(id(1), true), (id(3), false)]);
--- a/tests/dependencies/size.rs
+++ b/tests/dependencies/size.rs
@@ -54,7 +54,7 @@
                 records.len() - stored.len()
             );
             assert!(
-                finals.len() <= m.config().txn_ops,
+                finals.len() <= m.config().max_transaction_changes,
                 "{shape}: {} at once",
                 finals.len()
             );
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -39,7 +39,7 @@
         }
     }
     m.plan(now);
-    let w = m.take_writes(now);
+    let w = m.take_due_writes(now);
     w.iter().for_each(|w| m.write_finished(w, true, now));
     for due in m.take_due_commands(now, 0) {
         let id = due.machine;
@@ -141,8 +141,8 @@
         let p = DeploymentSettings::parse(&text, "test").expect("settings");
         let c = SchedulerConfig::new(&p, OperatorSettings::default());
         let longest = Duration::from_secs_f64(report_s * 1.25);
-        assert!(c.silent > longest + Duration::from_secs(2), "{report_s}");
-        assert!(c.silent <= c.lease);
+        assert!(c.silence_limit > longest + Duration::from_secs(2), "{report_s}");
+        assert!(c.silence_limit <= c.worker_lease);
         let mut m = ClusterModel::new(Arc::new(c), 7);
         m.set_machine_types(types());
         let now = start();
@@ -167,7 +167,7 @@
         r.reclaim_in_s = Some(reclaim_at);
         m.apply_heartbeat(&r, now);
         m.plan_fleet(now);
-        m.machines()[&id].slots.values().any(|s| s.stop.is_some())
+        m.machines()[&id].slots.values().any(|s| s.stop_grace.is_some())
     };
     // No room elsewhere: it may still end in time.
     assert!(!noticed(&mut m, 10, 15.0, now + secs(1)));
@@ -298,7 +298,7 @@
     let bad = tried.set_up().jobs.values_mut().next().expect("the job");
     fail_on_three_machines(bad, secs(1), later);
     tried.plan(later);
-    assert_eq!(tried.jobs().values().next().expect("the job").placed, 1);
+    assert_eq!(tried.jobs().values().next().expect("the job").place_count, 1);
     assert!(released(&mut tried, later).len() >= 17, "one task is tried");
 
     let mut limited = idle_fleet();
@@ -307,7 +307,7 @@
     limited.add_job(record(spec), later);
     limited.plan(later);
     assert_eq!(
-        limited.jobs().values().next().expect("the job").placed,
+        limited.jobs().values().next().expect("the job").place_count,
         5,
         "40 CPUs"
     );
--- a/tests/gap/world/leaders.rs
+++ b/tests/gap/world/leaders.rs
@@ -80,8 +80,8 @@
         model.replay_log(now);
         let limits = AuthorityLimits {
             lease: self.times.leader_lease(),
-            worker_lease: self.config.lease,
-            cancel: self.config.cancel,
+            worker_lease: self.config.worker_lease,
+            cancel: self.config.cancel_deadline,
             clock_error: self.clock_error,
         };
         self.leaders[controller] = Some(Leader {
@@ -122,7 +122,7 @@
     fn play_round(&mut self, controller: usize, leader: &mut Leader, now: Instant) {
         leader.model.expire_leases(now);
         leader.model.plan(now);
-        leader.writes.extend(leader.model.take_writes(now));
+        leader.writes.extend(leader.model.take_due_writes(now));
         for due in leader.model.take_due_commands(now, 4) {
             self.send_command(controller, leader.term, &due.machine, due.batch);
         }
--- a/tests/gap/world/play.rs
+++ b/tests/gap/world/play.rs
@@ -33,7 +33,7 @@
         }
         for machine in 0..MACHINES {
             let now = self.worker_clock(machine);
-            let lease = self.config.lease;
+            let lease = self.config.worker_lease;
             self.workers[machine].expire_lease(now, lease);
         }
         let now = self.now;
@@ -77,7 +77,7 @@
             cancelled: at(self.times.cancel_after),
             paused: at(self.rng.random_range(-3.0..20.0)),
             hung: at(self.rng.random_range(-3.0..20.0)),
-            end: outage_ends + self.config.cancel + secs(30),
+            end: outage_ends + self.config.cancel_deadline + secs(30),
         }
     }
 
@@ -138,7 +138,7 @@
 
     /// No task is live once the time for a cancellation has passed since its confirmation.
     fn check_cancelled_in_time(&self, confirmed: Duration) {
-        let late = self.now > confirmed + self.config.cancel;
+        let late = self.now > confirmed + self.config.cancel_deadline;
         assert!(
             !late || self.live_tasks() == 0,
             "{} tasks {:?} after the confirmation at {confirmed:?}: {:?}",
--- a/tests/planner/backfilling.rs
+++ b/tests/planner/backfilling.rs
@@ -83,7 +83,7 @@
     let round = m.plan(now + secs(2));
     assert_eq!((round.preempted, round.in_order), (1, 1));
     // The stop goes out before the start, in one command.
-    let w = m.take_writes(now + secs(2));
+    let w = m.take_due_writes(now + secs(2));
     w.iter().for_each(|w| m.write_finished(w, true, now + secs(2)));
     let c = m.next_command(&id, now + secs(2)).expect("a command").batch;
     let stop = c
--- a/tests/planner/fixtures.rs
+++ b/tests/planner/fixtures.rs
@@ -48,7 +48,7 @@
         r.tasks = m.machines()[&id]
             .slots
             .iter()
-            .filter(|(_, x)| x.takes_room())
+            .filter(|(_, x)| x.takes_resources())
             .map(|(task, x)| {
                 let over = t >= x.placed_at + secs(run);
                 ReportedTask {
--- a/tests/planner/generated.rs
+++ b/tests/planner/generated.rs
@@ -23,11 +23,11 @@
             .find(|t| t.name == mac.machine_type)
             .expect("a type");
         let (mut c, mut mem) = (0.0, 0.0);
-        for (task, s) in mac.slots.iter().filter(|(_, s)| s.takes_room()) {
+        for (task, s) in mac.slots.iter().filter(|(_, s)| s.takes_resources()) {
             let spec = s.spec.as_ref().expect("a job");
             *places.entry(*task).or_default() += 1;
             *cpus.entry(spec.team.clone()).or_default() += spec.cpus;
-            if s.stop.is_none() {
+            if s.stop_grace.is_none() {
                 c += spec.cpus;
                 mem += spec.memory_gb;
             }
@@ -137,8 +137,8 @@
         check_placements(&m)?;
         let ranks = m.ranks(later);
         for (task, s) in m.machines().values().flat_map(|x| &x.slots) {
-            if s.stop.is_none() { continue; }
-            if m.jobs()[&task.job].broken_gang() { continue; }
+            if s.stop_grace.is_none() { continue; }
+            if m.jobs()[&task.job].is_broken_gang() { continue; }
             let own = ranks[&task.job];
             let gained = |j: &Job| j.waiting.count() < waiting[&j.spec.id];
             let for_better = m.jobs().values().any(|j| ranks[&j.spec.id] < own && gained(j));
@@ -154,7 +154,7 @@
             let young = m.predict(&of.spec) / 4;
             prop_assert!(s.running_since.is_some_and(|t| later - t < young), "{task} is not young");
             let kept = m.machines().values().flat_map(|x| &x.slots)
-                .filter(|(t, s)| t.job == task.job && s.stop.is_none()).count();
+                .filter(|(t, s)| t.job == task.job && s.stop_grace.is_none()).count();
             prop_assert!(kept >= 2, "{task} is stopped though its job has hardly begun");
         }
     }
@@ -182,7 +182,7 @@
         };
         let places = |m: &ClusterModel| -> Vec<(MachineId, TaskId, bool, bool)> {
             m.machines().values()
-                .flat_map(|x| x.slots.iter().map(|(t, s)| (x.id.clone(), *t, s.backfilled, s.stop.is_some())))
+                .flat_map(|x| x.slots.iter().map(|(t, s)| (x.id.clone(), *t, s.backfilled, s.stop_grace.is_some())))
                 .collect()
         };
         let (mut a, mut b) = (build(), build());
--- a/tests/planner/prediction.rs
+++ b/tests/planner/prediction.rs
@@ -58,7 +58,7 @@
         r.token = (1 << 20) + 900;
         m.apply_heartbeat(&r, base + secs(ran));
         sequence = r.sequence + 1;
-        let w = m.take_writes(base + secs(ran));
+        let w = m.take_due_writes(base + secs(ran));
         w.iter().for_each(|w| m.write_finished(w, true, base));
         assert_eq!(m.run_time_ratios().get("blue").copied(), expect);
         m.plan(base + secs(ran));
--- a/tests/planner/preemption.rs
+++ b/tests/planner/preemption.rs
@@ -41,7 +41,7 @@
     m.add_job(record(spec), later);
     m.plan(later);
     let slots = m.machines().values().flat_map(|x| x.slots.values());
-    let stopped = slots.filter(|s| s.stop.is_some()).count();
+    let stopped = slots.filter(|s| s.stop_grace.is_some()).count();
     (m, stopped)
 }
 
@@ -99,7 +99,7 @@
     m.plan(at);
     let slots = m.machines().values().flat_map(|x| x.slots.values());
     assert_eq!(
-        slots.filter(|s| s.stop.is_some()).count(),
+        slots.filter(|s| s.stop_grace.is_some()).count(),
         4,
         "one more is stopped"
     );
--- a/tests/planner/probation.rs
+++ b/tests/planner/probation.rs
@@ -42,7 +42,7 @@
             m.apply_heartbeat(&r, at);
         }
         m.plan(at);
-        placed.push(m.jobs().values().next().expect("the job").placed);
+        placed.push(m.jobs().values().next().expect("the job").place_count);
     }
     placed
 }
--- a/tests/safety/cluster/mod.rs
+++ b/tests/safety/cluster/mod.rs
@@ -93,7 +93,7 @@
         self.model.expire_leases(self.now);
         self.model.plan(self.now);
         let term = self.term;
-        for write in self.model.take_writes(self.now) {
+        for write in self.model.take_due_writes(self.now) {
             self.in_transit.push(Message::Write { write, term });
         }
         for due in self.model.take_due_commands(self.now, 2) {
--- a/tests/safety/cluster/step/machines.rs
+++ b/tests/safety/cluster/step/machines.rs
@@ -64,7 +64,7 @@
             return;
         }
         self.nth_worker(machine).alive = false;
-        self.model.released(&id, self.now);
+        self.model.remove_released_machine(&id, self.now);
         let fresh = format!("{id}x");
         // Names are never used again.
         let used = self.workers.iter().any(|worker| *worker.id == *fresh);
--- a/tests/safety/commands.rs
+++ b/tests/safety/commands.rs
@@ -14,7 +14,7 @@
     m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
     m.add_job(record(job(1, 1, 4.0)), now);
     m.plan(now);
-    let w = m.take_writes(now);
+    let w = m.take_due_writes(now);
     assert!(!w.is_empty());
     assert!(
         m.next_command(&id, now)
@@ -75,7 +75,7 @@
     let job = rec.spec.id;
     m.add_job(rec, now);
     m.plan(now);
-    m.take_writes(now)
+    m.take_due_writes(now)
         .iter()
         .for_each(|w| m.write_finished(w, true, now));
     let c = m.next_command(&id, now).expect("the start").batch;
@@ -116,14 +116,14 @@
     m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
     m.add_job(record(job(1, 2, 4.0)), now);
     m.plan(now);
-    let w = m.take_writes(now);
+    let w = m.take_due_writes(now);
     w.iter().for_each(|w| m.write_finished(w, true, now));
     let c = m.next_command(&id, now).expect("starts").batch;
     let mut r = heartbeat("i-1", "small", "north", false, 7, 2);
     r.token = c.token;
     r.tasks = ended(&m, &id, 1);
     m.command_finished(&id, Some(&r), now);
-    let w = m.take_writes(now + secs(1));
+    let w = m.take_due_writes(now + secs(1));
     let response = m.heartbeat_response(&id, r.token, now).expect("an answer");
     assert!(response.commands.is_empty(), "nothing to say yet");
     w.iter().for_each(|w| m.write_finished(w, true, now));
--- a/tests/safety/generated.rs
+++ b/tests/safety/generated.rs
@@ -101,7 +101,7 @@
             .cloned()
             .collect();
         for id in dead {
-            cluster.model.released(&id, cluster.now);
+            cluster.model.remove_released_machine(&id, cluster.now);
         }
         cluster.step(operation);
         let waiting = cluster.jobs_waiting_despite_room();
--- a/tests/safety/heartbeats.rs
+++ b/tests/safety/heartbeats.rs
@@ -65,9 +65,9 @@
     let now = start();
     let mut m = model(7);
     m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
-    m.released(&MachineId::from("i-1"), now);
+    m.remove_released_machine(&MachineId::from("i-1"), now);
     let mut next = model(8);
-    for w in m.take_writes(now) {
+    for w in m.take_due_writes(now) {
         if let PendingWrite::WriteAheadLog(a) = w {
             for (n, v) in a.segments {
                 assert!(next.load_log_segment(n, v.expect("written")));
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -50,7 +50,7 @@
 fn store(m: &mut ClusterModel, now: Instant) -> Vec<(u64, Option<serde_json::Value>)> {
     let mut segments = Vec::new();
     for s in 0..400 {
-        for w in m.take_writes(now + secs(s)) {
+        for w in m.take_due_writes(now + secs(s)) {
             if let PendingWrite::WriteAheadLog(a) = &w {
                 segments.extend(a.segments.iter().cloned());
             }
@@ -105,7 +105,7 @@
             m.apply_heartbeat(&r, at);
             m.heartbeat_response(&r.machine, r.token, at)
         });
-        let (append, writes) = work(|| m.take_writes(at));
+        let (append, writes) = work(|| m.take_due_writes(at));
         let bytes: usize = writes
             .iter()
             .filter_map(|w| match w {
@@ -126,7 +126,7 @@
             1,
             "the place that fell free is taken"
         );
-        let writes = m.take_writes(at + secs(1));
+        let writes = m.take_due_writes(at + secs(1));
         writes.iter().for_each(|w| m.write_finished(w, true, at));
         let (commands, out) = work(|| m.take_due_commands(at, 64));
         assert_eq!(out.len(), 1, "one machine has something to be told");
@@ -181,7 +181,7 @@
             next.replay_log(now);
         });
         assert_eq!(next.machines().len(), machines);
-        let places: usize = next.jobs().values().map(|j| j.placed as usize).sum();
+        let places: usize = next.jobs().values().map(|j| j.place_count as usize).sum();
         assert_eq!(places, machines * 2, "every place is known");
         cost
     });
@@ -215,7 +215,7 @@
     m.apply_heartbeat(&r, now);
     let round = m.plan(now);
     assert!(round.in_order + round.backfilled > 0);
-    for w in m.take_writes(now) {
+    for w in m.take_due_writes(now) {
         m.write_finished(&w, true, now);
     }
     let next = m.take_due_commands(now, 64);
@@ -247,7 +247,7 @@
         })
         .collect();
     let mut m = model(7);
-    m.listed(&listed, now);
+    m.apply_machine_list(&listed, now);
     assert_eq!(m.machines().len(), LARGE);
     let segments = store(&mut m, now);
     let mut next = model(8);
@@ -256,7 +256,7 @@
     }
     next.replay_log(now);
     assert_eq!(next.machines().len(), LARGE, "the log names them all");
-    let (again, ()) = work(|| next.listed(&listed, now));
+    let (again, ()) = work(|| next.apply_machine_list(&listed, now));
     assert_eq!(next.machines().len(), LARGE);
     assert!(
         again <= LARGE as u64 / 2,
@@ -283,7 +283,7 @@
             m.apply_heartbeat(&r, at);
         }
         m.plan(at);
-        for w in m.take_writes(at) {
+        for w in m.take_due_writes(at) {
             if let PendingWrite::WriteAheadLog(a) = &w {
                 for (n, v) in &a.segments {
                     match v {
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -104,7 +104,7 @@
         let job: JobId = record.spec.id;
         model.add_job(record, now);
         model.plan(now);
-        let writes = model.take_writes(now);
+        let writes = model.take_due_writes(now);
         writes.iter().for_each(|w| model.write_finished(w, true, now));
         let commands = model.next_command(&machine, now).expect("the start").batch;
         let task = TaskId { job, index: 0 };
@@ -165,7 +165,9 @@
     decided.assert_refused(StartRefusal::Stopping);
 
     let mut decided = DecidedStart::new();
-    decided.model.released(&decided.machine, decided.now);
+    decided
+        .model
+        .remove_released_machine(&decided.machine, decided.now);
     decided.assert_refused(StartRefusal::NotPlaced);
 
     let mut decided = DecidedStart::new();
