--- a/src/core/evidence/commands/batch.rs
+++ b/src/core/evidence/commands/batch.rs
@@ -51,7 +51,7 @@
             dependencies: &self.dependencies,
             machine_type: types.find(|t| t.name == machine.machine_type),
             token: machine.peek_token(term),
-            incarnation: machine.newest_message.0.max(1),
+            incarnation: machine.newest_message.incarnation.max(1),
         };
         collect_starts(&mut machine.slots, &conditions, in_use, &mut commands);
         // Acknowledgements go with other commands or in the response to a heartbeat;
--- a/src/core/evidence/heartbeats/machine.rs
+++ b/src/core/evidence/heartbeats/machine.rs
@@ -4,7 +4,7 @@
 
 use tracing::debug;
 
-use crate::core::state::machine::{Machine, MachinePhase};
+use crate::core::state::machine::{Machine, MachinePhase, MessageOrder};
 use crate::wire::Heartbeat;
 
 /// Whether a message is newer than all taken in before, by incarnation and sequence.
@@ -14,10 +14,10 @@
 /// incarnation. A message that is not newer may be a copy that the network held back,
 /// and the tasks that it lists may have ended since.
 pub(super) fn accept_message(machine: &mut Machine, heartbeat: &Heartbeat, now: Instant) -> bool {
-    if (heartbeat.incarnation, heartbeat.sequence) <= machine.newest_message {
+    if MessageOrder::of(heartbeat) <= machine.newest_message {
         return false;
     }
-    machine.newest_message = (heartbeat.incarnation, heartbeat.sequence);
+    machine.newest_message = MessageOrder::of(heartbeat);
     machine.last_heartbeat = Some(now);
     if machine.phase == MachinePhase::Booting {
         machine.phase = MachinePhase::Up;
--- a/src/core/evidence/liveness.rs
+++ b/src/core/evidence/liveness.rs
@@ -4,7 +4,7 @@
 
 use tracing::info;
 
-use crate::core::state::machine::{Machine, MachinePhase};
+use crate::core::state::machine::{Machine, MachinePhase, MessageOrder};
 use crate::core::state::model::ClusterModel;
 use crate::wire::MachineId;
 
@@ -67,7 +67,7 @@
         }
         for id in expired {
             if let Some(machine) = self.machines.get_mut(&id) {
-                machine.newest_message.1 = u64::MAX;
+                machine.newest_message = MessageOrder::end_of(machine.newest_message.incarnation);
             }
             self.remove_all_slots(&id, now, "lease expired");
         }
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -9,7 +9,35 @@
 use crate::core::state::slot::{Slot, SlotState};
 use crate::core::state::token;
 use crate::core::storage::wal::{LogEntry, WriteAheadLog};
-use crate::wire::{Command, ExitReason, JobId, MachineId, TaskId};
+use crate::wire::{Command, ExitReason, Heartbeat, JobId, MachineId, TaskId};
+
+/// Place of a message of a worker in the order of all its messages: a later incarnation
+/// comes after every message of an earlier one.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct MessageOrder {
+    /// Incarnation of the worker, counted up when it starts anew or its lease expires.
+    pub incarnation: u64,
+    /// Sequence number of the message in the incarnation.
+    pub sequence: u64,
+}
+
+impl MessageOrder {
+    /// After every message of an incarnation, so that none of them counts any more.
+    pub(in crate::core) fn end_of(incarnation: u64) -> Self {
+        Self {
+            incarnation,
+            sequence: u64::MAX,
+        }
+    }
+
+    /// The place of a heartbeat, which every message of a worker holds.
+    pub fn of(heartbeat: &Heartbeat) -> Self {
+        Self {
+            incarnation: heartbeat.incarnation,
+            sequence: heartbeat.sequence,
+        }
+    }
+}
 
 /// Phase of a machine between its rental and its release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,8 +68,8 @@
     /// When it was rented, or first listed or heard from; once listed as running, since
     /// then.
     pub known_since: Instant,
-    /// Incarnation and sequence of the newest message.
-    pub newest_message: (u64, u64),
+    /// Place of the newest message that was taken in.
+    pub newest_message: MessageOrder,
     /// Highest fencing token that its heartbeats say it has seen.
     pub seen_token: u64,
     /// Number of fencing tokens issued for it in this term: the low bits of the last.
@@ -90,7 +118,7 @@
             spot: false,
             phase: MachinePhase::Booting,
             known_since: now,
-            newest_message: (0, 0),
+            newest_message: MessageOrder::default(),
             seen_token: 0,
             issued_tokens: 0,
             last_heartbeat: None,
@@ -135,7 +163,7 @@
 
     /// Whether an incarnation of its worker has ended by lease expiry, see [`crate::core::ClusterModel::expire_leases`].
     pub fn incarnation_ended(&self, incarnation: u64) -> bool {
-        self.newest_message == (incarnation, u64::MAX)
+        self.newest_message == MessageOrder::end_of(incarnation)
     }
 
     /// Whether the worker has seen a token of this term, and so refuses earlier leaders.
--- a/src/leader/active_leader/heartbeat_handling.rs
+++ b/src/leader/active_leader/heartbeat_handling.rs
@@ -149,6 +149,7 @@
 /// it is a late copy whose response reaches nobody. Its lease may be renewed.
 fn is_of_live_incarnation(heartbeat: &Heartbeat, machine: Option<&Machine>) -> bool {
     machine.is_some_and(|machine| {
-        machine.newest_message.0 == heartbeat.incarnation && !machine.incarnation_ended(heartbeat.incarnation)
+        machine.newest_message.incarnation == heartbeat.incarnation
+            && !machine.incarnation_ended(heartbeat.incarnation)
     })
 }
--- a/tests/safety/cluster/delivery.rs
+++ b/tests/safety/cluster/delivery.rs
@@ -79,7 +79,7 @@
         let outcome = self.model.apply_heartbeat(&heartbeat, self.now);
         let known = self.model.machines().get(&heartbeat.machine);
         let incarnation_over = known.is_none_or(|machine| {
-            machine.newest_message.0 != heartbeat.incarnation
+            machine.newest_message.incarnation != heartbeat.incarnation
                 || machine.incarnation_ended(heartbeat.incarnation)
         });
         match outcome {
--- a/tests/safety/heartbeats.rs
+++ b/tests/safety/heartbeats.rs
@@ -1,6 +1,7 @@
 //! Heartbeats that are late, or that name what the leader doesn't know.
 
 use bitternfold::core::evidence::heartbeats::HeartbeatOutcome;
+use bitternfold::core::state::machine::MessageOrder;
 use bitternfold::core::storage::pending_writes::PendingWrite;
 use bitternfold::wire::*;
 
@@ -28,7 +29,13 @@
         }];
         assert_eq!(m.apply_heartbeat(&old, now), HeartbeatOutcome::Outdated);
         assert!(m.machines()[&id].slots.is_empty());
-        assert_eq!(m.machines()[&id].newest_message, (2, 5));
+        assert_eq!(
+            m.machines()[&id].newest_message,
+            MessageOrder {
+                incarnation: 2,
+                sequence: 5
+            }
+        );
     }
 }
 
