--- a/src/core/state/model/jobs.rs
+++ b/src/core/state/model/jobs.rs
@@ -20,11 +20,11 @@
         }
         let mut job = Job::new(record, arrival);
         let spec = job.spec.clone();
-        for m in self.machines.values_mut() {
-            for (task, slot) in m.slots.iter_mut().filter(|(t, _)| t.job == id) {
+        for machine in self.machines.values_mut() {
+            for (task, slot) in machine.slots.iter_mut().filter(|(t, _)| t.job == id) {
                 slot.spec = Some(spec.clone());
                 if slot.takes_resources() && task.index < spec.tasks {
-                    job.add_place(task.index, &m.id);
+                    job.add_place(task.index, &machine.id);
                 }
             }
         }
--- a/src/core/state/model/machines.rs
+++ b/src/core/state/model/machines.rs
@@ -22,14 +22,14 @@
         if self.released_machines.contains(&id) {
             return;
         }
-        let m = self
+        let machine = self
             .machines
             .entry(id.clone())
             .or_insert_with(|| Machine::new(id, now));
-        m.machine_type = machine_type.to_owned();
-        m.zone = zone.to_owned();
-        m.spot = spot;
-        let entry = m.log_entry();
+        machine.machine_type = machine_type.to_owned();
+        machine.zone = zone.to_owned();
+        machine.spot = spot;
+        let entry = machine.log_entry();
         self.log.push(entry);
     }
 
@@ -44,39 +44,39 @@
             if !known {
                 found += 1;
             }
-            let m = self.machines.entry(listed.id.clone()).or_insert_with(|| {
-                let mut m = Machine::new(listed.id.clone(), now);
-                if let Some(s) = Duration::try_from_secs_f64(listed.age_s)
+            let machine = self.machines.entry(listed.id.clone()).or_insert_with(|| {
+                let mut machine = Machine::new(listed.id.clone(), now);
+                if let Some(known_since) = Duration::try_from_secs_f64(listed.age_s)
                     .ok()
-                    .and_then(|a| now.checked_sub(a))
+                    .and_then(|age| now.checked_sub(age))
                 {
-                    m.known_since = s;
+                    machine.known_since = known_since;
                 }
-                m
+                machine
             });
             if !known {
-                m.machine_type = listed.machine_type.clone();
-                m.zone = listed.zone.clone();
-                m.spot = listed.spot;
+                machine.machine_type = listed.machine_type.clone();
+                machine.zone = listed.zone.clone();
+                machine.spot = listed.spot;
                 if listed.state == CloudState::Running {
-                    m.phase = MachinePhase::Up;
-                    m.known_since = now;
-                    m.needs_probe = true;
+                    machine.phase = MachinePhase::Up;
+                    machine.known_since = now;
+                    machine.needs_probe = true;
                 }
             }
-            if m.addr.is_empty() && !listed.addr.is_empty() {
-                m.addr = listed.addr.clone();
-                let entry = m.log_entry();
+            if machine.addr.is_empty() && !listed.addr.is_empty() {
+                machine.addr = listed.addr.clone();
+                let entry = machine.log_entry();
                 self.log.push(entry);
             }
-            if listed.state == CloudState::Running && m.phase == MachinePhase::Booting {
-                m.needs_probe = true;
+            if listed.state == CloudState::Running && machine.phase == MachinePhase::Booting {
+                machine.needs_probe = true;
             }
-            if m.needs_probe {
+            if machine.needs_probe {
                 self.command_candidates.insert(listed.id.clone());
             }
             if listed.state == CloudState::Failed {
-                m.cordoned_since.get_or_insert(now);
+                machine.cordoned_since.get_or_insert(now);
                 // Stopped on its own: nothing on it runs any more.
                 self.remove_all_slots(&listed.id, now, "listed as failed");
             }
--- a/src/core/state/model/places.rs
+++ b/src/core/state/model/places.rs
@@ -19,20 +19,28 @@
     }
 
     /// Places a task: the slot is made, the log is told.
-    pub fn place(&mut self, machine: &MachineId, task: TaskId, attempt: u64, backfilled: bool, now: Instant) {
-        let (Some(job), Some(m)) = (self.jobs.get_mut(&task.job), self.machines.get_mut(machine)) else {
+    pub fn place(
+        &mut self,
+        machine_id: &MachineId,
+        task: TaskId,
+        attempt: u64,
+        backfilled: bool,
+        now: Instant,
+    ) {
+        let (Some(job), Some(machine)) = (self.jobs.get_mut(&task.job), self.machines.get_mut(machine_id))
+        else {
             return;
         };
-        job.add_place(task.index, machine);
+        job.add_place(task.index, machine_id);
         self.has_backfilled |= backfilled;
-        m.idle_since = None;
+        machine.idle_since = None;
         let start_log_mark = self.log.push(LogEntry::Start(
-            machine.clone(),
+            machine_id.clone(),
             task.job,
             attempt,
             vec![task.index],
         ));
-        m.slots.insert(
+        machine.slots.insert(
             task,
             Slot {
                 attempt,
@@ -49,57 +57,70 @@
                 stop_ordered_at: None,
             },
         );
-        self.command_candidates.insert(machine.clone());
-        debug!(%task, attempt, machine = %machine, backfilled, "placed");
+        self.command_candidates.insert(machine_id.clone());
+        debug!(%task, attempt, machine = %machine_id, backfilled, "placed");
     }
 
     /// Asks for a task to be stopped. One that was never started goes at once.
-    pub fn stop(&mut self, machine: &MachineId, task: TaskId, grace: Duration, now: Instant, reason: &str) {
-        let Some(m) = self.machines.get_mut(machine) else {
+    pub fn stop(
+        &mut self,
+        machine_id: &MachineId,
+        task: TaskId,
+        grace: Duration,
+        now: Instant,
+        reason: &str,
+    ) {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        let Some(slot) = m.slots.get_mut(&task) else {
+        let Some(slot) = machine.slots.get_mut(&task) else {
             return;
         };
         if slot.state == SlotState::Placed && slot.start_token == 0 {
-            debug!(%task, attempt = slot.attempt, machine = %machine, reason, "placement withdrawn before its start");
-            self.remove_slot(machine, task, now);
+            debug!(%task, attempt = slot.attempt, machine = %machine_id, reason, "placement withdrawn before its start");
+            self.remove_slot(machine_id, task, now);
             return;
         }
         if !slot.takes_resources() || slot.stop_grace.is_some_and(|g| g <= grace) {
             return;
         }
-        debug!(%task, attempt = slot.attempt, machine = %machine, reason, "stopping");
+        debug!(%task, attempt = slot.attempt, machine = %machine_id, reason, "stopping");
         slot.order_stop(grace, now);
-        self.command_candidates.insert(machine.clone());
+        self.command_candidates.insert(machine_id.clone());
     }
 
     /// Removes a slot on evidence; its task waits again unless done.
-    pub(in crate::core) fn remove_slot(&mut self, machine: &MachineId, task: TaskId, now: Instant) {
-        let Some(m) = self.machines.get_mut(machine) else {
+    pub(in crate::core) fn remove_slot(&mut self, machine_id: &MachineId, task: TaskId, now: Instant) {
+        let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
         };
-        if m.slots.remove(&task).is_some() {
-            if !m.slots.values().any(|s| matches!(s.state, SlotState::Ended(_))) {
-                m.unacknowledged_since = None;
+        if machine.slots.remove(&task).is_some() {
+            if !machine
+                .slots
+                .values()
+                .any(|s| matches!(s.state, SlotState::Ended(_)))
+            {
+                machine.unacknowledged_since = None;
             }
-            if m.is_empty() && m.idle_since.is_none() {
-                m.idle_since = Some(now);
+            if machine.is_empty() && machine.idle_since.is_none() {
+                machine.idle_since = Some(now);
             }
             if let Some(job) = self.jobs.get_mut(&task.job) {
-                job.remove_place(task.index, machine);
+                job.remove_place(task.index, machine_id);
             }
         }
     }
 
-    pub(in crate::core) fn remove_all_slots(&mut self, id: &MachineId, now: Instant, reason: &str) {
-        let Some(m) = self.machines.get(id) else { return };
-        let tasks: Vec<TaskId> = m.slots.keys().copied().collect();
+    pub(in crate::core) fn remove_all_slots(&mut self, machine_id: &MachineId, now: Instant, reason: &str) {
+        let Some(machine) = self.machines.get(machine_id) else {
+            return;
+        };
+        let tasks: Vec<TaskId> = machine.slots.keys().copied().collect();
         if !tasks.is_empty() {
-            debug!(machine = %id, tasks = tasks.len(), reason, "its tasks are removed with the machine");
+            debug!(machine = %machine_id, tasks = tasks.len(), reason, "its tasks are removed with the machine");
         }
         for task in tasks {
-            self.remove_slot(id, task, now);
+            self.remove_slot(machine_id, task, now);
         }
     }
 }
--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone)]
 pub enum PendingWrite {
     /// Segments of the write-ahead log.
-    WriteAheadLog(LogAppend),
+    Append(LogAppend),
     /// A job's final state, in place of its unfinished record.
     Final {
         /// The job.
@@ -51,7 +51,7 @@
     pub fn to_atomic_write(&self) -> AtomicWrite {
         let put = |v: Result<serde_json::Value, _>| v.ok();
         let changes = match self {
-            PendingWrite::WriteAheadLog(a) => a
+            PendingWrite::Append(a) => a
                 .segments
                 .iter()
                 .map(|(n, v)| (record::segment_key(*n), v.clone()))
@@ -75,7 +75,7 @@
     /// [`ClusterModel::write_finished`].
     pub fn take_due_writes(&mut self, now: Instant) -> Vec<PendingWrite> {
         let mut writes = Vec::new();
-        writes.extend(self.take_log_append(now).map(PendingWrite::WriteAheadLog));
+        writes.extend(self.take_log_append(now).map(PendingWrite::Append));
         self.stop_cancelled(now);
         self.take_final_states(&mut writes, now);
         writes.extend(self.take_run_time_ratios(now).map(PendingWrite::Ratios));
@@ -175,7 +175,7 @@
                 .is_none_or(|taken_at| now >= taken_at + pause)
         };
         let may_append = has_passed(self.config.min_log_append_interval);
-        if !may_append || !self.log.wants(has_passed(LOG_PAUSE)) {
+        if !may_append || !self.log.append_is_due(has_passed(LOG_PAUSE)) {
             return None;
         }
         let value_bytes = self.config.max_value_bytes.max(1);
@@ -186,7 +186,7 @@
         let (machines, jobs) = (&self.machines, &self.jobs);
         let append = self
             .log
-            .take(max_segments, live_bytes, |entry| live_part(entry, machines, jobs))?;
+            .take_append(max_segments, live_bytes, |entry| live_part(entry, machines, jobs))?;
         self.log_append_taken_at = Some(now);
         Some(append)
     }
@@ -199,11 +199,11 @@
     }
 
     /// A write is stored, or was not.
-    pub fn write_finished(&mut self, w: &PendingWrite, ok: bool, now: Instant) {
-        match w {
-            PendingWrite::WriteAheadLog(a) if ok => self.log.appended(a),
+    pub fn write_finished(&mut self, write: &PendingWrite, stored: bool, now: Instant) {
+        match write {
+            PendingWrite::Append(append) if stored => self.log.appended(append),
             PendingWrite::Final { id, record, .. } => {
-                if ok {
+                if stored {
                     let outcome = match record.state {
                         JobState::Cancelled => DependencyOutcome::Cancelled,
                         _ => DependencyOutcome::Done(Some(now)),
@@ -215,7 +215,7 @@
                     info!(job = %id, state = ?record.state, "its final state is not stored yet");
                 }
             }
-            PendingWrite::WriteAheadLog(_) | PendingWrite::Ratios(_) => {}
+            PendingWrite::Append(_) | PendingWrite::Ratios(_) => {}
         }
     }
 }
--- a/src/core/storage/wal/mod.rs
+++ b/src/core/storage/wal/mod.rs
@@ -2,10 +2,10 @@
 //! and which tasks are done. It lies in the state service in numbered segments.
 //!
 //! A start is sent only after the entry that names it is stored, and a worker
-//! gets the acknowledgement of a done task only after its `done` is stored. So the log may name
-//! more than is there, never less. Segments are filled one after the other; the
-//! live entries of the oldest are written again at the end in the transaction
-//! that deletes it, so the log stays in proportion to what is live.
+//! gets the acknowledgement of a done task only after its `done` is stored. So the log
+//! may name more than is there, never less. Segments are filled one after the other;
+//! the live entries of the oldest are written again at the end in the transaction that
+//! deletes it, so the log stays in proportion to what is live.
 
 mod compaction;
 mod entry;
@@ -43,8 +43,8 @@
 pub struct LogAppend {
     /// Segments by number.
     pub segments: Vec<(u64, Option<Value>)>,
-    /// Entries up to here are stored once it is.
-    pub upto: u64,
+    /// Mark up to which all entries are stored once it is.
+    pub stored_up_to: u64,
 }
 
 /// The log as its writer knows it.
@@ -152,15 +152,15 @@
         mark <= self.stored
     }
 
-    /// Whether an append is due: at once for starts, else when it is `time`.
-    pub fn wants(&self, time: bool) -> bool {
-        !self.in_flight && !self.pending.is_empty() && (self.urgent || time)
+    /// Whether an append is due: at once for starts, else when the pause after the last append is over.
+    pub fn append_is_due(&self, pause_is_over: bool) -> bool {
+        !self.in_flight && !self.pending.is_empty() && (self.urgent || pause_is_over)
     }
 
     /// Takes what is pending, with at most so many segments written or deleted.
     /// The oldest segment is compacted with it if the log has grown well past
     /// `live_bytes`; `live` gives what of an entry is still true.
-    pub fn take(
+    pub fn take_append(
         &mut self,
         max_segments: usize,
         live_bytes: usize,
@@ -173,11 +173,11 @@
         // What is written again comes first: it is older than what is new.
         let deleted = self.compact(max_segments, live_bytes, live, &mut changed);
         let max_changed = (max_segments - usize::from(deleted.is_some())).max(1);
-        let mut upto = self.stored;
+        let mut stored_up_to = self.stored;
         let mut left = Vec::new();
         for (entry, mark) in std::mem::take(&mut self.pending) {
             if left.is_empty() && self.write(&entry, &mut changed, max_changed) {
-                upto = mark;
+                stored_up_to = mark;
             } else {
                 left.push((entry, mark));
             }
@@ -188,7 +188,10 @@
         let value = |n: &u64| serde_json::to_value(&self.segments[n].entries).unwrap_or(Value::Null);
         let mut segments: Vec<_> = changed.iter().map(|n| (*n, Some(value(n)))).collect();
         segments.extend(deleted.map(|n| (n, None)));
-        Some(LogAppend { segments, upto })
+        Some(LogAppend {
+            segments,
+            stored_up_to,
+        })
     }
 
     /// Writes an entry to the open segment or a new one, if no more segments are
@@ -216,6 +219,6 @@
     /// An append is stored.
     pub fn appended(&mut self, append: &LogAppend) {
         self.in_flight = false;
-        self.stored = self.stored.max(append.upto);
+        self.stored = self.stored.max(append.stored_up_to);
     }
 }
--- a/src/leader/active_leader/state_writes.rs
+++ b/src/leader/active_leader/state_writes.rs
@@ -21,7 +21,7 @@
         if let Err(CommitError::Conflict(keys)) = &result {
             info!(?keys, "a write met a changed key");
         }
-        if result.is_err() && matches!(write, PendingWrite::WriteAheadLog(_)) {
+        if result.is_err() && matches!(write, PendingWrite::Append(_)) {
             // The log belongs to this term alone: its content is in doubt now,
             // and the next term reads it afresh.
             return self.end();
@@ -40,9 +40,7 @@
     async fn commit_write(&self, write: &PendingWrite) -> Result<(), CommitError> {
         let result = self.writer.commit(write.to_atomic_write()).await;
         match (&result, write) {
-            (Err(CommitError::Refused), PendingWrite::WriteAheadLog(append)) => {
-                self.commit_in_order(append).await
-            }
+            (Err(CommitError::Refused), PendingWrite::Append(append)) => self.commit_in_order(append).await,
             _ => result,
         }
     }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -147,7 +147,7 @@
                 log.push(LogEntry::Released(format!("i-9{appends:05}").as_str().into()));
             }
             let live = |e: &LogEntry| (!matches!(e, LogEntry::Released(_))).then(|| e.clone());
-            let append = log.take(most, 0, live).expect("something is pending");
+            let append = log.take_append(most, 0, live).expect("something is pending");
             assert!(append.segments.len() <= most, "{} changes", append.segments.len());
             for (number, value) in &append.segments {
                 match value {
@@ -187,7 +187,9 @@
         assert!(log.load(number, json!([])));
     }
     log.push(LogEntry::Released("i-000008".into()));
-    let append = log.take(4, 0, |e| Some(e.clone())).expect("something is pending");
+    let append = log
+        .take_append(4, 0, |e| Some(e.clone()))
+        .expect("something is pending");
     assert!(append.segments.contains(&(1, None)), "the oldest is compacted");
     let written = format!("{:?}", append.segments);
     assert!(written.contains("later"), "the entry is lost: {written}");
--- a/tests/gap/world/leaders.rs
+++ b/tests/gap/world/leaders.rs
@@ -130,7 +130,7 @@
 
     fn store_writes(&mut self, leader: &mut Leader, now: Instant) {
         for write in std::mem::take(&mut leader.writes) {
-            if let PendingWrite::WriteAheadLog(append) = &write {
+            if let PendingWrite::Append(append) = &write {
                 self.store_segments(&append.segments);
             }
             // The cancelled job is kept, so that a later leader finds it.
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -75,7 +75,7 @@
 
     fn take(&self, log: &mut WriteAheadLog) -> Option<LogAppend> {
         let live_bytes = self.slots.len() * 60 + self.slots.values().map(BTreeMap::len).sum::<usize>() * 50;
-        log.take(6, live_bytes + self.done.len() * 6, |e| match e {
+        log.take_append(6, live_bytes + self.done.len() * 6, |e| match e {
             LogEntry::Machine(id, ..) => self.slots.contains_key(id).then(|| e.clone()),
             LogEntry::Released(_) => None,
             LogEntry::Start(id, job, attempt, tasks) => {
@@ -275,7 +275,7 @@
         }
         if i % 20 == 19 {
             let live_bytes = 2 * (i as usize + 1) * 6;
-            let Some(a) = log.take(10, live_bytes, |e| Some(e.clone())) else {
+            let Some(a) = log.take_append(10, live_bytes, |e| Some(e.clone())) else {
                 continue;
             };
             log.appended(&a);
--- a/tests/safety/cluster/mod.rs
+++ b/tests/safety/cluster/mod.rs
@@ -110,7 +110,7 @@
     /// Carries out a write of the current leader.
     pub fn store(&mut self, write: &PendingWrite) {
         match write {
-            PendingWrite::WriteAheadLog(append) => {
+            PendingWrite::Append(append) => {
                 for (number, segment) in &append.segments {
                     match segment {
                         Some(segment) => {
--- a/tests/safety/heartbeats.rs
+++ b/tests/safety/heartbeats.rs
@@ -75,7 +75,7 @@
     m.remove_released_machine(&MachineId::from("i-1"), now);
     let mut next = model(8);
     for w in m.take_due_writes(now) {
-        if let PendingWrite::WriteAheadLog(a) = w {
+        if let PendingWrite::Append(a) = w {
             for (n, v) in a.segments {
                 assert!(next.load_log_segment(n, v.expect("written")));
             }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -51,7 +51,7 @@
     let mut segments = Vec::new();
     for s in 0..400 {
         for w in m.take_due_writes(now + secs(s)) {
-            if let PendingWrite::WriteAheadLog(a) = &w {
+            if let PendingWrite::Append(a) = &w {
                 segments.extend(a.segments.iter().cloned());
             }
             m.write_finished(&w, true, now);
@@ -109,7 +109,7 @@
         let bytes: usize = writes
             .iter()
             .filter_map(|w| match w {
-                PendingWrite::WriteAheadLog(a) => Some(
+                PendingWrite::Append(a) => Some(
                     a.segments
                         .iter()
                         .map(|s| s.1.as_ref().map_or(0, |v| v.to_string().len())),
@@ -284,7 +284,7 @@
         }
         m.plan(at);
         for w in m.take_due_writes(at) {
-            if let PendingWrite::WriteAheadLog(a) = &w {
+            if let PendingWrite::Append(a) = &w {
                 for (n, v) in &a.segments {
                     match v {
                         Some(v) => stored.insert(*n, v.to_string().len()),
