--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -48,7 +48,7 @@
     deployment: DeploymentSettings,
     operator_settings: OperatorSettings,
     config: Arc<SchedulerConfig>,
-    /// Drawn at the start: tells this process from earlier ones on the same host.
+    /// Drawn at the start: distinguishes this process from earlier ones on the same host.
     nonce: u64,
     store: Arc<Store>,
     cloud: Arc<Cloud>,
@@ -121,7 +121,7 @@
         &self.config
     }
 
-    /// Drawn at random by this process, which tells it from earlier ones on this host.
+    /// Drawn at random by this process, which distinguishes it from earlier ones on this host.
     pub fn nonce(&self) -> u64 {
         self.nonce
     }
--- a/src/controller/term_leader.rs
+++ b/src/controller/term_leader.rs
@@ -13,7 +13,7 @@
 pub type PendingResponse<'a> = Pin<Box<dyn Future<Output = ApiResponse> + Send + 'a>>;
 
 /// The leader of one term in this process. The controller hands it the requests that
-/// only a leader may answer, and tells it of what ends its term or casts doubt on it.
+/// only a leader may answer, and notifies it of what ends its term or casts doubt on it.
 pub trait TermLeader: Debug + Send + Sync {
     /// The term that it was elected for.
     fn term(&self) -> u64;
--- a/src/core/evidence/commands/batch.rs
+++ b/src/core/evidence/commands/batch.rs
@@ -141,7 +141,7 @@
 
 /// Adds the starts of placed tasks whose placement is stored and whose job may run.
 ///
-/// A first start waits until the machine has room beside `in_use`: tasks told to stop
+/// A first start waits until the machine has room beside `in_use`: tasks that were ordered to stop
 /// may still be saving. A start that was sent before is repeated in every batch, as the
 /// fresh token may overtake the one it went with.
 fn collect_starts(
--- a/src/core/fleet/partitions.rs
+++ b/src/core/fleet/partitions.rs
@@ -1,4 +1,4 @@
-//! Network partitions, as far as the silence of machines tells of them.
+//! Network partitions, inferred from the silence of machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -65,7 +65,7 @@
     pub spot: bool,
     /// Its phase between rental and release.
     pub phase: MachinePhase,
-    /// When it was rented, or first listed or heard from; once listed as running, since
+    /// When it was rented, first listed, or first sent a heartbeat; once listed as running, since
     /// then.
     pub known_since: Instant,
     /// Place of the newest message that was taken in.
--- a/src/core/state/model/jobs.rs
+++ b/src/core/state/model/jobs.rs
@@ -1,5 +1,5 @@
 //! Jobs of the model: accepted, waiting for others, cancelled, removed; and what a
-//! user may be told of them.
+//! user may be answered about them.
 
 use std::time::{Duration, Instant};
 
@@ -74,7 +74,7 @@
     }
 
     /// Cancels all jobs that need a job whose cancellation is stored. That record
-    /// holds for them, too: theirs need not be stored before anybody is told.
+    /// holds for them, too: theirs need not be stored before it is confirmed to a client.
     fn cancel_dependents(&mut self, id: JobId) {
         for dependent in self.dependencies.cancellation_stored(id) {
             // One that its own user cancels meanwhile has its own record on its way.
@@ -147,10 +147,10 @@
         self.dependencies.remove(id);
     }
 
-    /// What its user is told; `None` also while a final state or a cancellation,
+    /// The status that its user is given; `None` also while a final state or a cancellation,
     /// its own or of a job that it needs, is on its way to be stored. It may be
     /// stored already though no answer says so, and another controller that read
-    /// it may have told the user: only what is stored is sure then.
+    /// it may have confirmed it to the user: only what is stored is sure then.
     pub fn status(&self, id: JobId) -> Option<JobStatus> {
         let job = self.jobs.get(&id)?;
         let cancelled = job.cancellation_is_stored();
--- a/src/core/state/model/places.rs
+++ b/src/core/state/model/places.rs
@@ -18,7 +18,7 @@
         token::first_of_term(self.term) + self.attempts
     }
 
-    /// Places a task: the slot is made, the log is told.
+    /// Places a task: makes the slot and adds the entry of the log.
     pub fn place(
         &mut self,
         machine_id: &MachineId,
--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -71,7 +71,7 @@
 }
 
 impl ClusterModel {
-    /// Takes the writes that are due now. Each is taken once: its end is told by
+    /// Takes the writes that are due now. Each is taken once: its end is reported by
     /// [`ClusterModel::write_finished`].
     pub fn take_due_writes(&mut self, now: Instant) -> Vec<PendingWrite> {
         let mut writes = Vec::new();
--- a/src/response.rs
+++ b/src/response.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Tells a worker to send its heartbeats to another controller from now on.
+    /// Redirects a worker: its heartbeats are to go to another controller from now on.
     pub fn redirect(host: &str) -> Self {
         let report_to = Some(host.to_owned());
         Self::json(421, &Redirect { report_to })
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -74,7 +74,7 @@
         self.max_incoming
     }
 
-    /// Whether more than half of the incoming share is taken. Workers are then told to
+    /// Whether more than half of the incoming share is taken. Workers are then asked to
     /// close their connection after each heartbeat, so that all are served in turn.
     pub fn is_overloaded(&self) -> bool {
         self.incoming.available_permits() * 2 < self.max_incoming
--- a/src/store/writer/batch.rs
+++ b/src/store/writer/batch.rs
@@ -31,7 +31,7 @@
         (Self { write, reply }, outcome)
     }
 
-    /// Tells the caller the outcome. A caller that has given up is no failure.
+    /// Returns the outcome to the caller. A caller that has given up is no failure.
     pub(super) fn finish(self, outcome: Outcome) {
         let _ = self.reply.send(outcome);
     }
--- a/src/store/writer/send.rs
+++ b/src/store/writer/send.rs
@@ -25,7 +25,7 @@
 }
 
 impl Writer {
-    /// Executes a batch, and tells the callers the outcome.
+    /// Executes a batch, and returns the outcome to the callers.
     pub(super) async fn send(&self, mut batch: Batch) {
         let mut keys: Vec<String> = batch.keys().cloned().collect();
         let mut earlier_copy = EarlierCopy::Impossible;
--- a/src/store/writer/state.rs
+++ b/src/store/writer/state.rs
@@ -157,7 +157,7 @@
         self.max_changes = self.max_changes.min(changes.max(MIN_MAX_CHANGES));
     }
 
-    /// A batch was stored at a revision: notes the versions, and tells the callers.
+    /// A batch was stored at a revision: notes the versions, and returns success to the callers.
     pub(super) fn record_stored(&mut self, batch: Batch, revision: u64) {
         for mut queued in batch {
             for (key, value) in std::mem::take(&mut queued.write.changes) {
