--- a/src/core/scheduling/placement/claims.rs
+++ b/src/core/scheduling/placement/claims.rs
@@ -18,7 +18,7 @@
 }
 
 impl Planner<'_> {
-    /// Places tasks of a job, as one attempt: its number identifies the members of a gang
+    /// Places tasks of a job, as one attempt: its number distinguishes the members of a gang
     /// from those of an earlier placement of it.
     pub(super) fn claim_all(&mut self, id: JobId, placements: Vec<Placement>, kind: PlacementKind) {
         let Some(job) = self.model.jobs.get(&id) else {
