--- a/tests/dependencies/cancellation.rs
+++ b/tests/dependencies/cancellation.rs
@@ -10,29 +10,29 @@
 #[test]
 fn a_stored_cancellation_holds_for_all_jobs_after_it_at_once() {
     let now = start();
-    let (mut m, _) = with_machine(now);
+    let (mut model, _) = with_machine(now);
     for (n, awaits) in [(1, vec![]), (2, vec![1]), (3, vec![2]), (4, vec![])] {
-        m.add_job(chained(n, &awaits), now);
+        model.add_job(chained(n, &awaits), now);
     }
-    m.cancel(id(1), now);
+    model.cancel(id(1), now);
     // It may be stored by now though no answer says so.
-    assert_eq!((standing(&m, 1), standing(&m, 3)), (None, None));
-    assert_eq!(standing(&m, 4), Some(JobState::Queued));
-    m.cancel_stored(id(1));
+    assert_eq!((standing(&model, 1), standing(&model, 3)), (None, None));
+    assert_eq!(standing(&model, 4), Some(JobState::Queued));
+    model.cancel_stored(id(1));
     for n in [1, 2, 3] {
-        assert_eq!(standing(&m, n), Some(JobState::Cancelled));
+        assert_eq!(standing(&model, n), Some(JobState::Cancelled));
     }
     // One that names a cancelled job, also through others, is accepted and cancelled.
-    m.add_job(chained(5, &[3, 4]), now);
-    assert_eq!(standing(&m, 5), Some(JobState::Cancelled));
+    model.add_job(chained(5, &[3, 4]), now);
+    assert_eq!(standing(&model, 5), Some(JobState::Cancelled));
     // While their final states are on their way they are called nothing else.
-    let writes = m.take_due_writes(now);
+    let writes = model.take_due_writes(now);
     let finals = writes
         .iter()
         .filter(|w| matches!(w, PendingWrite::Final { .. }))
         .count();
     assert_eq!(finals, 4);
-    assert_eq!(standing(&m, 5), Some(JobState::Cancelled));
+    assert_eq!(standing(&model, 5), Some(JobState::Cancelled));
 }
 
 #[test]
@@ -40,49 +40,52 @@
     // Else its final state could be stored before its cancellation, which would
     // then put the unfinished record back.
     let now = start();
-    let (mut m, _) = with_machine(now);
-    m.add_job(chained(1, &[]), now);
-    m.add_job(chained(2, &[1]), now);
-    m.cancel(id(2), now);
-    m.cancel(id(1), now);
-    m.cancel_stored(id(1));
-    let finals = store_all(&mut m, now);
+    let (mut model, _) = with_machine(now);
+    model.add_job(chained(1, &[]), now);
+    model.add_job(chained(2, &[1]), now);
+    model.cancel(id(2), now);
+    model.cancel(id(1), now);
+    model.cancel_stored(id(1));
+    let finals = store_all(&mut model, now);
     assert_eq!(finals, [(id(1), JobState::Cancelled)]);
-    assert_eq!(standing(&m, 2), None, "its record is on its way");
-    m.cancel_stored(id(2));
-    assert_eq!(store_all(&mut m, now), [(id(2), JobState::Cancelled)]);
+    assert_eq!(standing(&model, 2), None, "its record is on its way");
+    model.cancel_stored(id(2));
+    assert_eq!(store_all(&mut model, now), [(id(2), JobState::Cancelled)]);
 }
 
 #[test]
 fn jobs_after_one_that_was_done_before_its_cancellation_go_on() {
     let now = start();
-    let (mut m, machine) = with_machine(now);
-    m.add_job(chained(1, &[]), now);
-    m.add_job(chained(2, &[1]), now);
-    m.plan(now);
-    end_tasks(&mut m, &machine, 2, now);
+    let (mut model, machine) = with_machine(now);
+    model.add_job(chained(1, &[]), now);
+    model.add_job(chained(2, &[1]), now);
+    model.plan(now);
+    end_tasks(&mut model, &machine, 2, now);
     // Its last task is done before the cancellation arrives.
-    assert!(m.jobs()[&id(1)].is_complete());
-    store_all(&mut m, now);
-    m.cancel(id(1), now);
-    assert_eq!(standing(&m, 2), Some(JobState::Queued));
-    m.plan(now);
-    assert_eq!(m.jobs()[&id(2)].place_count, 1);
+    assert!(model.jobs()[&id(1)].is_complete());
+    store_all(&mut model, now);
+    model.cancel(id(1), now);
+    assert_eq!(standing(&model, 2), Some(JobState::Queued));
+    model.plan(now);
+    assert_eq!(model.jobs()[&id(2)].place_count, 1);
 }
 
 #[test]
 fn a_new_leader_gives_no_status_and_starts_nothing_before_dependencies_are_resolved() {
     let now = start();
-    let (mut m, _) = with_machine(now);
-    m.add_job(chained(2, &[1]), now);
-    m.add_job(chained(3, &[2]), now);
-    m.plan(now);
-    assert_eq!(m.jobs()[&id(2)].place_count, 0);
-    assert_eq!((standing(&m, 2), standing(&m, 3)), (None, None));
-    assert_eq!(m.dependencies().unresolved().iter().collect::<Vec<_>>(), [&id(1)]);
-    m.resolve_dependency(id(1), DependencyOutcome::Cancelled);
-    assert_eq!(standing(&m, 3), Some(JobState::Cancelled));
-    assert!(m.dependencies().unresolved().is_empty());
+    let (mut model, _) = with_machine(now);
+    model.add_job(chained(2, &[1]), now);
+    model.add_job(chained(3, &[2]), now);
+    model.plan(now);
+    assert_eq!(model.jobs()[&id(2)].place_count, 0);
+    assert_eq!((standing(&model, 2), standing(&model, 3)), (None, None));
+    assert_eq!(
+        model.dependencies().unresolved().iter().collect::<Vec<_>>(),
+        [&id(1)]
+    );
+    model.resolve_dependency(id(1), DependencyOutcome::Cancelled);
+    assert_eq!(standing(&model, 3), Some(JobState::Cancelled));
+    assert!(model.dependencies().unresolved().is_empty());
 }
 
 /// Tasks of a job that waits, which a version without dependencies has started,
@@ -90,19 +93,22 @@
 #[test]
 fn what_an_earlier_version_started_too_early_is_stopped_with_what_it_needs() {
     let now = start();
-    let (mut m, machine) = with_machine(now);
-    m.add_job(chained(1, &[]), now);
-    m.add_job(chained(2, &[1]), now);
-    let attempt = m.new_attempt();
+    let (mut model, machine) = with_machine(now);
+    model.add_job(chained(1, &[]), now);
+    model.add_job(chained(2, &[1]), now);
+    let attempt = model.new_attempt();
     let task = TaskId { job: id(2), index: 0 };
-    m.place(&machine, task, attempt, false, now);
-    let mut r = heartbeat(&machine, "large", "north", false, 7, 2);
-    r.token = (7 << 20) + 1000;
-    r.tasks = running(&m, &machine);
-    m.apply_heartbeat(&r, now);
-    m.cancel(id(1), now);
-    m.cancel_stored(id(1));
-    store_all(&mut m, now);
-    assert!(m.machines()[&machine].slots[&task].stop_grace.is_some());
-    assert!(m.jobs().contains_key(&id(2)), "not over before its task is gone");
+    model.place(&machine, task, attempt, false, now);
+    let mut message = heartbeat(&machine, "large", "north", false, 7, 2);
+    message.token = (7 << 20) + 1000;
+    message.tasks = running(&model, &machine);
+    model.apply_heartbeat(&message, now);
+    model.cancel(id(1), now);
+    model.cancel_stored(id(1));
+    store_all(&mut model, now);
+    assert!(model.machines()[&machine].slots[&task].stop_grace.is_some());
+    assert!(
+        model.jobs().contains_key(&id(2)),
+        "not over before its task is gone"
+    );
 }
--- a/tests/dependencies/fixtures.rs
+++ b/tests/dependencies/fixtures.rs
@@ -22,16 +22,16 @@
 
 /// A model with an idle machine that obeys it.
 pub fn with_machine(now: Instant) -> (ClusterModel, MachineId) {
-    let mut m = model(7);
-    m.apply_heartbeat(&heartbeat("i-1", "large", "north", false, 7, 1), now);
-    (m, "i-1".into())
+    let mut model = model(7);
+    model.apply_heartbeat(&heartbeat("i-1", "large", "north", false, 7, 1), now);
+    (model, "i-1".into())
 }
 
 /// Writes whatever is due, and says that it is stored. The final states among it.
-pub fn store_all(m: &mut ClusterModel, now: Instant) -> Vec<(JobId, JobState)> {
+pub fn store_all(model: &mut ClusterModel, now: Instant) -> Vec<(JobId, JobState)> {
     let mut finals = Vec::new();
-    for write in m.take_due_writes(now) {
-        m.write_finished(&write, true, now);
+    for write in model.take_due_writes(now) {
+        model.write_finished(&write, true, now);
         if let PendingWrite::Final { id, record, .. } = write {
             finals.push((id, record.state));
         }
@@ -40,13 +40,13 @@
 }
 
 /// Lets the tasks on a machine end.
-pub fn end_tasks(m: &mut ClusterModel, machine: &MachineId, sequence: u64, now: Instant) {
-    let mut r = heartbeat(machine, "large", "north", false, 7, sequence);
-    r.token = m.machines()[machine].seen_token.max((7 << 20) + 1000);
-    r.tasks = ended(m, machine, usize::MAX);
-    m.apply_heartbeat(&r, now);
+pub fn end_tasks(model: &mut ClusterModel, machine: &MachineId, sequence: u64, now: Instant) {
+    let mut message = heartbeat(machine, "large", "north", false, 7, sequence);
+    message.token = model.machines()[machine].seen_token.max((7 << 20) + 1000);
+    message.tasks = ended(model, machine, usize::MAX);
+    model.apply_heartbeat(&message, now);
 }
 
-pub fn standing(m: &ClusterModel, n: usize) -> Option<JobState> {
-    m.status(id(n)).map(|v| v.state)
+pub fn standing(model: &ClusterModel, n: usize) -> Option<JobState> {
+    model.status(id(n)).map(|v| v.state)
 }
--- a/tests/dependencies/readiness.rs
+++ b/tests/dependencies/readiness.rs
@@ -12,33 +12,33 @@
 #[test]
 fn a_job_starts_only_once_all_that_it_needs_are_stored_as_done() {
     let now = start();
-    let (mut m, machine) = with_machine(now);
-    m.add_job(chained(1, &[]), now);
-    m.add_job(chained(2, &[1]), now);
-    m.plan(now);
+    let (mut model, machine) = with_machine(now);
+    model.add_job(chained(1, &[]), now);
+    model.add_job(chained(2, &[1]), now);
+    model.plan(now);
     let placed = |m: &ClusterModel, n: usize| m.jobs().get(&id(n)).map_or(0, |j| j.place_count);
-    assert_eq!((placed(&m, 1), placed(&m, 2)), (1, 0));
-    end_tasks(&mut m, &machine, 2, now);
+    assert_eq!((placed(&model, 1), placed(&model, 2)), (1, 0));
+    end_tasks(&mut model, &machine, 2, now);
     // All tasks are done, which isn't stored yet.
-    m.plan(now);
-    assert_eq!(placed(&m, 2), 0, "done, but not stored");
+    model.plan(now);
+    assert_eq!(placed(&model, 2), 0, "done, but not stored");
     let ended = now + secs(1);
-    assert_eq!(store_all(&mut m, ended), [(id(1), JobState::Done)]);
-    m.plan(ended);
-    assert_eq!(placed(&m, 2), 1);
-    assert_eq!(m.ready_since(&m.jobs()[&id(2)]), ended);
+    assert_eq!(store_all(&mut model, ended), [(id(1), JobState::Done)]);
+    model.plan(ended);
+    assert_eq!(placed(&model, 2), 1);
+    assert_eq!(model.ready_since(&model.jobs()[&id(2)]), ended);
 }
 
 #[test]
 fn the_end_of_a_job_that_others_wait_for_is_stored_before_other_ends() {
     let now = start();
-    let (mut m, machine) = with_machine(now);
+    let (mut model, machine) = with_machine(now);
     for (n, awaits) in [(1, vec![]), (2, vec![1]), (3, vec![])] {
-        m.add_job(chained(n, &awaits), now);
+        model.add_job(chained(n, &awaits), now);
     }
-    m.plan(now);
-    end_tasks(&mut m, &machine, 2, now);
-    let writes = m.take_due_writes(now);
+    model.plan(now);
+    end_tasks(&mut model, &machine, 2, now);
+    let writes = model.take_due_writes(now);
     let finals = writes.iter().filter_map(|w| match w {
         PendingWrite::Final { id, .. } => Some((*id, w.to_atomic_write().urgent)),
         _ => None,
@@ -50,16 +50,16 @@
 fn no_start_is_sent_for_a_job_that_waits_whatever_led_to_its_placement() {
     // The last guard before a worker hears of it.
     let now = start();
-    let (mut m, machine) = with_machine(now);
-    m.add_job(chained(1, &[]), now);
-    m.add_job(chained(2, &[1]), now);
+    let (mut model, machine) = with_machine(now);
+    model.add_job(chained(1, &[]), now);
+    model.add_job(chained(2, &[1]), now);
     for n in [1, 2] {
         let task = TaskId { job: id(n), index: 0 };
-        let attempt = m.new_attempt();
-        m.place(&machine, task, attempt, false, now);
+        let attempt = model.new_attempt();
+        model.place(&machine, task, attempt, false, now);
     }
-    store_all(&mut m, now);
-    let commands = m.take_due_commands(now, 9);
+    store_all(&mut model, now);
+    let commands = model.take_due_commands(now, 9);
     let started: Vec<JobId> = commands
         .iter()
         .flat_map(|due| &due.batch.commands)
@@ -74,28 +74,28 @@
 #[test]
 fn a_job_that_waits_holds_nothing_and_ages_from_when_it_is_ready() {
     let now = start();
-    let (mut m, _) = with_machine(now);
+    let (mut model, _) = with_machine(now);
     // Red's guarantee is 16 CPUs: the first job of 12 leaves no room for another.
     for (n, awaits) in [(1, vec![]), (2, vec![1]), (3, vec![])] {
         let mut record = chained(n, &awaits);
         (record.spec.team, record.spec.cpus) = ("red".into(), if n == 3 { 4.0 } else { 12.0 });
-        m.add_job(record, now - secs(300) + secs(u64::from(n)));
+        model.add_job(record, now - secs(300) + secs(u64::from(n)));
     }
-    let ranks = m.ranks(now);
+    let ranks = model.ranks(now);
     assert!(!ranks.contains_key(&id(2)), "it has no place in the queue");
-    let wanted: Vec<JobId> = m.jobs_waiting_for_capacity().map(|j| j.spec.id).collect();
+    let wanted: Vec<JobId> = model.jobs_waiting_for_capacity().map(|j| j.spec.id).collect();
     assert_eq!(wanted, [id(1), id(3)]);
     assert_eq!(ranks[&id(3)].tier, Tier::Starved, "it waits since it arrived");
-    m.set_up().jobs.get_mut(&id(3)).expect("known").done.insert(0);
+    model.set_up().jobs.get_mut(&id(3)).expect("known").done.insert(0);
     assert_eq!(
-        m.ranks(now)[&id(3)].tier,
+        model.ranks(now)[&id(3)].tier,
         Tier::WithinQuota,
         "the one that waits takes no part"
     );
-    m.resolve_dependency(id(1), DependencyOutcome::Done(Some(now - secs(5))));
-    assert_eq!(m.ready_since(&m.jobs()[&id(2)]), now - secs(5));
+    model.resolve_dependency(id(1), DependencyOutcome::Done(Some(now - secs(5))));
+    assert_eq!(model.ready_since(&model.jobs()[&id(2)]), now - secs(5));
     assert_ne!(
-        m.ranks(now)[&id(2)].tier,
+        model.ranks(now)[&id(2)].tier,
         Tier::Starved,
         "it waits for 5 s, not for 300"
     );
@@ -104,36 +104,39 @@
 #[test]
 fn a_job_that_waits_rents_nothing() {
     let now = start();
-    let mut m = model(7);
-    m.add_job(chained(1, &[9]), now);
+    let mut model = model(7);
+    model.add_job(chained(1, &[9]), now);
     assert!(
-        m.plan_fleet(now).is_empty(),
+        model.plan_fleet(now).is_empty(),
         "nothing is rented for a job that waits"
     );
-    m.resolve_dependency(id(9), DependencyOutcome::Done(None));
-    assert!(!m.plan_fleet(now).is_empty(), "it is once the job is ready");
+    model.resolve_dependency(id(9), DependencyOutcome::Done(None));
+    assert!(!model.plan_fleet(now).is_empty(), "it is once the job is ready");
 }
 
 #[test]
 fn a_pipeline_is_ranked_by_its_last_job() {
     let now = start();
-    let (mut m, _) = with_machine(now);
+    let (mut model, _) = with_machine(now);
     let mut first = chained(1, &[]);
     first.spec.priority = Priority::Low;
-    m.add_job(first, now);
-    m.add_job(chained(2, &[]), now);
-    let before = m.ranks(now);
+    model.add_job(first, now);
+    model.add_job(chained(2, &[]), now);
+    let before = model.ranks(now);
     assert!(before[&id(2)] < before[&id(1)]);
     let mut last = chained(3, &[1]);
     (last.spec.priority, last.spec.deadline_s) = (Priority::High, Some(100.0));
-    m.add_job(last, now);
-    let after = m.ranks(now);
+    model.add_job(last, now);
+    let after = model.ranks(now);
     assert!(
         after[&id(1)] < after[&id(2)],
         "it comes first for the sake of the last"
     );
     // The last one's own run is left out of the time that the first has.
-    let inherited = m.dependencies().inherited_urgency(id(1)).expect("it is needed");
+    let inherited = model
+        .dependencies()
+        .inherited_urgency(id(1))
+        .expect("it is needed");
     assert_eq!(inherited.due, Some(now + secs(40)));
-    assert_eq!(m.priority(&m.jobs()[&id(1)]), Priority::High);
+    assert_eq!(model.priority(&model.jobs()[&id(1)]), Priority::High);
 }
--- a/tests/dependencies/size.rs
+++ b/tests/dependencies/size.rs
@@ -31,15 +31,15 @@
 fn ten_thousand_jobs_are_cancelled_with_the_first_and_stored_in_bounded_batches() {
     for (shape, records) in shapes() {
         let now = start();
-        let mut m = model(7);
+        let mut model = model(7);
         // In the order in which a new leader may read them.
         for record in records.iter().rev() {
-            m.add_job(record.clone(), now);
+            model.add_job(record.clone(), now);
         }
-        assert!(m.dependencies().unresolved().is_empty(), "{shape}");
-        m.cancel(id(0), now);
-        m.cancel_stored(id(0));
-        let cancelled = |n: &usize| standing(&m, *n) == Some(JobState::Cancelled);
+        assert!(model.dependencies().unresolved().is_empty(), "{shape}");
+        model.cancel(id(0), now);
+        model.cancel_stored(id(0));
+        let cancelled = |n: &usize| standing(&model, *n) == Some(JobState::Cancelled);
         assert_eq!(
             (0..records.len()).filter(cancelled).count(),
             records.len(),
@@ -47,21 +47,21 @@
         );
         let mut stored = BTreeSet::new();
         while stored.len() < records.len() {
-            let finals = store_all(&mut m, now);
+            let finals = store_all(&mut model, now);
             assert!(
                 !finals.is_empty(),
                 "{shape}: {} are left",
                 records.len() - stored.len()
             );
             assert!(
-                finals.len() <= m.config().max_transaction_changes,
+                finals.len() <= model.config().max_transaction_changes,
                 "{shape}: {} at once",
                 finals.len()
             );
             assert!(finals.iter().all(|f| f.1 == JobState::Cancelled), "{shape}");
             stored.extend(finals.into_iter().map(|f| f.0));
         }
-        assert!(m.jobs().is_empty(), "{shape}");
+        assert!(model.jobs().is_empty(), "{shape}");
     }
 }
 
@@ -69,9 +69,9 @@
 fn ten_thousand_jobs_become_ready_in_their_turn() {
     for (shape, records) in shapes() {
         let now = start();
-        let mut m = model(7);
+        let mut model = model(7);
         for record in &records {
-            m.add_job(record.clone(), now);
+            model.add_job(record.clone(), now);
         }
         let mut done: BTreeSet<JobId> = BTreeSet::new();
         let mut next: Vec<JobId> = vec![id(0)];
@@ -82,13 +82,21 @@
             }
         }
         while let Some(ended) = next.pop() {
-            assert!(m.dependencies().is_ready(ended), "{shape}: {ended} is ready");
-            m.resolve_dependency(ended, DependencyOutcome::Done(Some(now)));
-            m.remove_job(ended);
+            assert!(model.dependencies().is_ready(ended), "{shape}: {ended} is ready");
+            model.resolve_dependency(ended, DependencyOutcome::Done(Some(now)));
+            model.remove_job(ended);
             done.insert(ended);
             for dependent in after.get(&ended).into_iter().flatten() {
-                let all = m.jobs()[dependent].spec.awaits.iter().all(|n| done.contains(n));
-                assert_eq!(m.dependencies().is_ready(*dependent), all, "{shape}: {dependent}");
+                let all = model.jobs()[dependent]
+                    .spec
+                    .awaits
+                    .iter()
+                    .all(|n| done.contains(n));
+                assert_eq!(
+                    model.dependencies().is_ready(*dependent),
+                    all,
+                    "{shape}: {dependent}"
+                );
                 if all && !done.contains(dependent) && !next.contains(dependent) {
                     next.push(*dependent);
                 }
--- a/tests/planner/cordon.rs
+++ b/tests/planner/cordon.rs
@@ -10,23 +10,23 @@
     // Jobs that are fine elsewhere, or more than are likely to be bad at once.
     for (jobs, fine) in [(2, true), (3, false)] {
         let now = start();
-        let mut m = model(1);
-        add(&mut m, "i-1", "small", "north", false, now);
+        let mut model = model(1);
+        add(&mut model, "i-1", "small", "north", false, now);
         for n in 1..=jobs {
-            m.add_job(record(job(n, 2, 1.0)), now);
+            model.add_job(record(job(n, 2, 1.0)), now);
         }
         if fine {
-            let first = m.set_up().jobs.values_mut().next().expect("a job");
+            let first = model.set_up().jobs.values_mut().next().expect("a job");
             first.waiting.remove(1);
             first.done.insert(1);
         }
-        m.plan(now);
+        model.plan(now);
         let id = MachineId::from("i-1");
-        all_ended(&mut m, "i-1", ExitReason::Failed, 2, now + secs(1));
-        assert!(m.machines()[&id].cordoned_since.is_some(), "{jobs} jobs");
-        add(&mut m, "i-2", "small", "north", false, now + secs(1));
-        m.plan(now + secs(1));
-        assert!(!tasks_on(&m, "i-2").is_empty() && tasks_on(&m, "i-1").is_empty());
+        all_ended(&mut model, "i-1", ExitReason::Failed, 2, now + secs(1));
+        assert!(model.machines()[&id].cordoned_since.is_some(), "{jobs} jobs");
+        add(&mut model, "i-2", "small", "north", false, now + secs(1));
+        model.plan(now + secs(1));
+        assert!(!tasks_on(&model, "i-2").is_empty() && tasks_on(&model, "i-1").is_empty());
     }
 }
 
@@ -35,26 +35,26 @@
     // Submitted with a mistake: two such jobs fail wherever they are tried,
     // beside a job that is fine. Only their pauses grow, and not for long.
     let mut now = start();
-    let mut m = model(1);
+    let mut model = model(1);
     let ids: Vec<String> = (1..=8).map(|i| format!("i-{i}")).collect();
     ids.iter()
-        .for_each(|id| add(&mut m, id, "small", "north", false, now));
+        .for_each(|id| add(&mut model, id, "small", "north", false, now));
     for n in [1, 2] {
-        m.add_job(record(job(n, 16, 4.0)), now);
+        model.add_job(record(job(n, 16, 4.0)), now);
     }
-    let bad: Vec<JobId> = m.jobs().keys().copied().collect();
+    let bad: Vec<JobId> = model.jobs().keys().copied().collect();
     let mut tries = 0;
     for i in 0..300u64 {
         now += secs(1);
-        m.plan(now);
+        model.plan(now);
         for id in &ids {
-            tries += tasks_on(&m, id).len();
-            all_ended(&mut m, id, ExitReason::Failed, 10 + i * 2, now);
+            tries += tasks_on(&model, id).len();
+            all_ended(&mut model, id, ExitReason::Failed, 10 + i * 2, now);
         }
     }
-    assert!(m.machines().values().all(|x| x.cordoned_since.is_none()));
+    assert!(model.machines().values().all(|x| x.cordoned_since.is_none()));
     assert!((18..80).contains(&tries), "{tries} tries in 300 s");
-    let longest = m
+    let longest = model
         .jobs()
         .values()
         .filter_map(|j| j.pause_until)
@@ -62,14 +62,14 @@
         .expect("a pause");
     assert!(longest <= now + secs(20));
     // One was only unlucky: it is tried again in time, and then runs in full.
-    let job = m.set_up().jobs.get_mut(&bad[0]).expect("known");
+    let job = model.set_up().jobs.get_mut(&bad[0]).expect("known");
     job.done.insert(0);
     job.waiting.remove(0);
     job.failures.clear();
     job.pause_until = None;
-    m.plan(now + secs(1));
+    model.plan(now + secs(1));
     assert_eq!(
-        m.jobs()[&bad[0]].waiting.count(),
+        model.jobs()[&bad[0]].waiting.count(),
         0,
         "15 tasks on 8 machines of 8 CPUs"
     );
@@ -80,32 +80,32 @@
     // Three sick machines among good ones, and no task is done for long: tried
     // on one at a time, its other tasks would wait beside free machines.
     let now = start();
-    let mut m = model(1);
+    let mut model = model(1);
     let ids: Vec<String> = (1..=4).map(|i| format!("i-{i}")).collect();
     ids.iter()
-        .for_each(|id| add(&mut m, id, "small", "north", false, now));
-    m.add_job(record(job(1, 4, 8.0)), now);
-    m.plan(now);
-    let mut r = heartbeat("i-1", "small", "north", false, 1, 2);
-    r.tasks = running(&m, &"i-1".into());
-    m.apply_heartbeat(&r, now + secs(1));
+        .for_each(|id| add(&mut model, id, "small", "north", false, now));
+    model.add_job(record(job(1, 4, 8.0)), now);
+    model.plan(now);
+    let mut message = heartbeat("i-1", "small", "north", false, 1, 2);
+    message.tasks = running(&model, &"i-1".into());
+    model.apply_heartbeat(&message, now + secs(1));
     for id in &ids[1..] {
-        all_ended(&mut m, id, ExitReason::Failed, 2, now + secs(2));
+        all_ended(&mut model, id, ExitReason::Failed, 2, now + secs(2));
     }
-    let only = m.jobs().values().next().expect("the job");
+    let only = model.jobs().values().next().expect("the job");
     assert_eq!(
-        m.placement_limit(only, now + secs(3)),
+        model.placement_limit(only, now + secs(3)),
         1,
         "so far it may fail everywhere"
     );
     assert!(
-        m.placement_limit(only, now + secs(60)) >= 4,
+        model.placement_limit(only, now + secs(60)) >= 4,
         "one task runs on and on: all are admitted"
     );
-    add(&mut m, "i-5", "small", "north", false, now + secs(60));
-    add(&mut m, "i-6", "small", "north", false, now + secs(60));
-    m.plan(now + secs(60));
-    assert_eq!(tasks_on(&m, "i-5").len() + tasks_on(&m, "i-6").len(), 2);
+    add(&mut model, "i-5", "small", "north", false, now + secs(60));
+    add(&mut model, "i-6", "small", "north", false, now + secs(60));
+    model.plan(now + secs(60));
+    assert_eq!(tasks_on(&model, "i-5").len() + tasks_on(&model, "i-6").len(), 2);
 }
 
 #[test]
@@ -115,21 +115,26 @@
     // may be over.
     for busy in [false, true] {
         let now = start();
-        let mut m = model(1);
-        add(&mut m, "i-1", "small", "north", false, now);
+        let mut model = model(1);
+        add(&mut model, "i-1", "small", "north", false, now);
         if busy {
-            m.add_job(record(job(1, 1, 4.0)), now);
-            m.plan(now);
+            model.add_job(record(job(1, 1, 4.0)), now);
+            model.plan(now);
         }
         let id = MachineId::from("i-1");
-        m.set_up().machines.get_mut(&id).expect("known").cordoned_since = Some(now);
-        m.add_job(record(job(2, 1, 4.0)), now);
-        m.plan(now + secs(30));
-        assert_eq!(tasks_on(&m, "i-1").len(), usize::from(busy), "still cordoned");
-        let mut r = heartbeat("i-1", "small", "north", false, 1, 9);
-        r.tasks = running(&m, &id);
-        m.apply_heartbeat(&r, now + secs(60));
-        m.plan(now + secs(60));
-        assert_eq!(tasks_on(&m, "i-1").len(), 1 + usize::from(busy));
+        model
+            .set_up()
+            .machines
+            .get_mut(&id)
+            .expect("known")
+            .cordoned_since = Some(now);
+        model.add_job(record(job(2, 1, 4.0)), now);
+        model.plan(now + secs(30));
+        assert_eq!(tasks_on(&model, "i-1").len(), usize::from(busy), "still cordoned");
+        let mut message = heartbeat("i-1", "small", "north", false, 1, 9);
+        message.tasks = running(&model, &id);
+        model.apply_heartbeat(&message, now + secs(60));
+        model.plan(now + secs(60));
+        assert_eq!(tasks_on(&model, "i-1").len(), 1 + usize::from(busy));
     }
 }
--- a/tests/planner/gangs.rs
+++ b/tests/planner/gangs.rs
@@ -10,20 +10,20 @@
 #[test]
 fn a_gang_is_placed_whole_or_not_at_all() {
     let now = start();
-    let mut m = model(1);
-    add(&mut m, "i-1", "small", "north", false, now);
-    let mut g = job(1, 3, 4.0);
-    g.kind = JobKind::Gang;
-    m.add_job(record(g), now);
-    m.plan(now);
-    assert!(tasks_on(&m, "i-1").is_empty(), "two of three would fit");
-    add(&mut m, "i-2", "small", "south", false, now);
-    m.plan(now);
-    let attempts: BTreeSet<u64> = m
+    let mut model = model(1);
+    add(&mut model, "i-1", "small", "north", false, now);
+    let mut spec = job(1, 3, 4.0);
+    spec.kind = JobKind::Gang;
+    model.add_job(record(spec), now);
+    model.plan(now);
+    assert!(tasks_on(&model, "i-1").is_empty(), "two of three would fit");
+    add(&mut model, "i-2", "small", "south", false, now);
+    model.plan(now);
+    let attempts: BTreeSet<u64> = model
         .machines()
         .values()
         .flat_map(|x| x.slots.values().map(|s| s.attempt))
         .collect();
-    assert_eq!(m.jobs().values().next().expect("the job").places.len(), 3);
+    assert_eq!(model.jobs().values().next().expect("the job").places.len(), 3);
     assert_eq!(attempts.len(), 1, "a gang's tasks share their attempt");
 }
--- a/tests/planner/generated.rs
+++ b/tests/planner/generated.rs
@@ -13,33 +13,33 @@
 use crate::fixtures::*;
 use crate::support::*;
 
-fn check_placements(m: &ClusterModel) -> Result<(), TestCaseError> {
+fn check_placements(model: &ClusterModel) -> Result<(), TestCaseError> {
     let mut cpus: HashMap<String, f64> = HashMap::new();
     let mut places: HashMap<TaskId, u32> = HashMap::new();
-    for mac in m.machines().values() {
-        let kind = m
+    for machine in model.machines().values() {
+        let kind = model
             .machine_types()
             .iter()
-            .find(|t| t.name == mac.machine_type)
+            .find(|t| t.name == machine.machine_type)
             .expect("a type");
-        let (mut c, mut mem) = (0.0, 0.0);
-        for (task, s) in mac.slots.iter().filter(|(_, s)| s.takes_resources()) {
-            let spec = s.spec.as_ref().expect("a job");
+        let (mut used_cpus, mut used_memory_gb) = (0.0, 0.0);
+        for (task, slot) in machine.slots.iter().filter(|(_, slot)| slot.takes_resources()) {
+            let spec = slot.spec.as_ref().expect("a job");
             *places.entry(*task).or_default() += 1;
             *cpus.entry(spec.team.clone()).or_default() += spec.cpus;
-            if s.stop_grace.is_none() {
-                c += spec.cpus;
-                mem += spec.memory_gb;
+            if slot.stop_grace.is_none() {
+                used_cpus += spec.cpus;
+                used_memory_gb += spec.memory_gb;
             }
             prop_assert!(fits_machine_type(spec, kind), "forbidden type");
-            prop_assert!(spec.spot || !mac.spot, "forbidden kind");
+            prop_assert!(spec.spot || !machine.spot, "forbidden kind");
             prop_assert!(
-                spec.zone.as_ref().is_none_or(|z| *z == mac.zone),
+                spec.zone.as_ref().is_none_or(|z| *z == machine.zone),
                 "forbidden zone"
             );
         }
         prop_assert!(
-            c <= kind.cpus + 1e-6 && mem <= kind.memory_gb + 1e-6,
+            used_cpus <= kind.cpus + 1e-6 && used_memory_gb <= kind.memory_gb + 1e-6,
             "machine overfull"
         );
     }
@@ -48,10 +48,10 @@
         cpus.get("red").copied().unwrap_or(0.0) <= 40.0 + 1e-6,
         "above the team's limit"
     );
-    for (id, job) in m.jobs() {
+    for (id, job) in model.jobs() {
         let mut zones: HashMap<&str, u32> = HashMap::new();
-        for mac in job.places.values().flatten() {
-            *zones.entry(m.machines()[mac].zone.as_str()).or_default() += 1;
+        for machine in job.places.values().flatten() {
+            *zones.entry(model.machines()[machine].zone.as_str()).or_default() += 1;
         }
         if job.spec.one_zone {
             prop_assert!(zones.len() <= 1, "{id} in two zones");
@@ -70,7 +70,7 @@
     Ok(())
 }
 
-fn any_job(n: u32) -> impl Strategy<Value = JobSpec> {
+fn any_job(number: u32) -> impl Strategy<Value = JobSpec> {
     (
         1..9u32,
         1..20u32,
@@ -80,23 +80,23 @@
         0..4u8,
         1..200u32,
     )
-        .prop_map(move |(tasks, cpus, kind, prio, b, place, est)| {
-            let mut j = job(n, tasks, f64::from(cpus) / 2.0);
-            j.kind = [JobKind::Array, JobKind::Service, JobKind::Gang][kind as usize];
-            j.priority = [
+        .prop_map(move |(tasks, cpus, kind, priority, flags, place, estimate_s)| {
+            let mut spec = job(number, tasks, f64::from(cpus) / 2.0);
+            spec.kind = [JobKind::Array, JobKind::Service, JobKind::Gang][kind as usize];
+            spec.priority = [
                 Priority::Low,
                 Priority::Normal,
                 Priority::High,
                 Priority::Production,
-            ][prio as usize];
-            j.spot = b[0];
-            j.one_zone = b[1] && b[2];
-            j.spread = b[1] && !b[2] && b[4];
-            j.team = if b[3] { "red" } else { "blue" }.into();
-            j.zone = (place == 1).then(|| "south".into());
-            j.types = (place == 2).then(|| vec!["large".into()]);
-            j.estimate_s = f64::from(est);
-            j
+            ][priority as usize];
+            spec.spot = flags[0];
+            spec.one_zone = flags[1] && flags[2];
+            spec.spread = flags[1] && !flags[2] && flags[4];
+            spec.team = if flags[3] { "red" } else { "blue" }.into();
+            spec.zone = (place == 1).then(|| "south".into());
+            spec.types = (place == 2).then(|| vec!["large".into()]);
+            spec.estimate_s = f64::from(estimate_s);
+            spec
         })
 }
 
@@ -116,46 +116,46 @@
         machines in proptest::collection::vec(any::<[bool; 3]>(), 1..7),
     ) {
         let now = start();
-        let mut m = model(5);
+        let mut model = model(5);
         for (i, [large, south, spot]) in machines.iter().enumerate() {
             let (kind, zone) = (if *large { "large" } else { "small" }, if *south { "south" } else { "north" });
-            add(&mut m, &format!("i-{i}"), kind, zone, *spot, now);
+            add(&mut model, &format!("i-{i}"), kind, zone, *spot, now);
         }
-        for j in first { m.add_job(record(j), now); }
-        m.plan(now);
-        check_placements(&m)?;
-        run_all(&mut m, now);
+        for spec in first { model.add_job(record(spec), now); }
+        model.plan(now);
+        check_placements(&model)?;
+        run_all(&mut model, now);
         let later = now + secs(2);
-        for mut j in second {
-            j.id = format!("{}9", j.id).parse().expect("an id");
-            m.add_job(record(j), later);
+        for mut spec in second {
+            spec.id = format!("{}9", spec.id).parse().expect("an id");
+            model.add_job(record(spec), later);
         }
-        let shadow_before: HashMap<TaskId, bool> = m.machines().values()
+        let shadow_before: HashMap<TaskId, bool> = model.machines().values()
             .flat_map(|x| x.slots.iter().map(|(t, s)| (*t, s.backfilled))).collect();
-        let waiting: HashMap<JobId, u32> = m.jobs().iter().map(|(id, j)| (*id, j.waiting.count())).collect();
-        m.plan(later);
-        check_placements(&m)?;
-        let ranks = m.ranks(later);
-        for (task, s) in m.machines().values().flat_map(|x| &x.slots) {
-            if s.stop_grace.is_none() { continue; }
-            if m.jobs()[&task.job].is_broken_gang() { continue; }
+        let waiting: HashMap<JobId, u32> = model.jobs().iter().map(|(id, j)| (*id, j.waiting.count())).collect();
+        model.plan(later);
+        check_placements(&model)?;
+        let ranks = model.ranks(later);
+        for (task, slot) in model.machines().values().flat_map(|x| &x.slots) {
+            if slot.stop_grace.is_none() { continue; }
+            if model.jobs()[&task.job].is_broken_gang() { continue; }
             let own = ranks[&task.job];
-            let gained = |j: &Job| j.waiting.count() < waiting[&j.spec.id];
-            let for_better = m.jobs().values().any(|j| ranks[&j.spec.id] < own && gained(j));
+            let gained = |job: &Job| job.waiting.count() < waiting[&job.spec.id];
+            let for_better = model.jobs().values().any(|j| ranks[&j.spec.id] < own && gained(j));
             prop_assert!(for_better, "{task} is stopped for nobody above it");
             if shadow_before[task] { continue; }
             // Sunny, so it can only have been borrowed load.
-            let of = &m.jobs()[&task.job];
-            let for_higher = m.jobs().values()
-                .any(|j| j.spec.priority > of.spec.priority && ranks[&j.spec.id].tier <= Tier::InTime && gained(j));
+            let job = &model.jobs()[&task.job];
+            let for_higher = model.jobs().values()
+                .any(|j| j.spec.priority > job.spec.priority && ranks[&j.spec.id].tier <= Tier::InTime && gained(j));
             prop_assert!(for_higher, "{task} is stopped for no higher priority");
-            prop_assert!(of.spec.kind == JobKind::Array && of.spec.deadline_s.is_none(), "{task} was promised");
+            prop_assert!(job.spec.kind == JobKind::Array && job.spec.deadline_s.is_none(), "{task} was promised");
             prop_assert!(own.tier != Tier::WithinQuota, "{task} was within its team's guarantee");
-            let young = m.predict(&of.spec) / 4;
-            prop_assert!(s.running_since.is_some_and(|t| later - t < young), "{task} is not young");
-            let kept = m.machines().values().flat_map(|x| &x.slots)
+            let young = model.predict(&job.spec) / 4;
+            prop_assert!(slot.running_since.is_some_and(|t| later - t < young), "{task} is not young");
+            let not_stopped = model.machines().values().flat_map(|x| &x.slots)
                 .filter(|(t, s)| t.job == task.job && s.stop_grace.is_none()).count();
-            prop_assert!(kept >= 2, "{task} is stopped though its job has hardly begun");
+            prop_assert!(not_stopped >= 2, "{task} is stopped though its job has hardly begun");
         }
     }
 }
@@ -173,34 +173,34 @@
     ) {
         let now = start();
         let build = || {
-            let mut m = model(5);
+            let mut model = model(5);
             for (i, [large, south, spot]) in machines.iter().enumerate() {
                 let (kind, zone) = (if *large { "large" } else { "small" }, if *south { "south" } else { "north" });
-                add(&mut m, &format!("i-{i}"), kind, zone, *spot, now);
+                add(&mut model, &format!("i-{i}"), kind, zone, *spot, now);
             }
-            m
+            model
         };
-        let places = |m: &ClusterModel| -> Vec<(MachineId, TaskId, bool, bool)> {
-            m.machines().values()
+        let places = |model: &ClusterModel| -> Vec<(MachineId, TaskId, bool, bool)> {
+            model.machines().values()
                 .flat_map(|x| x.slots.iter().map(|(t, s)| (x.id.clone(), *t, s.backfilled, s.stop_grace.is_some())))
                 .collect()
         };
-        let (mut a, mut b) = (build(), build());
-        for m in [&mut a, &mut b] {
-            for j in &first { m.add_job(record(j.clone()), now); }
+        let (mut together, mut one_by_one) = (build(), build());
+        for model in [&mut together, &mut one_by_one] {
+            for spec in &first { model.add_job(record(spec.clone()), now); }
         }
-        prop_assert_eq!(a.plan(now), b.plan_one_by_one(now));
-        prop_assert_eq!(places(&a), places(&b));
+        prop_assert_eq!(together.plan(now), one_by_one.plan_one_by_one(now));
+        prop_assert_eq!(places(&together), places(&one_by_one));
         let later = now + secs(2);
-        for m in [&mut a, &mut b] {
-            run_all(m, now);
-            for j in &second {
-                let mut j = j.clone();
-                j.id = format!("{}9", j.id).parse().expect("an id");
-                m.add_job(record(j), later);
+        for model in [&mut together, &mut one_by_one] {
+            run_all(model, now);
+            for spec in &second {
+                let mut spec = spec.clone();
+                spec.id = format!("{}9", spec.id).parse().expect("an id");
+                model.add_job(record(spec), later);
             }
         }
-        prop_assert_eq!(a.plan(later), b.plan_one_by_one(later));
-        prop_assert_eq!(places(&a), places(&b));
+        prop_assert_eq!(together.plan(later), one_by_one.plan_one_by_one(later));
+        prop_assert_eq!(places(&together), places(&one_by_one));
     }
 }
--- a/tests/planner/overload.rs
+++ b/tests/planner/overload.rs
@@ -15,45 +15,45 @@
     // for four minutes has begun by then, whatever its priority, team or size, and
     // once it ends all is done, the widest, too.
     let now = start();
-    let mut m = model(5);
+    let mut model = model(5);
     for i in 0..4 {
-        add(&mut m, &format!("i-{i}"), "small", "north", false, now);
+        add(&mut model, &format!("i-{i}"), "small", "north", false, now);
     }
     let mut arrived: HashMap<JobId, (u64, u32)> = HashMap::new();
     let mut n = 0;
-    let mut s = 0;
-    while s < 600 || m.jobs().values().any(|j| !j.is_complete()) {
-        let t = now + secs(s);
-        let mut come = |m: &mut ClusterModel, every: u64, tasks: u32, priority: Priority| {
-            if s < 600 && s % every == 0 {
+    let mut second = 0;
+    while second < 600 || model.jobs().values().any(|j| !j.is_complete()) {
+        let at = now + secs(second);
+        let mut submit_every = |model: &mut ClusterModel, every: u64, tasks: u32, priority: Priority| {
+            if second < 600 && second % every == 0 {
                 n += 1;
-                let mut j = job(n, tasks, 4.0);
-                j.priority = priority;
-                j.team = if n % 2 == 0 { "red" } else { "blue" }.into();
-                j.class = format!("{priority:?}");
-                j.estimate_s = 20.0;
-                j.deadline_s = (n % 3 > 0).then_some(60.0);
-                arrived.insert(j.id, (s, tasks));
-                m.add_job(record(j), t);
+                let mut spec = job(n, tasks, 4.0);
+                spec.priority = priority;
+                spec.team = if n % 2 == 0 { "red" } else { "blue" }.into();
+                spec.class = format!("{priority:?}");
+                spec.estimate_s = 20.0;
+                spec.deadline_s = (n % 3 > 0).then_some(60.0);
+                arrived.insert(spec.id, (second, tasks));
+                model.add_job(record(spec), at);
             }
         };
-        come(&mut m, 10, 3, Priority::High);
-        come(&mut m, 40, 8, Priority::Normal);
-        come(&mut m, 120, 24, Priority::Low);
-        turn(&mut m, s, t, 20);
-        for j in m.jobs().values().filter(|j| !j.has_started()) {
-            let waited = s - arrived[&j.spec.id].0;
+        submit_every(&mut model, 10, 3, Priority::High);
+        submit_every(&mut model, 40, 8, Priority::Normal);
+        submit_every(&mut model, 120, 24, Priority::Low);
+        turn(&mut model, second, at, 20);
+        for job in model.jobs().values().filter(|job| !job.has_started()) {
+            let waited = second - arrived[&job.spec.id].0;
             assert!(
                 waited < 220,
                 "{} of {:?} has waited {waited} s",
-                j.spec.id,
-                j.spec.priority
+                job.spec.id,
+                job.spec.priority
             );
         }
-        s += 1;
-        assert!(s < 1800, "work is left over");
+        second += 1;
+        assert!(second < 1800, "work is left over");
     }
-    assert!(s > 900, "it was an overload: {s} s");
+    assert!(second > 900, "it was an overload: {second} s");
 }
 
 proptest! {
@@ -69,35 +69,35 @@
         run in 10..40u64,
     ) {
         let now = start();
-        let mut m = model(5);
+        let mut model = model(5);
         for i in 0..4 {
-            add(&mut m, &format!("i-{i}"), "small", "north", false, now);
+            add(&mut model, &format!("i-{i}"), "small", "north", false, now);
         }
         let mut low = Vec::new();
         for (n, team) in ["red", "blue"].into_iter().enumerate() {
-            for prio in [Priority::Low, Priority::Normal] {
-                let mut j = job(low.len() as u32 + 900, wide, 4.0);
-                j.team = team.into();
-                j.class = format!("wide-{n}");
-                j.priority = prio;
-                j.deadline_s = due.map(f64::from);
-                low.push(j.id);
-                m.add_job(record(j), now);
+            for priority in [Priority::Low, Priority::Normal] {
+                let mut spec = job(low.len() as u32 + 900, wide, 4.0);
+                spec.team = team.into();
+                spec.class = format!("wide-{n}");
+                spec.priority = priority;
+                spec.deadline_s = due.map(f64::from);
+                low.push(spec.id);
+                model.add_job(record(spec), now);
             }
         }
         let mut begun: HashMap<JobId, u64> = HashMap::new();
-        for s in 0..240u64 {
-            let t = now + secs(s);
+        for second in 0..240u64 {
+            let at = now + secs(second);
             // More high-priority work than the machines can ever do.
             for k in 0..flood {
-                let mut j = job(10_000 + (s as u32) * 8 + k, 4, 4.0);
-                j.priority = Priority::High;
-                m.add_job(record(j), t);
+                let mut spec = job(10_000 + (second as u32) * 8 + k, 4, 4.0);
+                spec.priority = Priority::High;
+                model.add_job(record(spec), at);
             }
-            turn(&mut m, s, t, run);
+            turn(&mut model, second, at, run);
             for id in &low {
-                if m.jobs().get(id).is_none_or(|j| j.has_started()) {
-                    begun.entry(*id).or_insert(s);
+                if model.jobs().get(id).is_none_or(|j| j.has_started()) {
+                    begun.entry(*id).or_insert(second);
                 }
             }
         }
--- a/tests/planner/preemption.rs
+++ b/tests/planner/preemption.rs
@@ -17,32 +17,32 @@
     run: Duration,
 ) -> (ClusterModel, usize) {
     let now = start();
-    let mut m = model(5);
+    let mut model = model(5);
     for i in 0..4 {
-        add(&mut m, &format!("i-{i}"), "small", "north", false, now);
+        add(&mut model, &format!("i-{i}"), "small", "north", false, now);
     }
     let mut spec = job(1, 8, 4.0);
     spec.priority = Priority::Low;
     spec.estimate_s = 300.0;
     low(&mut spec);
-    m.add_job(record(spec), now);
-    m.plan(now);
-    run_all(&mut m, now);
+    model.add_job(record(spec), now);
+    model.plan(now);
+    run_all(&mut model, now);
     let later = now + run;
     for i in 0..4 {
         let id = format!("i-{i}");
-        let mut r = heartbeat(&id, "small", "north", false, 5, 2);
-        r.tasks = running(&m, &id.as_str().into());
-        m.apply_heartbeat(&r, later);
+        let mut message = heartbeat(&id, "small", "north", false, 5, 2);
+        message.tasks = running(&model, &id.as_str().into());
+        model.apply_heartbeat(&message, later);
     }
     let mut spec = job(2, 3, 4.0);
     spec.deadline_s = Some(120.0);
     urgent(&mut spec);
-    m.add_job(record(spec), later);
-    m.plan(later);
-    let slots = m.machines().values().flat_map(|x| x.slots.values());
+    model.add_job(record(spec), later);
+    model.plan(later);
+    let slots = model.machines().values().flat_map(|x| x.slots.values());
     let stopped = slots.filter(|s| s.stop_grace.is_some()).count();
-    (m, stopped)
+    (model, stopped)
 }
 
 #[test]
@@ -50,12 +50,16 @@
     // A guest without a guarantee filled all machines in order, so that none of
     // its tasks was shadow load, right before work with a deadline arrived.
     let as_is = |_: &mut JobSpec| {};
-    let (m, stopped) = stopped_for_urgent_work(as_is, as_is, secs(20));
+    let (model, stopped) = stopped_for_urgent_work(as_is, as_is, secs(20));
     assert_eq!(stopped, 3);
-    let ids: Vec<JobId> = m.jobs().keys().copied().collect();
-    assert_eq!(m.jobs()[&ids[1]].waiting.count(), 0, "they are placed at once");
+    let ids: Vec<JobId> = model.jobs().keys().copied().collect();
+    assert_eq!(
+        model.jobs()[&ids[1]].waiting.count(),
+        0,
+        "they are placed at once"
+    );
     assert!(
-        m.jobs()[&ids[0]].pause_until.is_some(),
+        model.jobs()[&ids[0]].pause_until.is_some(),
         "the guest's refills no gaps"
     );
     // More is asked for than may be stopped: two of the guest's go on.
@@ -82,26 +86,26 @@
     // A pause that each stop prolonged would let other tasks wait beside room
     // that the blocked head can't use, for as long as stops go on.
     let as_is = |_: &mut JobSpec| {};
-    let (mut m, stopped) = stopped_for_urgent_work(as_is, as_is, secs(20));
+    let (mut model, stopped) = stopped_for_urgent_work(as_is, as_is, secs(20));
     assert_eq!(stopped, 3);
-    let guest = *m.jobs().keys().next().expect("the guest's job");
-    let end = m.jobs()[&guest].pause_until.expect("a pause");
+    let guest = *model.jobs().keys().next().expect("the guest's job");
+    let end = model.jobs()[&guest].pause_until.expect("a pause");
     let mut again = job(3, 1, 4.0);
     again.deadline_s = Some(120.0);
     let at = end - secs(1);
     for i in 0..4 {
         let id = format!("i-{i}");
-        let mut r = heartbeat(&id, "small", "north", false, 5, 3);
-        r.tasks = running(&m, &id.as_str().into());
-        m.apply_heartbeat(&r, at);
+        let mut message = heartbeat(&id, "small", "north", false, 5, 3);
+        message.tasks = running(&model, &id.as_str().into());
+        model.apply_heartbeat(&message, at);
     }
-    m.add_job(record(again), at);
-    m.plan(at);
-    let slots = m.machines().values().flat_map(|x| x.slots.values());
+    model.add_job(record(again), at);
+    model.plan(at);
+    let slots = model.machines().values().flat_map(|x| x.slots.values());
     assert_eq!(
         slots.filter(|s| s.stop_grace.is_some()).count(),
         4,
         "one more is stopped"
     );
-    assert_eq!(m.jobs()[&guest].pause_until, Some(end));
+    assert_eq!(model.jobs()[&guest].pause_until, Some(end));
 }
--- a/tests/planner/probation.rs
+++ b/tests/planner/probation.rs
@@ -13,36 +13,36 @@
 /// A job of so many tasks that failed on three machines at `now`, each time
 /// after it had run for `run`, and eight more machines with room.
 fn failed_on_three_machines(tasks: u32, run: Duration, now: Instant) -> ClusterModel {
-    let mut m = model(1);
-    m.add_job(record(job(1, tasks, 4.0)), now);
-    let only = m.set_up().jobs.values_mut().next().expect("the job");
+    let mut model = model(1);
+    model.add_job(record(job(1, tasks, 4.0)), now);
+    let only = model.set_up().jobs.values_mut().next().expect("the job");
     fail_on_three_machines(only, run, now);
     only.pause_until = Some(now + only.failures.pause());
     for i in 1..=8 {
-        add(&mut m, &format!("i-{i}"), "small", "north", false, now);
+        add(&mut model, &format!("i-{i}"), "small", "north", false, now);
     }
-    m
+    model
 }
 
 /// Keeps the machines reporting and plans once a second for so long; how many
 /// tasks are placed after each second.
-fn placed_each_second(m: &mut ClusterModel, now: Instant, seconds: u64, runs: bool) -> Vec<u32> {
+fn placed_each_second(model: &mut ClusterModel, now: Instant, seconds: u64, runs: bool) -> Vec<u32> {
     let mut placed = Vec::new();
     for i in 1..=seconds {
         let at = now + secs(i);
         for n in 1..=8 {
             let id = format!("i-{n}");
-            let mut r = heartbeat(&id, "small", "north", false, 1, 1 + i);
+            let mut message = heartbeat(&id, "small", "north", false, 1, 1 + i);
             let here = id.as_str().into();
-            r.tasks = if runs {
-                running(m, &here)
+            message.tasks = if runs {
+                running(model, &here)
             } else {
-                fetching(m, &here)
+                fetching(model, &here)
             };
-            m.apply_heartbeat(&r, at);
+            model.apply_heartbeat(&message, at);
         }
-        m.plan(at);
-        placed.push(m.jobs().values().next().expect("the job").place_count);
+        model.plan(at);
+        placed.push(model.jobs().values().next().expect("the job").place_count);
     }
     placed
 }
@@ -52,8 +52,8 @@
     // However late its tasks failed: a trial is no longer than its bound.
     for run in [secs(0), secs(1), secs(300)] {
         let now = start();
-        let mut m = failed_on_three_machines(16, run, now);
-        let placed = placed_each_second(&mut m, now, 45, true);
+        let mut model = failed_on_three_machines(16, run, now);
+        let placed = placed_each_second(&mut model, now, 45, true);
         assert_eq!(placed[0], 0, "it pauses");
         let single = placed.iter().filter(|p| **p == 1).count();
         assert!((5..=12).contains(&single), "one task is tried for {single} s");
@@ -67,8 +67,8 @@
     // The one task that is tried waits for its image for ever; the others would
     // wait with it beside free machines.
     let now = start();
-    let mut m = failed_on_three_machines(16, secs(300), now);
-    let placed = placed_each_second(&mut m, now, 65, false);
+    let mut model = failed_on_three_machines(16, secs(300), now);
+    let placed = placed_each_second(&mut model, now, 65, false);
     assert_eq!(placed[50], 1, "{placed:?}");
     assert_eq!(placed[64], 16, "{placed:?}");
 }
--- a/tests/planner/ranking.rs
+++ b/tests/planner/ranking.rs
@@ -9,30 +9,30 @@
 #[test]
 fn jobs_start_by_priority_then_arrival() {
     let now = start();
-    let mut m = model(1);
-    add(&mut m, "i-1", "small", "north", false, now);
+    let mut model = model(1);
+    add(&mut model, "i-1", "small", "north", false, now);
     let mut low = job(1, 1, 8.0);
     low.priority = Priority::Low;
-    m.add_job(record(low), now);
-    m.add_job(record(job(2, 1, 8.0)), now + secs(1));
-    m.add_job(record(job(3, 1, 8.0)), now);
-    m.plan(now + secs(1));
-    assert_eq!(tasks_on(&m, "i-1"), ["job-000003/0"]);
+    model.add_job(record(low), now);
+    model.add_job(record(job(2, 1, 8.0)), now + secs(1));
+    model.add_job(record(job(3, 1, 8.0)), now);
+    model.plan(now + secs(1));
+    assert_eq!(tasks_on(&model, "i-1"), ["job-000003/0"]);
 }
 
 #[test]
 fn a_job_at_its_teams_limit_is_skipped_not_the_head() {
     let now = start();
-    let mut m = model(1);
-    add(&mut m, "i-1", "large", "north", false, now);
-    add(&mut m, "i-2", "large", "north", false, now);
+    let mut model = model(1);
+    add(&mut model, "i-1", "large", "north", false, now);
+    add(&mut model, "i-2", "large", "north", false, now);
     let mut big = job(1, 8, 8.0);
     big.team = "red".into();
-    m.add_job(record(big), now);
-    m.add_job(record(job(2, 3, 8.0)), now);
-    let r = m.plan(now);
+    model.add_job(record(big), now);
+    model.add_job(record(job(2, 3, 8.0)), now);
+    let round = model.plan(now);
     assert_eq!(
-        (r.in_order, r.backfilled),
+        (round.in_order, round.backfilled),
         (8, 0),
         "5 of red's (limit 40), then 3 of blue's"
     );
@@ -44,10 +44,10 @@
     // all others would be late in turn.
     let now = start();
     let with = |n: u32, due: Option<f64>, age: u64, team: &str| {
-        let mut j = job(n, 1, 8.0);
-        j.deadline_s = due;
-        j.team = team.into();
-        (record(j), now - secs(age))
+        let mut spec = job(n, 1, 8.0);
+        spec.deadline_s = due;
+        spec.team = team.into();
+        (record(spec), now - secs(age))
     };
     let lost = with(1, Some(50.0), 100, "blue");
     let in_time = with(2, Some(100.0), 20, "blue");
@@ -55,9 +55,9 @@
     let guaranteed = with(4, None, 5, "red");
     let forgotten = with(5, Some(50.0), 1000, "blue");
     let order = [forgotten, lost, in_time, later, guaranteed];
-    let mut m = model(1);
-    order.iter().for_each(|(r, at)| m.add_job(r.clone(), *at));
-    let ranks = m.ranks(now);
+    let mut model = model(1);
+    order.iter().for_each(|(r, at)| model.add_job(r.clone(), *at));
+    let ranks = model.ranks(now);
     let mut ids: Vec<JobId> = ranks.keys().copied().collect();
     ids.sort_by_key(|id| ranks[id]);
     let ids: Vec<String> = ids.iter().map(ToString::to_string).collect();
@@ -71,27 +71,27 @@
 fn under_load_the_least_work_goes_first_among_what_is_due() {
     // By arrival or by latest start, a large job would make ten small ones late.
     let now = start();
-    let mut m = model(1);
-    add(&mut m, "i-1", "small", "north", false, now);
+    let mut model = model(1);
+    add(&mut model, "i-1", "small", "north", false, now);
     for (n, tasks) in [(1, 40), (2, 5), (3, 1)] {
-        let mut j = job(n, tasks, 8.0);
-        j.deadline_s = Some(200.0);
-        m.add_job(record(j), now + secs(u64::from(n)));
+        let mut spec = job(n, tasks, 8.0);
+        spec.deadline_s = Some(200.0);
+        model.add_job(record(spec), now + secs(u64::from(n)));
     }
-    m.plan(now + secs(4));
-    assert_eq!(tasks_on(&m, "i-1"), ["job-000003/0"]);
+    model.plan(now + secs(4));
+    assert_eq!(tasks_on(&model, "i-1"), ["job-000003/0"]);
 }
 
 #[test]
 fn a_quota_covers_a_teams_earliest_jobs_only() {
     let now = start();
-    let mut m = model(1);
+    let mut model = model(1);
     for n in 1..4 {
-        let mut j = job(n, 1, 8.0);
-        j.team = "red".into();
-        m.add_job(record(j), now + secs(u64::from(n)));
+        let mut spec = job(n, 1, 8.0);
+        spec.team = "red".into();
+        model.add_job(record(spec), now + secs(u64::from(n)));
     }
-    let ranks = m.ranks(now + secs(9));
+    let ranks = model.ranks(now + secs(9));
     let tiers: Vec<Tier> = ranks.values().map(|r| r.tier).collect();
     assert_eq!(
         tiers,
--- a/tests/safety/heartbeats.rs
+++ b/tests/safety/heartbeats.rs
@@ -12,10 +12,10 @@
     // Reports held back by the network arrive after newer ones; their tasks
     // are as old as they are.
     let now = start();
-    let mut m = model(7);
-    let mut r = heartbeat("i-1", "small", "north", false, 7, 5);
-    r.incarnation = 2;
-    m.apply_heartbeat(&r, now);
+    let mut model = model(7);
+    let mut message = heartbeat("i-1", "small", "north", false, 7, 5);
+    message.incarnation = 2;
+    model.apply_heartbeat(&message, now);
     let id = MachineId::from("i-1");
     for (incarnation, sequence) in [(1, 9), (2, 4), (2, 5)] {
         let mut old = heartbeat("i-1", "small", "north", false, 7, sequence);
@@ -27,10 +27,10 @@
             exit_reason: None,
             saved: None,
         }];
-        assert_eq!(m.apply_heartbeat(&old, now), HeartbeatOutcome::Outdated);
-        assert!(m.machines()[&id].slots.is_empty());
+        assert_eq!(model.apply_heartbeat(&old, now), HeartbeatOutcome::Outdated);
+        assert!(model.machines()[&id].slots.is_empty());
         assert_eq!(
-            m.machines()[&id].newest_message,
+            model.machines()[&id].newest_message,
             MessageOrder {
                 incarnation: 2,
                 sequence: 5
@@ -44,8 +44,8 @@
     // A new leader may hear late copies first: what they list is not there any
     // more, and a place made for it would keep its task from starting elsewhere.
     let now = start();
-    let mut m = model(9);
-    m.add_job(record(job(1, 1, 4.0)), now);
+    let mut model = model(9);
+    model.add_job(record(job(1, 1, 4.0)), now);
     let mut late = heartbeat("i-1", "small", "north", false, 8, 400);
     late.tasks = vec![ReportedTask {
         task: "job-000001/0".parse().expect("a task"),
@@ -54,30 +54,30 @@
         exit_reason: None,
         saved: None,
     }];
-    m.apply_heartbeat(&late, now);
+    model.apply_heartbeat(&late, now);
     let id = MachineId::from("i-1");
-    assert!(m.machines()[&id].slots.is_empty());
-    assert_eq!(m.jobs().values().next().expect("the job").waiting.count(), 1);
+    assert!(model.machines()[&id].slots.is_empty());
+    assert_eq!(model.jobs().values().next().expect("the job").waiting.count(), 1);
     // In its own words, after the fence, it counts.
     late.token = 9 << 20;
     late.sequence += 1;
-    m.apply_heartbeat(&late, now);
-    assert_eq!(m.machines()[&id].slots.len(), 1);
-    assert_eq!(m.jobs().values().next().expect("the job").waiting.count(), 0);
+    model.apply_heartbeat(&late, now);
+    assert_eq!(model.machines()[&id].slots.len(), 1);
+    assert_eq!(model.jobs().values().next().expect("the job").waiting.count(), 0);
 }
 
 #[test]
 fn a_released_machine_stays_released_in_the_next_term() {
     // Late copies of its reports must not bring it back into the fleet.
     let now = start();
-    let mut m = model(7);
-    m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
-    m.remove_released_machine(&MachineId::from("i-1"), now);
-    let mut next = model(8);
-    for w in m.take_due_writes(now) {
-        if let PendingWrite::Append(a) = w {
-            for (n, v) in a.segments {
-                assert!(next.load_log_segment(n, v.expect("written")));
+    let mut model = model(7);
+    model.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
+    model.remove_released_machine(&MachineId::from("i-1"), now);
+    let mut next = crate::support::model(8);
+    for write in model.take_due_writes(now) {
+        if let PendingWrite::Append(append) = write {
+            for (number, value) in append.segments {
+                assert!(next.load_log_segment(number, value.expect("written")));
             }
         }
     }
@@ -90,43 +90,44 @@
 #[test]
 fn a_reported_task_without_its_slot_or_job_is_unknown() {
     let now = start();
-    let mut m = model(7);
+    let mut model = model(7);
     let id = MachineId::from("i-1");
-    m.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
+    model.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
     let rec = record(job(1, 1, 4.0));
     let task = TaskId {
         job: rec.spec.id,
         index: 0,
     };
-    m.add_job(rec, now);
-    m.plan(now);
-    let mut r = heartbeat("i-1", "small", "north", false, 7, 2);
-    r.tasks = running(&m, &id);
-    assert_eq!(m.unknown_tasks(&r).count(), 0);
+    model.add_job(rec, now);
+    model.plan(now);
+    let mut message = heartbeat("i-1", "small", "north", false, 7, 2);
+    message.tasks = running(&model, &id);
+    assert_eq!(model.unknown_tasks(&message).count(), 0);
     // Another attempt than the one that was placed.
-    r.tasks[0].attempt += 1;
-    assert_eq!(m.unknown_tasks(&r).count(), 1);
-    r.tasks[0].attempt -= 1;
+    message.tasks[0].attempt += 1;
+    assert_eq!(model.unknown_tasks(&message).count(), 1);
+    message.tasks[0].attempt -= 1;
     // Its place is gone, or its job.
-    let slot = m
+    let slot = model
         .set_up()
         .machines
         .get_mut(&id)
         .and_then(|x| x.slots.remove(&task))
         .expect("placed");
-    assert_eq!(m.unknown_tasks(&r).count(), 1);
-    m.set_up()
+    assert_eq!(model.unknown_tasks(&message).count(), 1);
+    model
+        .set_up()
         .machines
         .get_mut(&id)
         .expect("there")
         .slots
         .insert(task, slot);
-    m.remove_job(task.job);
-    assert_eq!(m.unknown_tasks(&r).count(), 1);
+    model.remove_job(task.job);
+    assert_eq!(model.unknown_tasks(&message).count(), 1);
     // What has ended is no matter, nor what a machine says before it obeys.
-    r.tasks[0].state = TaskState::Exited;
-    assert_eq!(m.unknown_tasks(&r).count(), 0);
-    r.tasks[0].state = TaskState::Running;
-    *m.set_up().term = 8;
-    assert_eq!(m.unknown_tasks(&r).count(), 0);
+    message.tasks[0].state = TaskState::Exited;
+    assert_eq!(model.unknown_tasks(&message).count(), 0);
+    message.tasks[0].state = TaskState::Running;
+    *model.set_up().term = 8;
+    assert_eq!(model.unknown_tasks(&message).count(), 0);
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -33,10 +33,10 @@
 #[global_allocator]
 static ALLOCATOR: Counting = Counting;
 
-fn work<T>(f: impl FnOnce() -> T) -> (u64, T) {
+fn count_allocations<T>(operation: impl FnOnce() -> T) -> (u64, T) {
     let before = COUNT.with(Cell::get);
-    let out = f();
-    (COUNT.with(Cell::get) - before, out)
+    let result = operation();
+    (COUNT.with(Cell::get) - before, result)
 }
 
 const SMALL: usize = 660;
@@ -47,70 +47,71 @@
 }
 
 /// All that is due is stored; what is due next, too.
-fn store(m: &mut ClusterModel, now: Instant) -> Vec<(u64, Option<serde_json::Value>)> {
+fn store_all_writes(model: &mut ClusterModel, now: Instant) -> Vec<(u64, Option<serde_json::Value>)> {
     let mut segments = Vec::new();
-    for s in 0..400 {
-        for w in m.take_due_writes(now + secs(s)) {
-            if let PendingWrite::Append(a) = &w {
-                segments.extend(a.segments.iter().cloned());
+    for second in 0..400 {
+        for write in model.take_due_writes(now + secs(second)) {
+            if let PendingWrite::Append(append) = &write {
+                segments.extend(append.segments.iter().cloned());
             }
-            m.write_finished(&w, true, now);
+            model.write_finished(&write, true, now);
         }
     }
     segments
 }
 
 /// A cluster of so many machines, all full, and thousands of waiting tasks.
-fn full(machines: usize, now: Instant) -> (ClusterModel, Vec<(u64, Option<serde_json::Value>)>) {
-    let mut m = model(7);
+fn full_cluster(machines: usize, now: Instant) -> (ClusterModel, Vec<(u64, Option<serde_json::Value>)>) {
+    let mut model = model(7);
     for i in 0..machines {
-        m.apply_heartbeat(&heartbeat(&id(i), "small", "north", false, 7, 1), now);
+        model.apply_heartbeat(&heartbeat(&id(i), "small", "north", false, 7, 1), now);
     }
-    for j in 0..machines / 20 {
+    for number in 0..machines / 20 {
         // 40 tasks of 4 CPUs: as many as fit on 20 machines of 8, and some more jobs wait.
-        m.add_job(record(job(j as u32, 40, 4.0)), now);
+        model.add_job(record(job(number as u32, 40, 4.0)), now);
     }
-    m.plan(now);
-    for j in 0..30 {
-        m.add_job(record(job(100_000 + j, 100, 4.0)), now);
+    model.plan(now);
+    for number in 0..30 {
+        model.add_job(record(job(100_000 + number, 100, 4.0)), now);
     }
-    let segments = store(&mut m, now);
-    for due in m.take_due_commands(now, usize::MAX) {
-        let mut r = heartbeat(&due.machine, "small", "north", false, 7, 2);
-        r.token = due.batch.token;
-        r.tasks = running(&m, &due.machine);
-        m.command_finished(&due.machine, Some(&r), now);
+    let segments = store_all_writes(&mut model, now);
+    for due in model.take_due_commands(now, usize::MAX) {
+        let mut message = heartbeat(&due.machine, "small", "north", false, 7, 2);
+        message.token = due.batch.token;
+        message.tasks = running(&model, &due.machine);
+        model.command_finished(&due.machine, Some(&message), now);
     }
-    let running: usize = m.jobs().values().map(|j| j.running.len()).sum();
+    let running: usize = model.jobs().values().map(|j| j.running.len()).sum();
     assert_eq!(running, machines * 2, "all machines are full");
-    (m, segments)
+    (model, segments)
 }
 
 /// The report of a machine in which the first task has ended.
-fn one_ended(m: &ClusterModel, i: usize, sequence: u64) -> Heartbeat {
-    let mut r = heartbeat(&id(i), "small", "north", false, 7, sequence);
-    r.token = m.machines()[&id(i)].seen_token;
-    r.tasks = ended(m, &id(i), 1);
-    r
+fn heartbeat_with_one_ended(model: &ClusterModel, i: usize, sequence: u64) -> Heartbeat {
+    let mut message = heartbeat(&id(i), "small", "north", false, 7, sequence);
+    message.token = model.machines()[&id(i)].seen_token;
+    message.tasks = ended(model, &id(i), 1);
+    message
 }
 
 #[test]
 fn a_heartbeat_a_start_and_an_append_cost_the_same_in_a_large_fleet() {
     let now = start();
     let costs = [SMALL, LARGE].map(|machines| {
-        let (mut m, _) = full(machines, now);
-        let r = one_ended(&m, machines / 2, 3);
+        let (mut model, _) = full_cluster(machines, now);
+        let message = heartbeat_with_one_ended(&model, machines / 2, 3);
         let at = now + secs(1000);
-        let (last_heartbeat, _) = work(|| {
-            m.apply_heartbeat(&r, at);
-            m.heartbeat_response(&r.machine, r.token, at)
+        let (last_heartbeat, _) = count_allocations(|| {
+            model.apply_heartbeat(&message, at);
+            model.heartbeat_response(&message.machine, message.token, at)
         });
-        let (append, writes) = work(|| m.take_due_writes(at));
+        let (append, writes) = count_allocations(|| model.take_due_writes(at));
         let bytes: usize = writes
             .iter()
             .filter_map(|w| match w {
-                PendingWrite::Append(a) => Some(
-                    a.segments
+                PendingWrite::Append(append) => Some(
+                    append
+                        .segments
                         .iter()
                         .map(|s| s.1.as_ref().map_or(0, |v| v.to_string().len())),
                 ),
@@ -119,16 +120,20 @@
             .flatten()
             .sum();
         assert!(bytes > 0 && bytes <= 2 * 4096, "an append of {bytes} bytes");
-        writes.iter().for_each(|w| m.write_finished(w, true, at));
-        let (round, done) = work(|| m.plan(at));
+        writes
+            .iter()
+            .for_each(|write| model.write_finished(write, true, at));
+        let (round, done) = count_allocations(|| model.plan(at));
         assert_eq!(
             done.in_order + done.backfilled,
             1,
             "the place that fell free is taken"
         );
-        let writes = m.take_due_writes(at + secs(1));
-        writes.iter().for_each(|w| m.write_finished(w, true, at));
-        let (commands, out) = work(|| m.take_due_commands(at, 64));
+        let writes = model.take_due_writes(at + secs(1));
+        writes
+            .iter()
+            .for_each(|write| model.write_finished(write, true, at));
+        let (commands, out) = count_allocations(|| model.take_due_commands(at, 64));
         assert_eq!(out.len(), 1, "one machine has something to be told");
         (last_heartbeat, append, commands, round)
     });
@@ -150,15 +155,15 @@
 fn a_round_without_waiting_work_costs_the_same_in_a_large_fleet() {
     let now = start();
     let [small, large] = [SMALL, LARGE].map(|machines| {
-        let (mut m, _) = full(machines, now);
-        let waiting: Vec<JobId> = m
+        let (mut model, _) = full_cluster(machines, now);
+        let waiting: Vec<JobId> = model
             .jobs()
             .values()
             .filter(|j| j.waiting.count() > 0)
             .map(|j| j.spec.id)
             .collect();
-        waiting.into_iter().for_each(|id| m.remove_job(id));
-        work(|| m.plan(now)).0
+        waiting.into_iter().for_each(|id| model.remove_job(id));
+        count_allocations(|| model.plan(now)).0
     });
     assert!(large <= small + 8, "{large} for {small}");
 }
@@ -167,16 +172,16 @@
 fn a_takeover_costs_in_proportion_to_what_is_live() {
     let now = start();
     let [small, large] = [SMALL, LARGE].map(|machines| {
-        let (old, segments) = full(machines, now);
+        let (old, segments) = full_cluster(machines, now);
         // Later copies of a segment replace earlier ones.
         let stored: std::collections::BTreeMap<_, _> = segments.into_iter().collect();
-        let mut next = model(8);
-        let (cost, ()) = work(|| {
-            for j in old.jobs().values() {
-                next.add_job(j.record(), now);
+        let mut next = support::model(8);
+        let (cost, ()) = count_allocations(|| {
+            for old_job in old.jobs().values() {
+                next.add_job(old_job.record(), now);
             }
-            for (n, v) in stored.iter().filter_map(|(n, v)| Some((n, v.clone()?))) {
-                assert!(next.load_log_segment(*n, v));
+            for (number, value) in stored.iter().filter_map(|(n, v)| Some((n, v.clone()?))) {
+                assert!(next.load_log_segment(*number, value));
             }
             next.replay_log(now);
         });
@@ -194,38 +199,38 @@
     // the renewal of the lease must not wait behind them. What a machine that has
     // spoken already has room for doesn't wait behind them, either.
     let now = start();
-    let (old, segments) = full(LARGE, now);
-    let mut m = model(8);
-    for j in old.jobs().values() {
-        m.add_job(j.record(), now);
+    let (old, segments) = full_cluster(LARGE, now);
+    let mut model = model(8);
+    for old_job in old.jobs().values() {
+        model.add_job(old_job.record(), now);
     }
     let stored: std::collections::BTreeMap<_, _> = segments.into_iter().collect();
-    for (n, v) in stored {
-        assert!(m.load_log_segment(n, v.expect("written")));
+    for (number, value) in stored {
+        assert!(model.load_log_segment(number, value.expect("written")));
     }
-    m.replay_log(now);
-    assert!(!m.all_fenced());
-    let first = m.take_due_commands(now, 64);
+    model.replay_log(now);
+    assert!(!model.all_fenced());
+    let first = model.take_due_commands(now, 64);
     assert_eq!(first.len(), 64);
-    assert!(m.take_due_commands(now, 0).is_empty(), "no socket is free");
+    assert!(model.take_due_commands(now, 0).is_empty(), "no socket is free");
     // The last machine, by its own report, obeys this term and has lost its tasks.
     let last = id(LARGE - 1);
-    let mut r = heartbeat(&last, "small", "north", false, 8, 90);
-    r.token += 5;
-    m.apply_heartbeat(&r, now);
-    let round = m.plan(now);
+    let mut message = heartbeat(&last, "small", "north", false, 8, 90);
+    message.token += 5;
+    model.apply_heartbeat(&message, now);
+    let round = model.plan(now);
     assert!(round.in_order + round.backfilled > 0);
-    for w in m.take_due_writes(now) {
-        m.write_finished(&w, true, now);
+    for write in model.take_due_writes(now) {
+        model.write_finished(&write, true, now);
     }
-    let next = m.take_due_commands(now, 64);
-    let starts = |c: &CommandBatch| c.commands.iter().any(|c| matches!(c, Command::Start { .. }));
+    let next = model.take_due_commands(now, 64);
+    let starts = |batch: &CommandBatch| batch.commands.iter().any(|c| matches!(c, Command::Start { .. }));
     assert!(next.iter().any(|due| due.machine == last && starts(&due.batch)));
     assert!(next.len() <= 65);
     // Asked in turn, all are reached.
     let mut asked = first.len() + next.len() - 1;
     while asked < LARGE - 1 {
-        let more = m.take_due_commands(now, 64).len();
+        let more = model.take_due_commands(now, 64).len();
         assert!(more > 0 && more <= 64);
         asked += more;
     }
@@ -246,17 +251,17 @@
             age_s: 60.0,
         })
         .collect();
-    let mut m = model(7);
-    m.apply_machine_list(&listed, now);
-    assert_eq!(m.machines().len(), LARGE);
-    let segments = store(&mut m, now);
-    let mut next = model(8);
+    let mut model = model(7);
+    model.apply_machine_list(&listed, now);
+    assert_eq!(model.machines().len(), LARGE);
+    let segments = store_all_writes(&mut model, now);
+    let mut next = support::model(8);
     for (number, value) in segments.into_iter().collect::<std::collections::BTreeMap<_, _>>() {
         assert!(next.load_log_segment(number, value.expect("written")));
     }
     next.replay_log(now);
     assert_eq!(next.machines().len(), LARGE, "the log names them all");
-    let (again, ()) = work(|| next.apply_machine_list(&listed, now));
+    let (again, ()) = count_allocations(|| next.apply_machine_list(&listed, now));
     assert_eq!(next.machines().len(), LARGE);
     assert!(
         again <= LARGE as u64 / 2,
@@ -268,40 +273,40 @@
 fn the_log_stays_in_proportion_over_a_long_run() {
     // Hours of work on the same machines: segments come and go.
     let now = start();
-    let mut m = model(7);
+    let mut model = model(7);
     for i in 0..40 {
-        m.apply_heartbeat(&heartbeat(&id(i), "small", "north", false, 7, 1), now);
+        model.apply_heartbeat(&heartbeat(&id(i), "small", "north", false, 7, 1), now);
     }
     let mut stored = std::collections::BTreeMap::new();
     for turn in 0..400u32 {
         let at = now + secs(u64::from(turn) * 2);
-        m.add_job(record(job(turn, 80, 4.0)), at);
+        model.add_job(record(job(turn, 80, 4.0)), at);
         for i in 0..40 {
             // What ended in the turn before is forgotten.
-            let mut r = heartbeat(&id(i), "small", "north", false, 7, 2 + u64::from(turn) * 2);
-            r.token = m.machines()[&id(i)].seen_token;
-            m.apply_heartbeat(&r, at);
+            let mut message = heartbeat(&id(i), "small", "north", false, 7, 2 + u64::from(turn) * 2);
+            message.token = model.machines()[&id(i)].seen_token;
+            model.apply_heartbeat(&message, at);
         }
-        m.plan(at);
-        for w in m.take_due_writes(at) {
-            if let PendingWrite::Append(a) = &w {
-                for (n, v) in &a.segments {
-                    match v {
-                        Some(v) => stored.insert(*n, v.to_string().len()),
-                        None => stored.remove(n),
+        model.plan(at);
+        for write in model.take_due_writes(at) {
+            if let PendingWrite::Append(append) = &write {
+                for (number, value) in &append.segments {
+                    match value {
+                        Some(value) => stored.insert(*number, value.to_string().len()),
+                        None => stored.remove(number),
                     };
                 }
             }
-            m.write_finished(&w, true, at);
+            model.write_finished(&write, true, at);
         }
         // Its tasks are told to start, run and end.
-        for due in m.take_due_commands(at, 64) {
-            let mut r = heartbeat(&due.machine, "small", "north", false, 7, 3 + u64::from(turn) * 2);
-            r.token = due.batch.token;
-            r.tasks = ended(&m, &due.machine, usize::MAX);
-            m.command_finished(&due.machine, Some(&r), at);
+        for due in model.take_due_commands(at, 64) {
+            let mut message = heartbeat(&due.machine, "small", "north", false, 7, 3 + u64::from(turn) * 2);
+            message.token = due.batch.token;
+            message.tasks = ended(&model, &due.machine, usize::MAX);
+            model.command_finished(&due.machine, Some(&message), at);
         }
-        m.set_up().jobs.retain(|_, j| !j.is_complete());
+        model.set_up().jobs.retain(|_, j| !j.is_complete());
     }
     let bytes: usize = stored.values().sum();
     assert!(
@@ -317,16 +322,16 @@
     // room for: a round that finds no room costs the same.
     let now = start();
     let [few, many] = [70, MAX_TASKS].map(|tasks| {
-        let mut m = model(7);
+        let mut model = model(7);
         for i in 0..40 {
-            m.apply_heartbeat(&heartbeat(&id(i), "large", "north", true, 7, 1), now);
+            model.apply_heartbeat(&heartbeat(&id(i), "large", "north", true, 7, 1), now);
         }
         for n in 0..20 {
-            m.add_job(record(job(n, tasks, 1.0)), now);
+            model.add_job(record(job(n, tasks, 1.0)), now);
         }
-        let r = m.plan(now);
-        assert_eq!(r.in_order + r.backfilled, 40 * 32);
-        work(|| m.plan(now + std::time::Duration::from_millis(1))).0
+        let round = model.plan(now);
+        assert_eq!(round.in_order + round.backfilled, 40 * 32);
+        count_allocations(|| model.plan(now + std::time::Duration::from_millis(1))).0
     });
     assert!(many <= few + 64, "{many} for {few}");
 }
