--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -1,12 +1,12 @@
 //! The checker of histories: a clean one is accepted, and each broken rule is found, in
-//! made-up histories of three jobs, the second of which waits for the first.
+//! made-up histories of three jobs, the second of which depends on the first.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use bitternfold::wire::{JobId, JobState, TaskId};
 
-use crate::history::{Answer, Event, History, Submitted};
+use crate::history::{Event, History, StatusResponse, Submitted};
 use crate::run::{CANCEL, RED_CPUS};
 use crate::site::job_name;
 
@@ -50,19 +50,19 @@
     }
 }
 
-fn told(n: u32, asked: u64, standing: JobState) -> Event {
-    Event::Told {
+fn responded(n: u32, sent: u64, state: JobState) -> Event {
+    Event::Responded {
         job: id(n),
-        asked: Duration::from_secs(asked),
-        answer: Answer::Known(standing),
+        sent: Duration::from_secs(sent),
+        response: StatusResponse::Known(state),
     }
 }
 
-fn not_found(n: u32, asked: u64) -> Event {
-    Event::Told {
+fn not_found(n: u32, sent: u64) -> Event {
+    Event::Responded {
         job: id(n),
-        asked: Duration::from_secs(asked),
-        answer: Answer::NotFound,
+        sent: Duration::from_secs(sent),
+        response: StatusResponse::NotFound,
     }
 }
 
@@ -93,21 +93,21 @@
     let clean = [
         (1, Event::Accepted(id(1))),
         (1, Event::Accepted(id(2))),
-        // Asked before it was accepted, answered after.
+        // Requested before it was accepted, the response received after.
         (2, not_found(2, 0)),
         (2, started(1)),
-        (3, told(1, 3, JobState::Running)),
+        (3, responded(1, 3, JobState::Running)),
         (4, ended(1, false)),
         (5, started(1)),
         (6, ended(1, true)),
-        (7, told(1, 6, JobState::Done)),
+        (7, responded(1, 6, JobState::Done)),
         (8, started(2)),
-        (9, Event::CancelAsked(id(2))),
-        (10, told(2, 9, JobState::Cancelled)),
-        // Asked before that, answered after it.
-        (11, told(2, 9, JobState::Running)),
+        (9, Event::CancelRequested(id(2))),
+        (10, responded(2, 9, JobState::Cancelled)),
+        // Requested before that response, received after it.
+        (11, responded(2, 9, JobState::Running)),
         (12, ended(2, false)),
-        (50, told(2, 49, JobState::Cancelled)),
+        (50, responded(2, 49, JobState::Cancelled)),
     ];
     assert_eq!(rules(&clean), Vec::<&str>::new());
 }
@@ -115,8 +115,8 @@
 #[test]
 fn each_broken_rule_is_found() {
     let cancelled = [
-        (1, Event::CancelAsked(id(1))),
-        (2, told(1, 1, JobState::Cancelled)),
+        (1, Event::CancelRequested(id(1))),
+        (2, responded(1, 1, JobState::Cancelled)),
     ];
     let with = |before: &[(u64, Event)], more: &[(u64, Event)]| {
         let mut all = before.to_vec();
@@ -135,19 +135,19 @@
     assert!(rules(&[(1, started(2))]).contains(&"too_early"));
     let outlives = with(&cancelled, &[(0, started(1)), (16, ended(1, false))]);
     assert_eq!(outlives, ["ran_cancelled"]);
-    // With the job that it needs; never ended.
+    // Cancelled with the job that it depends on; never ended.
     let outlives = with(&cancelled, &[(0, started(2))]);
     assert!(outlives.contains(&"ran_cancelled") && outlives.contains(&"orphaned"));
     let restarted = with(&cancelled, &[(6, started(1)), (7, ended(1, false))]);
     assert_eq!(restarted, ["started_after_cancel"]);
-    let called = with(&cancelled, &[(17, told(2, 16, JobState::Queued))]);
+    let called = with(&cancelled, &[(17, responded(2, 16, JobState::Queued))]);
     assert_eq!(called, ["orphaned"]);
-    assert_eq!(rules(&[(1, told(1, 1, JobState::Done))]), ["not_done"]);
-    let back = with(&cancelled, &[(4, told(1, 3, JobState::Running))]);
+    assert_eq!(rules(&[(1, responded(1, 1, JobState::Done))]), ["not_done"]);
+    let back = with(&cancelled, &[(4, responded(1, 3, JobState::Running))]);
     assert_eq!(back, ["went_back"]);
-    assert_eq!(rules(&[(1, told(3, 1, JobState::Cancelled))]), ["went_back"]);
+    assert_eq!(rules(&[(1, responded(3, 1, JobState::Cancelled))]), ["went_back"]);
     assert!(rules(&[(1, Event::Accepted(id(1))), (3, not_found(1, 2))]).contains(&"forgotten"));
-    assert_eq!(rules(&[(1, told(9, 1, JobState::Queued))]), ["invented"]);
+    assert_eq!(rules(&[(1, responded(9, 1, JobState::Queued))]), ["invented"]);
     assert_eq!(rules(&[(1, Event::Accepted(id(3)))]), ["left_over"]);
     let refused = Event::Refused {
         job: id(3),
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -16,29 +16,29 @@
     Kill,
     /// All controllers end and are back after the fault.
     KillAll,
-    /// A controller stands still while its clocks run on.
+    /// A controller process is stopped (SIGSTOP) while its clocks run on.
     Pause,
     /// The state service refuses one controller.
     StateRefuses,
     /// The state service refuses everybody.
     StateOut,
-    /// Some transactions get no answer and are carried out late.
+    /// Some transactions get no response and are carried out late.
     LateWrites,
-    /// No machine takes direct commands; answers to reports reach them.
+    /// No machine takes direct commands; responses to heartbeats reach them.
     NoCommands,
-    /// No machine reports; direct commands reach them.
-    NoReports,
+    /// No machine sends heartbeats; direct commands reach them.
+    NoHeartbeats,
     /// No machine reaches one of the controllers.
-    ControllerUnheard,
+    ControllerUnreachable,
     /// Some machines hang.
     Hang,
-    /// Copies of reports come late.
-    LateReports,
+    /// Copies of heartbeats arrive late.
+    LateHeartbeats,
     /// The links of a controller to the others are refused.
     PeersRefuse,
-    /// They hold back what is sent.
+    /// The links of a controller to the others deliver nothing until the fault ends.
     PeersHold,
-    /// They are slow.
+    /// The links of a controller to the others are slow.
     PeersDelay,
     /// The state service refuses some transactions for their rate.
     RateRefused,
@@ -54,10 +54,10 @@
     ("state_out", Fault::StateOut),
     ("late_writes", Fault::LateWrites),
     ("no_commands", Fault::NoCommands),
-    ("no_reports", Fault::NoReports),
-    ("controller_unheard", Fault::ControllerUnheard),
+    ("no_reports", Fault::NoHeartbeats),
+    ("controller_unheard", Fault::ControllerUnreachable),
     ("hang", Fault::Hang),
-    ("late_reports", Fault::LateReports),
+    ("late_reports", Fault::LateHeartbeats),
     ("peers_refuse", Fault::PeersRefuse),
     ("peers_hold", Fault::PeersHold),
     ("peers_delay", Fault::PeersDelay),
@@ -82,7 +82,7 @@
     Controller(usize),
 }
 
-/// A fault at a time.
+/// A fault of the schedule, with times since the begin of the run.
 #[derive(Debug, Clone, Copy)]
 pub struct Planned {
     pub at: Duration,
@@ -98,11 +98,11 @@
     let mut at = 2.0;
     while at < length.as_secs_f64() {
         for _ in 0..rng.random_range(1..4) {
-            let begins = at + rng.random_range(0.0..1.5);
-            let lasts = rng.random_range(0.3..7.0);
+            let begin = at + rng.random_range(0.0..1.5);
+            let seconds = rng.random_range(0.3..7.0);
             all.push(Planned {
-                at: Duration::from_secs_f64(begins),
-                until: Duration::from_secs_f64(begins + lasts),
+                at: Duration::from_secs_f64(begin),
+                until: Duration::from_secs_f64(begin + seconds),
                 fault: faults[rng.random_range(0..faults.len())],
                 target: match rng.random_range(0..6) {
                     i @ 0..3 => Target::Controller(i),
--- a/tests/soak/history.rs
+++ b/tests/soak/history.rs
@@ -1,6 +1,6 @@
-//! What was seen from outside: what workers ran and when, and what users were
-//! told. The checker judges it by the rules, without knowing how any of it came
-//! about.
+//! The history of a run, as seen from outside: what workers ran and when, and which
+//! responses users received. The checker judges it by rules that know nothing of the
+//! implementation.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -22,9 +22,9 @@
     pub awaits: Vec<JobId>,
 }
 
-/// An answer to a question.
+/// What a response says of a job.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Answer {
+pub enum StatusResponse {
     Known(JobState),
     NotFound,
 }
@@ -34,22 +34,23 @@
 pub enum Event {
     /// A job was accepted.
     Accepted(JobId),
-    /// A submission that is in order was answered 400 or 422.
+    /// A valid submission got 400 or 422.
     Refused { job: JobId, status: u16 },
-    /// A user began to ask for its cancellation.
-    CancelAsked(JobId),
-    /// A user was told; the question was sent at `asked`.
-    Told {
+    /// A user is about to send the first request for its cancellation.
+    CancelRequested(JobId),
+    /// A user received a response to a request that was sent at `sent`.
+    Responded {
         job: JobId,
-        asked: Duration,
-        answer: Answer,
+        sent: Duration,
+        response: StatusResponse,
     },
+    /// A worker started a task.
     Started {
         task: TaskId,
         machine: String,
         zone: String,
     },
-    /// It is gone from its machine; whether it had completed.
+    /// It is on its machine no longer; `done` says whether it had completed.
     Ended {
         task: TaskId,
         machine: String,
@@ -64,33 +65,37 @@
     pub evidence: String,
 }
 
-/// All that was seen, in the order of time.
+/// All events of a run, in the order of time, and what the rules need to judge them.
 #[derive(Debug, Default, Clone)]
 pub struct History {
     pub jobs: BTreeMap<JobId, Submitted>,
+    /// The quota of each team that has one, in CPUs.
     pub team_cpus: BTreeMap<String, f64>,
+    /// How long a task may outlive the confirmed cancellation of its job.
     pub cancel: Duration,
     pub events: Vec<(Duration, Event)>,
-    /// When the last was seen, and everything should be over.
+    /// When the run ended; no task may run any more.
     pub end: Duration,
 }
 
 /// State of the check as it walks the events.
 #[derive(Default)]
 struct Seen {
+    /// The machines that run each task.
     live: BTreeMap<TaskId, BTreeSet<String>>,
     done: HashSet<TaskId>,
     /// When each job was accepted.
     accepted: BTreeMap<JobId, Duration>,
-    asked_to_cancel: HashSet<JobId>,
-    /// Final states that somebody was told, and when first.
-    told: BTreeMap<JobId, (JobState, Duration)>,
-    found: Vec<Violation>,
+    /// Jobs whose cancellation a user has requested.
+    cancel_requested: HashSet<JobId>,
+    /// Final states that a response has named, and when first.
+    final_states: BTreeMap<JobId, (JobState, Duration)>,
+    violations: Vec<Violation>,
 }
 
 impl Seen {
     fn violated(&mut self, rule: &'static str, evidence: String) {
-        self.found.push(Violation { rule, evidence });
+        self.violations.push(Violation { rule, evidence });
     }
 }
 
@@ -104,13 +109,15 @@
                 Event::Refused { job, status } => {
                     seen.violated("refused", format!("{job} is answered {status}, {at:?}"));
                 }
-                Event::CancelAsked(job) => drop(seen.asked_to_cancel.insert(*job)),
-                Event::Told { job, asked, answer } => self.told(&mut seen, *at, *job, *asked, *answer),
+                Event::CancelRequested(job) => drop(seen.cancel_requested.insert(*job)),
+                Event::Responded { job, sent, response } => {
+                    self.check_response(&mut seen, *at, *job, *sent, *response);
+                }
                 Event::Started { task, machine, zone } => {
-                    self.started(&mut seen, *at, *task, machine, zone);
+                    self.check_start(&mut seen, *at, *task, machine, zone);
                 }
                 Event::Ended { task, machine, done } => {
-                    self.outlived(&mut seen, *at, *task);
+                    self.check_outlived(&mut seen, *at, *task);
                     seen.live.entry(*task).or_default().remove(machine);
                     if *done {
                         seen.done.insert(*task);
@@ -118,8 +125,8 @@
                 }
             }
         }
-        self.at_the_end(&mut seen);
-        seen.found
+        self.check_end(&mut seen);
+        seen.violations
     }
 
     fn ancestors(&self, job: JobId) -> BTreeSet<JobId> {
@@ -132,12 +139,15 @@
         all
     }
 
-    /// When somebody was first told that a job, or one that it needs, is cancelled.
+    /// When a response first said that a job, or one that it depends on, is cancelled.
     fn cancelled_since(&self, seen: &Seen, job: JobId) -> Option<Duration> {
         let mut jobs = self.ancestors(job);
         jobs.insert(job);
-        let told = jobs.iter().filter_map(|id| seen.told.get(id));
-        told.filter(|t| t.0 == JobState::Cancelled).map(|t| t.1).min()
+        let final_states = jobs.iter().filter_map(|id| seen.final_states.get(id));
+        final_states
+            .filter(|(state, _)| *state == JobState::Cancelled)
+            .map(|(_, since)| *since)
+            .min()
     }
 
     fn is_done(&self, seen: &Seen, job: JobId) -> bool {
@@ -145,7 +155,7 @@
         (0..tasks).all(|index| seen.done.contains(&TaskId { job, index }))
     }
 
-    fn started(&self, seen: &mut Seen, at: Duration, task: TaskId, machine: &str, zone: &str) {
+    fn check_start(&self, seen: &mut Seen, at: Duration, task: TaskId, machine: &str, zone: &str) {
         let Some(job) = self.jobs.get(&task.job) else {
             return seen.violated(
                 "invented",
@@ -199,8 +209,8 @@
         }
     }
 
-    /// A task that goes at `at` must not have outlived its job's cancellation.
-    fn outlived(&self, seen: &mut Seen, at: Duration, task: TaskId) {
+    /// A task that ends at `at` must not have outlived its job's cancellation.
+    fn check_outlived(&self, seen: &mut Seen, at: Duration, task: TaskId) {
         let is_live = seen.live.get(&task).is_some_and(|on| !on.is_empty());
         if !is_live {
             return;
@@ -215,54 +225,61 @@
         }
     }
 
-    fn told(&self, seen: &mut Seen, at: Duration, job: JobId, asked: Duration, answer: Answer) {
-        let standing = match answer {
-            Answer::NotFound => {
-                // An answer to a question that was sent before may come after.
-                if seen.accepted.get(&job).is_some_and(|since| asked > *since) {
+    fn check_response(
+        &self,
+        seen: &mut Seen,
+        at: Duration,
+        job: JobId,
+        sent: Duration,
+        response: StatusResponse,
+    ) {
+        let state = match response {
+            StatusResponse::NotFound => {
+                // The response to a request sent before the acceptance may arrive after it.
+                if seen.accepted.get(&job).is_some_and(|since| sent > *since) {
                     seen.violated("forgotten", format!("{job} is not found, {at:?}"));
                 }
                 return;
             }
-            Answer::Known(standing) => standing,
+            StatusResponse::Known(state) => state,
         };
         if !self.jobs.contains_key(&job) {
-            return seen.violated("invented", format!("{job} is {standing:?}, {at:?}"));
+            return seen.violated("invented", format!("{job} is {state:?}, {at:?}"));
         }
-        if let Some((old, since)) = seen.told.get(&job).copied() {
-            if old != standing && asked > since {
+        if let Some((old, since)) = seen.final_states.get(&job).copied() {
+            if old != state && sent > since {
                 seen.violated(
                     "went_back",
-                    format!("{job} is {standing:?} at {at:?}, {old:?} since {since:?}"),
+                    format!("{job} is {state:?} at {at:?}, {old:?} since {since:?}"),
                 );
             }
         }
-        if standing == JobState::Done && !self.is_done(seen, job) {
-            seen.violated("not_done", format!("{job} is called done, {at:?}"));
+        if state == JobState::Done && !self.is_done(seen, job) {
+            seen.violated("not_done", format!("{job} is reported done, {at:?}"));
         }
         let mut with_ancestors = self.ancestors(job);
         with_ancestors.insert(job);
-        if standing == JobState::Cancelled
-            && with_ancestors.is_disjoint(&seen.asked_to_cancel.iter().copied().collect())
+        if state == JobState::Cancelled
+            && with_ancestors.is_disjoint(&seen.cancel_requested.iter().copied().collect())
         {
             seen.violated("went_back", format!("{job} is cancelled by nobody, {at:?}"));
         }
-        if matches!(standing, JobState::Queued | JobState::Running) {
+        if matches!(state, JobState::Queued | JobState::Running) {
             if let Some(since) = self
                 .cancelled_since(seen, job)
-                .filter(|since| asked > *since + self.cancel)
+                .filter(|since| sent > *since + self.cancel)
             {
                 seen.violated(
                     "orphaned",
-                    format!("{job} is {standing:?}, asked at {asked:?}, cancelled since {since:?}"),
+                    format!("{job} is {state:?}, requested at {sent:?}, cancelled since {since:?}"),
                 );
             }
         } else {
-            seen.told.entry(job).or_insert((standing, at));
+            seen.final_states.entry(job).or_insert((state, at));
         }
     }
 
-    fn at_the_end(&self, seen: &mut Seen) {
+    fn check_end(&self, seen: &mut Seen) {
         let live: Vec<TaskId> = seen
             .live
             .iter()
@@ -270,17 +287,20 @@
             .map(|(task, _)| *task)
             .collect();
         for task in live {
-            self.outlived(seen, self.end, task);
-            seen.violated("orphaned", format!("{task} still runs when all is over"));
+            self.check_outlived(seen, self.end, task);
+            seen.violated("orphaned", format!("{task} still runs at the end"));
         }
-        let open: Vec<JobId> = seen
+        let unfinished: Vec<JobId> = seen
             .accepted
             .keys()
-            .filter(|job| !seen.told.contains_key(job))
+            .filter(|job| !seen.final_states.contains_key(job))
             .copied()
             .collect();
-        for job in open {
-            seen.violated("left_over", format!("{job} has not ended, or nobody was told"));
+        for job in unfinished {
+            seen.violated(
+                "left_over",
+                format!("{job} has not ended, or no response said so"),
+            );
         }
     }
 }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,6 +1,6 @@
 //! The soak: real processes of the built program under random, overlapping faults,
-//! while users submit, cancel and ask at every controller. What workers ran and what
-//! users were told is judged from outside by [`history`].
+//! while users submit, cancel and poll at every controller. What workers ran and which
+//! responses users received is checked from outside by [`history`].
 //!
 //! By hand, a number of seeds, each for some seconds under faults:
 //!
@@ -29,19 +29,19 @@
 use run::{play, Plan};
 use site::on_loopback;
 
-/// A run whose own timer was once so late can't judge others' times.
-const LATEST_TICK: Duration = Duration::from_secs(2);
+/// A run whose own timer was once later than this can't judge others' times.
+const MAX_TIMER_DELAY: Duration = Duration::from_secs(2);
 
-/// Plays a seed and says what came of it; whether its own clock let it judge.
+/// Plays a plan and prints its result; false if its own timer was too late to judge.
 fn judge(plan: &Plan) -> bool {
     let outcome = on_loopback(play(plan));
     println!(
         "soak: seed {}, {} jobs, {} starts and ends, own timer late by {:?}",
         plan.seed, outcome.jobs, outcome.starts, outcome.late
     );
-    if outcome.late > LATEST_TICK {
+    if outcome.late > MAX_TIMER_DELAY {
         println!(
-            "soak: seed {} is not judged, its own clock stood still for {:?}",
+            "soak: seed {} is not judged, its own timer was late by {:?}",
             plan.seed, outcome.late
         );
         return false;
@@ -82,7 +82,7 @@
     assert!(failed.is_empty() && judged > 0);
 }
 
-/// The seeds of every landing.
+/// The seeds of every CI run.
 #[test]
 fn a_fixed_set_of_seeds_keeps_the_rules() {
     let judged = (1..=2).filter(|seed| {
--- a/tests/soak/processes.rs
+++ b/tests/soak/processes.rs
@@ -1,4 +1,4 @@
-//! Controllers as real processes of the built program, on a made-up site.
+//! Controllers as real processes of the built program, on loopback.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -81,7 +81,7 @@
         self.controllers[i] = Some(process.expect("it starts"));
     }
 
-    /// Ends a controller without a word.
+    /// Kills a controller (SIGKILL).
     pub fn kill(&mut self, i: usize) {
         if let Some(mut process) = self.controllers[i].take() {
             process.kill().expect("it can be killed");
@@ -95,7 +95,7 @@
         process.is_some_and(|p| p.try_wait().is_ok_and(|status| status.is_some()))
     }
 
-    /// Lets a controller stand still, or go on. Its clocks run on.
+    /// Stops a controller process, or lets it go on; its clocks run on.
     pub fn pause(&self, i: usize, paused: bool) {
         let Some(process) = &self.controllers[i] else {
             return;
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on a link between two parties, which can be cut, refused or delayed.
+//! A TCP proxy on the link between two controllers, which can close, hold or delay it.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -10,16 +10,16 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// What becomes of what is sent over a link.
+/// What the proxy does with the bytes of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkMode {
-    /// It arrives.
+    /// They are forwarded.
     Pass,
     /// Connections are closed, new ones at once.
     Refuse,
-    /// Nothing arrives in either direction; what was sent arrives after.
+    /// Nothing arrives in either direction; what was sent arrives once the mode changes.
     Hold,
-    /// It arrives so much later.
+    /// Each chunk is forwarded after this delay.
     Delay(Duration),
 }
 
@@ -40,20 +40,20 @@
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
                 if *modes.borrow() != LinkMode::Refuse {
-                    tokio::spawn(pass_on(stream, to, modes.clone()));
+                    tokio::spawn(forward(stream, to, modes.clone()));
                 }
             }
         });
         Arc::new(Self { addr, mode })
     }
 
-    /// Changes what becomes of the link.
+    /// Changes the mode of the link, that of open connections as well.
     pub fn set(&self, mode: LinkMode) {
         self.mode.send_replace(mode);
     }
 }
 
-async fn pass_on(near: TcpStream, to: SocketAddr, modes: watch::Receiver<LinkMode>) {
+async fn forward(near: TcpStream, to: SocketAddr, modes: watch::Receiver<LinkMode>) {
     let Ok(far) = TcpStream::connect(to).await else {
         return;
     };
--- a/tests/soak/request.rs
+++ b/tests/soak/request.rs
@@ -1,10 +1,10 @@
-//! What the command of the soak by hand is asked for.
+//! The environment variables of the soak by hand.
 
 use std::ops::RangeInclusive;
 
 use crate::faults::{Fault, FAULTS};
 
-/// What the command by hand is asked for.
+/// Which seeds and faults to play by hand, and for how long.
 #[derive(Debug, PartialEq)]
 pub struct Request {
     pub seeds: RangeInclusive<u64>,
@@ -14,7 +14,7 @@
 }
 
 impl Request {
-    /// Reads variables of the environment; what is wrong is named.
+    /// Reads the variables; an error names the one that is wrong.
     pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
         let number = |name: &str, default: u64, range: RangeInclusive<u64>| {
             let Some(text) = variable(name) else {
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -1,4 +1,5 @@
-//! One run: faults while users go on, then a quiet end, then the judgement of what was seen.
+//! One run: faults while users send requests, then a time without faults in which all
+//! jobs end, then the check of the history.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -12,7 +13,7 @@
 use rand::{Rng, SeedableRng};
 use tokio::time::{sleep, timeout};
 
-use crate::fault_injection::{apply, heal};
+use crate::fault_injection::{apply, heal, FaultPhase};
 use crate::faults::{schedule, Fault, Planned, Target};
 use crate::history::{Event, History, Violation};
 use crate::processes::Processes;
@@ -24,13 +25,13 @@
 pub const CANCEL: Duration = Duration::from_secs(13);
 /// How long an ordinary task runs.
 const RUN: Duration = Duration::from_millis(900);
-/// What is left when the faults are over has to end within this.
+/// After the faults, all jobs have to end within this.
 const ENDS_WITHIN: Duration = Duration::from_secs(90);
 
 /// CPUs that the limited team may use.
 pub const RED_CPUS: f64 = 40.0;
 
-/// What is to be played.
+/// A run: its seed, the time under faults, and which faults.
 #[derive(Debug, Clone)]
 pub struct Plan {
     pub seed: u64,
@@ -39,10 +40,10 @@
     pub faults: Vec<Fault>,
 }
 
-/// What came of it.
+/// The result of a run.
 pub struct RunOutcome {
     pub violations: Vec<Violation>,
-    /// How late its own timer was at the most.
+    /// The largest delay of this process's own timer.
     pub late: Duration,
     pub jobs: usize,
     pub starts: usize,
@@ -50,7 +51,7 @@
     pub folder: PathBuf,
 }
 
-/// How late this process's own timer fires at the most.
+/// Watches this process's own timer; the largest delay so far.
 fn watch_own_clock() -> Arc<Mutex<Duration>> {
     let latest = Arc::new(Mutex::new(Duration::ZERO));
     let shared = latest.clone();
@@ -73,43 +74,60 @@
         .replace("cancel_s = 40.0", &format!("cancel_s = {}.0", CANCEL.as_secs()))
 }
 
-/// Plays the faults while users go on.
+/// The begin or end of a fault of the schedule, by its index there.
+struct FaultChange {
+    at: Duration,
+    number: usize,
+    phase: FaultPhase,
+}
+
+/// Plays the faults while users send requests.
 async fn under_faults(processes: &mut Processes, users: &Arc<Users>, plan: &Plan, schedule: &[Planned]) {
-    let mut changes: Vec<(Duration, usize, bool)> = Vec::new();
+    let mut changes = Vec::new();
     for (number, planned) in schedule.iter().enumerate() {
-        changes.push((planned.at, number, true));
-        changes.push((planned.until.min(plan.length), number, false));
+        changes.push(FaultChange {
+            at: planned.at,
+            number,
+            phase: FaultPhase::Begin,
+        });
+        changes.push(FaultChange {
+            at: planned.until.min(plan.length),
+            number,
+            phase: FaultPhase::End,
+        });
     }
-    // Who led when a fault began.
-    let mut concerned = BTreeMap::new();
-    changes.sort_by_key(|change| change.0);
+    // The controller of each fault: for the leader, who led when it began.
+    let mut targets = BTreeMap::new();
+    changes.sort_by_key(|change| change.at);
     let mut changes = changes.into_iter().peekable();
     let mut next_user = Duration::ZERO;
     let mut arrivals = StdRng::seed_from_u64(plan.seed ^ 0x5eed);
     while users.began.elapsed() < plan.length {
         let now = users.began.elapsed();
-        while let Some((_, number, begins)) = changes.next_if(|change| change.0 <= now) {
-            let planned = &schedule[number];
-            let controller = *concerned.entry(number).or_insert_with(|| match planned.target {
-                Target::Controller(i) => i,
-                Target::Leader => processes.site.leader().unwrap_or(0),
-            });
-            apply(processes, planned.fault, controller, begins);
+        while let Some(change) = changes.next_if(|change| change.at <= now) {
+            let planned = &schedule[change.number];
+            let controller = *targets
+                .entry(change.number)
+                .or_insert_with(|| match planned.target {
+                    Target::Controller(i) => i,
+                    Target::Leader => processes.site.leader().unwrap_or(0),
+                });
+            apply(processes, planned.fault, controller, change.phase);
         }
         if next_user <= now {
             next_user = now + Duration::from_secs_f64(arrivals.random_range(0.1..0.7));
-            tokio::spawn(users.clone().one(arrivals.random()));
+            tokio::spawn(users.clone().run_one(arrivals.random()));
         }
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-/// The faults are over: endless jobs are cancelled, the rest has to end.
-async fn quiet_end(users: &Arc<Users>) {
+/// Without faults: cancels the endless jobs and waits until all jobs have ended.
+async fn wait_for_end(users: &Arc<Users>) {
     let began = Instant::now();
     let mut cancelled = 0;
     loop {
-        // Before what is open is counted: a job may be accepted meanwhile.
+        // Read before unfinished jobs are counted: a job may be accepted meanwhile.
         let submitting = users.submitting.load(Ordering::Relaxed);
         let endless: Vec<JobId> = users.endless.lock().clone();
         for job in &endless[cancelled..] {
@@ -117,21 +135,18 @@
         }
         cancelled = endless.len();
         let jobs: Vec<JobId> = users.jobs.lock().keys().copied().collect();
-        let mut open = 0;
+        let mut unfinished = 0;
         for (i, job) in jobs.iter().enumerate() {
-            let standing = users.poll(*job, i % 3).await;
-            open += usize::from(matches!(
-                standing,
-                None | Some(JobState::Queued | JobState::Running)
-            ));
+            let state = users.poll(*job, i % 3).await;
+            unfinished += usize::from(matches!(state, None | Some(JobState::Queued | JobState::Running)));
         }
-        let all = submitting == 0 && open <= jobs.len() - users.accepted().len();
-        if all && cancelled == users.endless.lock().len() || began.elapsed() > ENDS_WITHIN {
+        let all_ended = submitting == 0 && unfinished <= jobs.len() - users.accepted().len();
+        if all_ended && cancelled == users.endless.lock().len() || began.elapsed() > ENDS_WITHIN {
             break;
         }
         sleep(Duration::from_secs(1)).await;
     }
-    // Whatever runs of a cancelled job has until then.
+    // Tasks of cancelled jobs have so long to stop.
     sleep(Duration::from_secs(2)).await;
     users.stopped.store(true, Ordering::Relaxed);
     sleep(Duration::from_millis(1500)).await;
@@ -139,17 +154,17 @@
 
 fn history_of(users: &Users, processes: &Processes) -> History {
     let mut events = users.events.lock().clone();
-    for e in processes.site.cloud.events() {
-        let at = e.at.saturating_duration_since(users.began);
-        let event = match e.what {
+    for change in processes.site.cloud.events() {
+        let at = change.at.saturating_duration_since(users.began);
+        let event = match change.what {
             TaskChange::Started => Event::Started {
-                task: e.task,
-                machine: e.machine,
-                zone: e.zone,
+                task: change.task,
+                machine: change.machine,
+                zone: change.zone,
             },
             TaskChange::Ended { done } => Event::Ended {
-                task: e.task,
-                machine: e.machine,
+                task: change.task,
+                machine: change.machine,
                 done,
             },
         };
@@ -165,8 +180,8 @@
     }
 }
 
-/// Violations that the program noticed itself, and ends that nobody asked for.
-fn from_the_logs(processes: &mut Processes) -> Vec<Violation> {
+/// Violations that the program logged itself, and controllers that exited unkilled.
+fn violations_of_processes(processes: &mut Processes) -> Vec<Violation> {
     let mut found = Vec::new();
     for i in 0..3 {
         let text = std::fs::read_to_string(processes.log_file(i)).unwrap_or_default();
@@ -186,6 +201,7 @@
     found
 }
 
+/// Plays a plan and checks its history.
 pub async fn play(plan: &Plan) -> RunOutcome {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{}", plan.seed));
     let _ = std::fs::remove_dir_all(&folder);
@@ -212,10 +228,10 @@
     let schedule = schedule(plan.seed, plan.length, &plan.faults);
     under_faults(&mut processes, &users, plan, &schedule).await;
     heal(&mut processes);
-    let _ = timeout(ENDS_WITHIN * 2, quiet_end(&users)).await;
+    let _ = timeout(ENDS_WITHIN * 2, wait_for_end(&users)).await;
     let history = history_of(&users, &processes);
     let mut violations = history.violations();
-    violations.extend(from_the_logs(&mut processes));
+    violations.extend(violations_of_processes(&mut processes));
     let late = *late.lock();
     RunOutcome {
         violations,
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -1,5 +1,5 @@
-//! Users of the soak: they submit jobs, cancel some, and ask at every controller,
-//! and note what they are told.
+//! Users of the soak: they submit jobs, cancel some, request their states from every
+//! controller, and record the responses.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,12 +15,12 @@
 use serde_json::{json, Value};
 use tokio::time::sleep;
 
-use crate::history::{Answer, Event, Submitted};
+use crate::history::{Event, StatusResponse, Submitted};
 use crate::site::job_name;
 use crate::standins::{ask, Cloud};
 use crate::support;
 
-/// What users do and are told.
+/// What users do, and the responses that they receive.
 pub struct Users {
     pub api: Vec<std::net::SocketAddr>,
     pub began: Instant,
@@ -35,60 +35,64 @@
     pub next: AtomicU64,
 }
 
-fn standing_of(body: &Value) -> Option<JobState> {
+fn state_of(body: &Value) -> Option<JobState> {
     serde_json::from_value(body["standing"].clone()).ok()
 }
 
 impl Users {
-    pub fn note(&self, event: Event) {
+    /// Records an event at the present time.
+    pub fn record(&self, event: Event) {
         self.events.lock().push((self.began.elapsed(), event));
     }
 
-    pub fn note_answer(&self, job: JobId, asked: Duration, (status, body): &(u16, Value)) {
+    /// Records what a response to a request that was sent at `sent` says of a job.
+    pub fn record_response(&self, job: JobId, sent: Duration, (status, body): &(u16, Value)) {
         if [400, 422].contains(status) {
-            return self.note(Event::Refused { job, status: *status });
+            return self.record(Event::Refused { job, status: *status });
         }
-        let answer = match status {
-            200 => standing_of(body).map(Answer::Known),
-            404 => Some(Answer::NotFound),
+        let response = match status {
+            200 => state_of(body).map(StatusResponse::Known),
+            404 => Some(StatusResponse::NotFound),
             _ => None,
         };
-        if let Some(answer) = answer {
-            self.note(Event::Told { job, asked, answer });
+        if let Some(response) = response {
+            self.record(Event::Responded { job, sent, response });
         }
     }
 
+    /// Requests the state of a job; `None` unless the response is 200.
     pub async fn poll(&self, job: JobId, at: usize) -> Option<JobState> {
-        let asked = self.began.elapsed();
-        let answer = ask("GET", self.api[at], &format!("/v2/runs/{job}"), None).await;
-        self.note_answer(job, asked, &answer);
-        standing_of(&answer.1).filter(|_| answer.0 == 200)
+        let sent = self.began.elapsed();
+        let response = ask("GET", self.api[at], &format!("/v2/runs/{job}"), None).await;
+        self.record_response(job, sent, &response);
+        state_of(&response.1).filter(|_| response.0 == 200)
     }
 
-    /// Submits a job until it is accepted or the time is over.
+    /// Submits a job until it is accepted or refused, 40 times at most; whether it was
+    /// accepted.
     pub async fn submit(&self, job: JobId, submitted: Submitted, body: Value, at: usize) -> bool {
         self.jobs.lock().insert(job, submitted);
         for attempt in 0..40 {
-            let asked = self.began.elapsed();
-            let answer = ask(
+            let sent = self.began.elapsed();
+            let response = ask(
                 "POST",
                 self.api[(at + attempt) % 3],
                 "/v2/runs",
                 Some(body.clone()),
             )
             .await;
-            match answer.0 {
+            match response.0 {
                 201 => {
-                    self.note(Event::Accepted(job));
+                    self.record(Event::Accepted(job));
                     return true;
                 }
                 200 => {
-                    self.note(Event::Accepted(job));
-                    self.note_answer(job, asked, &answer);
+                    self.record(Event::Accepted(job));
+                    self.record_response(job, sent, &response);
                     return true;
                 }
                 400 | 422 => {
-                    self.note_answer(job, asked, &answer);
+                    self.record_response(job, sent, &response);
                     return false;
                 }
                 _ => sleep(Duration::from_millis(500)).await,
@@ -97,14 +101,15 @@
         false
     }
 
+    /// Cancels a job until that is confirmed, 120 times at most; whether it was.
     pub async fn cancel(&self, job: JobId, at: usize) -> bool {
-        self.note(Event::CancelAsked(job));
+        self.record(Event::CancelRequested(job));
         for attempt in 0..120 {
-            let asked = self.began.elapsed();
+            let sent = self.began.elapsed();
             let path = format!("/v2/runs/{job}/cancel");
-            let answer = ask("POST", self.api[(at + attempt) % 3], &path, None).await;
-            if answer.0 == 200 {
-                self.note_answer(job, asked, &answer);
+            let response = ask("POST", self.api[(at + attempt) % 3], &path, None).await;
+            if response.0 == 200 {
+                self.record_response(job, sent, &response);
                 return true;
             }
             sleep(Duration::from_millis(500)).await;
@@ -125,7 +130,7 @@
         all.split_off(1)
     }
 
-    /// Jobs whose acceptance somebody was told.
+    /// Jobs whose acceptance a user has received.
     pub fn accepted(&self) -> BTreeSet<JobId> {
         let events = self.events.lock();
         let accepted = events.iter().filter_map(|(_, event)| match event {
@@ -135,9 +140,9 @@
         accepted.collect()
     }
 
-    /// One user: a job, perhaps after others, perhaps cancelled and then asked
-    /// about, with all jobs after it, at every controller.
-    pub async fn one(self: Arc<Self>, seed: u64) {
+    /// One user: submits a job that may depend on others, may cancel it, and then
+    /// requests its state and those of its dependents from every controller.
+    pub async fn run_one(self: Arc<Self>, seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
         let number = self.next.fetch_add(1, Ordering::Relaxed) as u32;
         let job: JobId = job_name(number).parse().expect("an id");
@@ -161,21 +166,35 @@
         let after = Duration::from_secs_f64(rng.random_range(0.0..6.0));
         sleep(after).await;
         if cancels && self.cancel(job, rng.random_range(0..3)).await {
-            let mut concerned = self.dependents(job);
-            concerned.push(job);
-            for id in concerned.into_iter().take(6) {
-                for at in 0..3 {
-                    self.poll(id, at).await;
-                }
+            self.poll_cancelled_everywhere(job).await;
+        }
+        self.poll_until_final(&mut rng, job, &body).await;
+        // Later requests must find the same state.
+        self.poll(job, rng.random_range(0..3)).await;
+    }
+
+    /// Requests the states of a cancelled job and its dependents, six jobs at most, from
+    /// every controller.
+    async fn poll_cancelled_everywhere(&self, job: JobId) {
+        let mut concerned = self.dependents(job);
+        concerned.push(job);
+        for id in concerned.into_iter().take(6) {
+            for at in 0..3 {
+                self.poll(id, at).await;
             }
         }
+    }
+
+    /// Requests the state of an accepted job, or repeats its submission, until it is final
+    /// or the run stops.
+    async fn poll_until_final(&self, rng: &mut StdRng, job: JobId, body: &Value) {
         while !self.stopped.load(Ordering::Relaxed) {
             let at = rng.random_range(0..3);
             if rng.random_bool(0.2) {
                 // A repeat of an accepted submission.
-                let asked = self.began.elapsed();
-                let answer = ask("POST", self.api[at], "/v2/runs", Some(body.clone())).await;
-                self.note_answer(job, asked, &answer);
+                let sent = self.began.elapsed();
+                let response = ask("POST", self.api[at], "/v2/runs", Some(body.clone())).await;
+                self.record_response(job, sent, &response);
             } else if matches!(
                 self.poll(job, at).await,
                 Some(JobState::Done | JobState::Cancelled)
@@ -184,10 +203,9 @@
             }
             sleep(Duration::from_secs(1)).await;
         }
-        // Later questions must find the same.
-        self.poll(job, rng.random_range(0..3)).await;
     }
 
+    /// Draws a job, half of the time dependent on recent ones.
     pub fn draw(&self, rng: &mut StdRng, endless: bool) -> Submitted {
         let jobs = self.jobs.lock();
         let accepted = self.accepted();
