--- a/tests/soak/fault_injection.rs
+++ b/tests/soak/fault_injection.rs
@@ -44,10 +44,10 @@
         Fault::Hang => cloud.resume(),
         Fault::LateHeartbeats => *cloud.late_copies.lock() = begins.then_some(Duration::from_secs(7)),
         Fault::PeersRefuse => {
-            processes.set_links(controller, if begins { LinkMode::Refuse } else { LinkMode::Pass })
+            processes.set_links(controller, if begins { LinkMode::Refuse } else { LinkMode::Pass });
         }
         Fault::PeersHold => {
-            processes.set_links(controller, if begins { LinkMode::Hold } else { LinkMode::Pass })
+            processes.set_links(controller, if begins { LinkMode::Hold } else { LinkMode::Pass });
         }
         Fault::PeersDelay => {
             let delay = LinkMode::Delay(Duration::from_millis(300));
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,6 +1,6 @@
 //! The soak: real processes of the built program under random, overlapping faults,
 //! while users submit, cancel and poll at every controller. What workers ran and which
-//! responses users received is checked from outside by [`history`].
+//! responses users received is checked from outside by [`rules`].
 //!
 //! By hand, a number of seeds, each for some seconds under faults:
 //!
@@ -13,6 +13,7 @@
 mod processes;
 mod proxy;
 mod request;
+mod rules;
 mod run;
 #[path = "../support/site.rs"]
 mod site;
