--- a/tests/dependencies/fixtures.rs
+++ b/tests/dependencies/fixtures.rs
@@ -14,14 +14,14 @@
 }
 
 /// A job that waits for others.
-pub fn chained(n: u32, awaits: &[u32]) -> JobRecord {
+pub fn job_awaiting(n: u32, awaits: &[u32]) -> JobRecord {
     let mut spec = job(n, 1, 1.0);
     spec.awaits = awaits.iter().map(|a| id(*a as usize)).collect();
     record(spec)
 }
 
-/// A model with an idle machine that obeys it.
-pub fn with_machine(now: Instant) -> (ClusterModel, MachineId) {
+/// A model with an idle machine that has seen its fencing token.
+pub fn model_with_machine(now: Instant) -> (ClusterModel, MachineId) {
     let mut model = model(7);
     model.apply_heartbeat(&heartbeat("i-1", "large", "north", false, 7, 1), now);
     (model, "i-1".into())
@@ -47,6 +47,6 @@
     model.apply_heartbeat(&message, now);
 }
 
-pub fn standing(model: &ClusterModel, n: usize) -> Option<JobState> {
+pub fn state_of(model: &ClusterModel, n: usize) -> Option<JobState> {
     model.status(id(n)).map(|v| v.state)
 }
--- a/tests/dependencies/graph.rs
+++ b/tests/dependencies/graph.rs
@@ -2,16 +2,16 @@
 
 use proptest::prelude::*;
 
-use crate::plain_model::{Operation, World};
+use crate::plain_model::{Operation, PlainModel};
 
 fn any_operation() -> impl Strategy<Value = Operation> {
-    let due = proptest::option::of(any::<u16>());
-    let named = proptest::collection::vec(any::<usize>(), 0..4);
+    let due_s = proptest::option::of(any::<u16>());
+    let awaits = proptest::collection::vec(any::<usize>(), 0..4);
     prop_oneof![
-        6 => (named, 0..4u8, due, any::<u8>()).prop_map(|(n, p, d, r)| Operation::Add(n, p, d, r)),
+        6 => (awaits, 0..4u8, due_s, any::<u8>()).prop_map(|(awaits, priority, due_s, run_s)| Operation::Add { awaits, priority, due_s, run_s }),
         3 => any::<usize>().prop_map(Operation::Done),
         1 => any::<usize>().prop_map(Operation::Cancel),
-        1 => any::<usize>().prop_map(Operation::AskToCancel),
+        1 => any::<usize>().prop_map(Operation::RequestCancellation),
         1 => Just(Operation::Elect),
         2 => any::<usize>().prop_map(Operation::Resolve),
     ]
@@ -22,15 +22,15 @@
 
     #[test]
     fn the_graph_agrees_with_the_plain_rule(operations in proptest::collection::vec(any_operation(), 1..120)) {
-        let mut world = World::new();
+        let mut plain = PlainModel::new();
         for operation in operations {
-            world.step(operation);
-            let resolved = world.graph.unresolved().is_empty();
-            world.check(resolved)?;
+            plain.step(operation);
+            let resolved = plain.graph.unresolved().is_empty();
+            plain.check(resolved)?;
         }
-        while let Some(id) = world.graph.unresolved().first().copied() {
-            world.resolve(id);
+        while let Some(id) = plain.graph.unresolved().first().copied() {
+            plain.resolve(id);
         }
-        world.check(true)?;
+        plain.check(true)?;
     }
 }
--- a/tests/dependencies/main.rs
+++ b/tests/dependencies/main.rs
@@ -1,5 +1,6 @@
 //! The dependency graph against a plain model of it, and what the cluster model
-//! makes of it: what is placed, started, ranked, counted and told.
+//! makes of it: what is placed, started, ranked and counted, and which status
+//! clients are given.
 
 mod cancellation;
 mod fixtures;
--- a/tests/dependencies/plain_model.rs
+++ b/tests/dependencies/plain_model.rs
@@ -1,5 +1,5 @@
-//! A plain model of jobs that wait for others, beside the graph under test: each question
-//! is answered by walking all jobs anew.
+//! A plain model of jobs that wait for others, beside the graph under test: each query
+//! is evaluated by walking all jobs anew.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -28,13 +28,18 @@
 
 #[derive(Debug, Clone)]
 pub enum Operation {
-    /// A job that names earlier ones; its priority, due time and run time.
-    Add(Vec<usize>, u8, Option<u16>, u8),
+    /// A job that awaits earlier ones; its priority, and its due time and run time in seconds.
+    Add {
+        awaits: Vec<usize>,
+        priority: u8,
+        due_s: Option<u16>,
+        run_s: u8,
+    },
     /// An open job that waits for none is done.
     Done(usize),
     Cancel(usize),
-    /// A cancellation is asked for, its answer is not there yet.
-    AskToCancel(usize),
+    /// A cancellation is requested and not yet confirmed as stored.
+    RequestCancellation(usize),
     /// A new leader knows the open jobs, and looks up the others as it likes.
     Elect,
     Resolve(usize),
@@ -43,19 +48,19 @@
 pub struct PlainJob {
     awaits: Vec<JobId>,
     state: State,
-    /// Its cancellation is asked for.
-    asked: bool,
+    /// Its cancellation is requested and not yet confirmed as stored.
+    cancellation_requested: bool,
     own: Urgency,
     run_time: Duration,
 }
 
-pub struct World {
+pub struct PlainModel {
     pub graph: Dependencies,
     jobs: BTreeMap<JobId, PlainJob>,
     start: Instant,
 }
 
-impl World {
+impl PlainModel {
     pub fn new() -> Self {
         Self {
             graph: Dependencies::default(),
@@ -92,11 +97,14 @@
             .jobs
             .iter()
             .filter(|(_, j)| j.state == State::Open && j.awaits.contains(&id));
-        let urgencies = after.map(|(d, j)| {
-            let beyond = self.inherited(*d);
-            let priority = beyond.map_or(j.own.priority, |b| b.0.max(j.own.priority));
-            let due = [j.own.due, beyond.and_then(|b| b.1)].into_iter().flatten().min();
-            (priority, due.map(|d| d - j.run_time))
+        let urgencies = after.map(|(dependent, job)| {
+            let beyond = self.inherited(*dependent);
+            let priority = beyond.map_or(job.own.priority, |b| b.0.max(job.own.priority));
+            let due = [job.own.due, beyond.and_then(|b| b.1)]
+                .into_iter()
+                .flatten()
+                .min();
+            (priority, due.map(|d| d - job.run_time))
         });
         urgencies.reduce(|a, b| (a.0.max(b.0), [a.1, b.1].into_iter().flatten().min()))
     }
@@ -154,29 +162,36 @@
 
     pub fn step(&mut self, operation: Operation) {
         match operation {
-            Operation::Add(named, priority, due, run) => {
+            Operation::Add {
+                awaits,
+                priority,
+                due_s,
+                run_s,
+            } => {
                 let new = id(self.jobs.len());
                 let all = self.jobs.len();
-                let named = named.into_iter().filter(|_| all > 0).map(|n| id(n % all));
+                let awaits = awaits.into_iter().filter(|_| all > 0).map(|n| id(n % all));
                 let priority = [
                     Priority::Low,
                     Priority::Normal,
                     Priority::High,
                     Priority::Production,
                 ][usize::from(priority)];
-                let due = due.map(|d| self.start + Duration::from_secs(u64::from(d)));
+                let due = due_s.map(|s| self.start + Duration::from_secs(u64::from(s)));
                 let job = PlainJob {
-                    awaits: named.collect(),
+                    awaits: awaits.collect(),
                     state: State::Open,
-                    asked: false,
+                    cancellation_requested: false,
                     own: urgency(priority, due),
-                    run_time: Duration::from_secs(u64::from(run)),
+                    run_time: Duration::from_secs(u64::from(run_s)),
                 };
                 self.jobs.insert(new, job);
                 self.add_to_graph(new);
             }
             Operation::Done(which) => {
-                let ready = |w: &World, j: &JobId| w.is_ready(*j) && !w.jobs[j].asked;
+                let ready = |plain: &PlainModel, id: &JobId| {
+                    plain.is_ready(*id) && !plain.jobs[id].cancellation_requested
+                };
                 if let Some(ended) = self.nth(which).filter(|j| ready(self, j)) {
                     self.end(ended, State::Done);
                     self.graph.done_stored(ended, Some(self.start));
@@ -188,17 +203,17 @@
                     self.cancel(id);
                 }
             }
-            Operation::AskToCancel(which) => {
+            Operation::RequestCancellation(which) => {
                 if let Some(id) = self.nth(which) {
                     self.graph.cancellation_requested(id);
-                    self.jobs.get_mut(&id).expect("open").asked = true;
+                    self.jobs.get_mut(&id).expect("open").cancellation_requested = true;
                 }
             }
             Operation::Elect => {
                 self.graph = Dependencies::default();
                 let open: Vec<JobId> = self.jobs.keys().copied().filter(|j| self.is_open(*j)).collect();
                 for id in open.into_iter().rev() {
-                    self.jobs.get_mut(&id).expect("open").asked = false;
+                    self.jobs.get_mut(&id).expect("open").cancellation_requested = false;
                     self.add_to_graph(id);
                 }
             }
@@ -217,8 +232,8 @@
                 prop_assert!(self.is_ready(*id), "{id} is called ready too early");
             }
             if !self.graph.in_doubt(*id) {
-                let asked = |n: &JobId| self.jobs[n].asked && self.is_open(*n);
-                prop_assert!(!job.awaits.iter().any(asked), "{id} is in doubt");
+                let requested = |n: &JobId| self.jobs[n].cancellation_requested && self.is_open(*n);
+                prop_assert!(!job.awaits.iter().any(requested), "{id} is in doubt");
                 prop_assert!(!self.is_cancelled(*id), "{id} is cancelled unknown to the graph");
             }
             if resolved {
--- a/tests/dependencies/readiness.rs
+++ b/tests/dependencies/readiness.rs
@@ -12,9 +12,9 @@
 #[test]
 fn a_job_starts_only_once_all_that_it_needs_are_stored_as_done() {
     let now = start();
-    let (mut model, machine) = with_machine(now);
-    model.add_job(chained(1, &[]), now);
-    model.add_job(chained(2, &[1]), now);
+    let (mut model, machine) = model_with_machine(now);
+    model.add_job(job_awaiting(1, &[]), now);
+    model.add_job(job_awaiting(2, &[1]), now);
     model.plan(now);
     let placed = |m: &ClusterModel, n: usize| m.jobs().get(&id(n)).map_or(0, |j| j.place_count);
     assert_eq!((placed(&model, 1), placed(&model, 2)), (1, 0));
@@ -32,9 +32,9 @@
 #[test]
 fn the_end_of_a_job_that_others_wait_for_is_stored_before_other_ends() {
     let now = start();
-    let (mut model, machine) = with_machine(now);
+    let (mut model, machine) = model_with_machine(now);
     for (n, awaits) in [(1, vec![]), (2, vec![1]), (3, vec![])] {
-        model.add_job(chained(n, &awaits), now);
+        model.add_job(job_awaiting(n, &awaits), now);
     }
     model.plan(now);
     end_tasks(&mut model, &machine, 2, now);
@@ -48,11 +48,11 @@
 
 #[test]
 fn no_start_is_sent_for_a_job_that_waits_whatever_led_to_its_placement() {
-    // The last guard before a worker hears of it.
+    // The last check before a command is sent.
     let now = start();
-    let (mut model, machine) = with_machine(now);
-    model.add_job(chained(1, &[]), now);
-    model.add_job(chained(2, &[1]), now);
+    let (mut model, machine) = model_with_machine(now);
+    model.add_job(job_awaiting(1, &[]), now);
+    model.add_job(job_awaiting(2, &[1]), now);
     for n in [1, 2] {
         let task = TaskId { job: id(n), index: 0 };
         let attempt = model.new_attempt();
@@ -74,17 +74,17 @@
 #[test]
 fn a_job_that_waits_holds_nothing_and_ages_from_when_it_is_ready() {
     let now = start();
-    let (mut model, _) = with_machine(now);
-    // Red's guarantee is 16 CPUs: the first job of 12 leaves no room for another.
+    let (mut model, _) = model_with_machine(now);
+    // Red's quota is 16 CPUs: the first job of 12 leaves no room for another.
     for (n, awaits) in [(1, vec![]), (2, vec![1]), (3, vec![])] {
-        let mut record = chained(n, &awaits);
+        let mut record = job_awaiting(n, &awaits);
         (record.spec.team, record.spec.cpus) = ("red".into(), if n == 3 { 4.0 } else { 12.0 });
         model.add_job(record, now - secs(300) + secs(u64::from(n)));
     }
     let ranks = model.ranks(now);
     assert!(!ranks.contains_key(&id(2)), "it has no place in the queue");
-    let wanted: Vec<JobId> = model.jobs_waiting_for_capacity().map(|j| j.spec.id).collect();
-    assert_eq!(wanted, [id(1), id(3)]);
+    let waiting: Vec<JobId> = model.jobs_waiting_for_capacity().map(|j| j.spec.id).collect();
+    assert_eq!(waiting, [id(1), id(3)]);
     assert_eq!(ranks[&id(3)].tier, Tier::Starved, "it waits since it arrived");
     model.set_up().jobs.get_mut(&id(3)).expect("known").done.insert(0);
     assert_eq!(
@@ -105,7 +105,7 @@
 fn a_job_that_waits_rents_nothing() {
     let now = start();
     let mut model = model(7);
-    model.add_job(chained(1, &[9]), now);
+    model.add_job(job_awaiting(1, &[9]), now);
     assert!(
         model.plan_fleet(now).is_empty(),
         "nothing is rented for a job that waits"
@@ -117,20 +117,20 @@
 #[test]
 fn a_pipeline_is_ranked_by_its_last_job() {
     let now = start();
-    let (mut model, _) = with_machine(now);
-    let mut first = chained(1, &[]);
+    let (mut model, _) = model_with_machine(now);
+    let mut first = job_awaiting(1, &[]);
     first.spec.priority = Priority::Low;
     model.add_job(first, now);
-    model.add_job(chained(2, &[]), now);
+    model.add_job(job_awaiting(2, &[]), now);
     let before = model.ranks(now);
     assert!(before[&id(2)] < before[&id(1)]);
-    let mut last = chained(3, &[1]);
+    let mut last = job_awaiting(3, &[1]);
     (last.spec.priority, last.spec.deadline_s) = (Priority::High, Some(100.0));
     model.add_job(last, now);
     let after = model.ranks(now);
     assert!(
         after[&id(1)] < after[&id(2)],
-        "it comes first for the sake of the last"
+        "it inherits the urgency of the last"
     );
     // The last one's own run is left out of the time that the first has.
     let inherited = model
--- a/tests/dependencies/size.rs
+++ b/tests/dependencies/size.rs
@@ -12,14 +12,14 @@
 /// Shapes of 10,000 jobs: the first is cancelled, or all are done in turn.
 fn shapes() -> Vec<(&'static str, Vec<JobRecord>)> {
     const JOBS: u32 = 10_000;
-    let chain = (1..JOBS).map(|n| chained(n, &[n - 1]));
-    let fan = (1..JOBS).map(|n| chained(n, &[0]));
+    let chain = (1..JOBS).map(|n| job_awaiting(n, &[n - 1]));
+    let fan = (1..JOBS).map(|n| job_awaiting(n, &[0]));
     // Each layer of a hundred waits for three of the layer before.
     let layers = (1..JOBS).map(|n| {
         let before = |k: u32| n.saturating_sub(100 + k * 7);
-        chained(n, &[before(0), before(1), before(2)])
+        job_awaiting(n, &[before(0), before(1), before(2)])
     });
-    let first = || std::iter::once(chained(0, &[]));
+    let first = || std::iter::once(job_awaiting(0, &[]));
     vec![
         ("chain", first().chain(chain).collect()),
         ("fan", first().chain(fan).collect()),
@@ -39,7 +39,7 @@
         assert!(model.dependencies().unresolved().is_empty(), "{shape}");
         model.cancel(id(0), now);
         model.cancel_stored(id(0));
-        let cancelled = |n: &usize| standing(&model, *n) == Some(JobState::Cancelled);
+        let cancelled = |n: &usize| state_of(&model, *n) == Some(JobState::Cancelled);
         assert_eq!(
             (0..records.len()).filter(cancelled).count(),
             records.len(),
