--- a/tests/dependencies/plain_model.rs
+++ b/tests/dependencies/plain_model.rs
@@ -160,6 +160,48 @@
         }
     }
 
+    fn add(&mut self, awaits: Vec<usize>, priority: u8, due_s: Option<u16>, run_s: u8) {
+        let new = id(self.jobs.len());
+        let all = self.jobs.len();
+        let awaits = awaits.into_iter().filter(|_| all > 0).map(|n| id(n % all));
+        let priority = [
+            Priority::Low,
+            Priority::Normal,
+            Priority::High,
+            Priority::Production,
+        ][usize::from(priority)];
+        let due = due_s.map(|s| self.start + Duration::from_secs(u64::from(s)));
+        let job = PlainJob {
+            awaits: awaits.collect(),
+            state: State::Open,
+            cancellation_requested: false,
+            own: urgency(priority, due),
+            run_time: Duration::from_secs(u64::from(run_s)),
+        };
+        self.jobs.insert(new, job);
+        self.add_to_graph(new);
+    }
+
+    fn job_done(&mut self, which: usize) {
+        let ready =
+            |plain: &PlainModel, id: &JobId| plain.is_ready(*id) && !plain.jobs[id].cancellation_requested;
+        if let Some(ended) = self.nth(which).filter(|j| ready(self, j)) {
+            self.end(ended, State::Done);
+            self.graph.done_stored(ended, Some(self.start));
+            self.graph.remove(ended);
+        }
+    }
+
+    /// Builds the graph of a new leader, from the open jobs in reverse order.
+    fn elect(&mut self) {
+        self.graph = Dependencies::default();
+        let open: Vec<JobId> = self.jobs.keys().copied().filter(|j| self.is_open(*j)).collect();
+        for id in open.into_iter().rev() {
+            self.jobs.get_mut(&id).expect("open").cancellation_requested = false;
+            self.add_to_graph(id);
+        }
+    }
+
     pub fn step(&mut self, operation: Operation) {
         match operation {
             Operation::Add {
@@ -168,36 +210,9 @@
                 due_s,
                 run_s,
             } => {
-                let new = id(self.jobs.len());
-                let all = self.jobs.len();
-                let awaits = awaits.into_iter().filter(|_| all > 0).map(|n| id(n % all));
-                let priority = [
-                    Priority::Low,
-                    Priority::Normal,
-                    Priority::High,
-                    Priority::Production,
-                ][usize::from(priority)];
-                let due = due_s.map(|s| self.start + Duration::from_secs(u64::from(s)));
-                let job = PlainJob {
-                    awaits: awaits.collect(),
-                    state: State::Open,
-                    cancellation_requested: false,
-                    own: urgency(priority, due),
-                    run_time: Duration::from_secs(u64::from(run_s)),
-                };
-                self.jobs.insert(new, job);
-                self.add_to_graph(new);
-            }
-            Operation::Done(which) => {
-                let ready = |plain: &PlainModel, id: &JobId| {
-                    plain.is_ready(*id) && !plain.jobs[id].cancellation_requested
-                };
-                if let Some(ended) = self.nth(which).filter(|j| ready(self, j)) {
-                    self.end(ended, State::Done);
-                    self.graph.done_stored(ended, Some(self.start));
-                    self.graph.remove(ended);
-                }
+                self.add(awaits, priority, due_s, run_s);
             }
+            Operation::Done(which) => self.job_done(which),
             Operation::Cancel(which) => {
                 if let Some(id) = self.nth(which) {
                     self.cancel(id);
@@ -209,14 +224,7 @@
                     self.jobs.get_mut(&id).expect("open").cancellation_requested = true;
                 }
             }
-            Operation::Elect => {
-                self.graph = Dependencies::default();
-                let open: Vec<JobId> = self.jobs.keys().copied().filter(|j| self.is_open(*j)).collect();
-                for id in open.into_iter().rev() {
-                    self.jobs.get_mut(&id).expect("open").cancellation_requested = false;
-                    self.add_to_graph(id);
-                }
-            }
+            Operation::Elect => self.elect(),
             Operation::Resolve(which) => {
                 let unresolved: Vec<JobId> = self.graph.unresolved().iter().copied().collect();
                 if let Some(id) = unresolved.get(which % unresolved.len().max(1)) {
