--- a/tests/planner/backfilling.rs
+++ b/tests/planner/backfilling.rs
@@ -8,21 +8,22 @@
 use crate::fixtures::*;
 use crate::support::*;
 
-/// One large machine: 24 CPUs sunny until 60 s, 8 free; the head wants 16.
-fn blocked() -> (ClusterModel, Instant) {
+/// One large machine: 24 CPUs of sunny load until 60 s, 8 free; the head of the queue
+/// needs 16.
+fn blocked_head() -> (ClusterModel, Instant) {
     let now = start();
     let mut model = model(1);
-    add(&mut model, "i-1", "large", "north", false, now);
+    add_machine(&mut model, "i-1", "large", "north", false, now);
     model.add_job(record(job(1, 3, 8.0)), now);
     model.plan(now);
-    run_all(&mut model, now);
+    mark_all_running(&mut model, now);
     model.add_job(record(job(2, 1, 16.0)), now + secs(1));
     (model, now + secs(1))
 }
 
 #[test]
 fn backfilling_goes_by_predicted_finish_within_the_reservation_first() {
-    let (mut model, now) = blocked();
+    let (mut model, now) = blocked_head();
     let mut long = job(3, 1, 8.0);
     long.estimate_s = 500.0;
     model.add_job(record(long), now);
@@ -39,7 +40,7 @@
 
 #[test]
 fn leftover_room_goes_by_priority_whatever_the_prediction() {
-    let (mut model, now) = blocked();
+    let (mut model, now) = blocked_head();
     let mut long = job(3, 1, 8.0);
     long.estimate_s = 500.0;
     model.add_job(record(long), now);
@@ -53,15 +54,16 @@
 
 #[test]
 fn shadow_load_is_preempted_only_when_that_starts_the_head_at_once() {
-    let (mut model, now) = blocked();
+    let (mut model, now) = blocked_head();
     let mut long = job(3, 1, 8.0);
     long.estimate_s = 500.0;
     model.add_job(record(long), now);
     model.plan(now);
-    run_all(&mut model, now);
-    // Killing the shadow gives 8 CPUs: not enough for the head's 16.
+    mark_all_running(&mut model, now);
+    // Preempting the shadow load frees 8 CPUs: not enough for the head's 16.
     assert_eq!(model.plan(now + secs(1)).preempted, 0);
-    // A sunny task ends: now the shadow's 8 and the free 8 start the head.
+    // A task of the sunny load ends: the shadow load's 8 CPUs and the 8 that it frees are
+    // enough to start the head.
     let id = MachineId::from("i-1");
     let task = "job-000001/0".parse().expect("a task");
     let attempt = model.machines()[&id].slots[&task].attempt;
--- a/tests/planner/cordon.rs
+++ b/tests/planner/cordon.rs
@@ -7,24 +7,24 @@
 
 #[test]
 fn a_machine_that_fails_the_tasks_of_several_jobs_is_cordoned() {
-    // Jobs that are fine elsewhere, or more than are likely to be bad at once.
-    for (jobs, fine) in [(2, true), (3, false)] {
+    // Jobs that succeed elsewhere, or more jobs than are likely to be faulty at once.
+    for (jobs, succeeds_elsewhere) in [(2, true), (3, false)] {
         let now = start();
         let mut model = model(1);
-        add(&mut model, "i-1", "small", "north", false, now);
+        add_machine(&mut model, "i-1", "small", "north", false, now);
         for n in 1..=jobs {
             model.add_job(record(job(n, 2, 1.0)), now);
         }
-        if fine {
+        if succeeds_elsewhere {
             let first = model.set_up().jobs.values_mut().next().expect("a job");
             first.waiting.remove(1);
             first.done.insert(1);
         }
         model.plan(now);
         let id = MachineId::from("i-1");
-        all_ended(&mut model, "i-1", ExitReason::Failed, 2, now + secs(1));
+        end_all_tasks(&mut model, "i-1", ExitReason::Failed, 2, now + secs(1));
         assert!(model.machines()[&id].cordoned_since.is_some(), "{jobs} jobs");
-        add(&mut model, "i-2", "small", "north", false, now + secs(1));
+        add_machine(&mut model, "i-2", "small", "north", false, now + secs(1));
         model.plan(now + secs(1));
         assert!(!tasks_on(&model, "i-2").is_empty() && tasks_on(&model, "i-1").is_empty());
     }
@@ -33,27 +33,27 @@
 #[test]
 fn jobs_that_fail_everywhere_cordon_no_machine_and_take_little() {
     // Submitted with a mistake: two such jobs fail wherever they are tried,
-    // beside a job that is fine. Only their pauses grow, and not for long.
+    // beside a job that succeeds. Only their pauses grow, and not for long.
     let mut now = start();
     let mut model = model(1);
     let ids: Vec<String> = (1..=8).map(|i| format!("i-{i}")).collect();
     ids.iter()
-        .for_each(|id| add(&mut model, id, "small", "north", false, now));
+        .for_each(|id| add_machine(&mut model, id, "small", "north", false, now));
     for n in [1, 2] {
         model.add_job(record(job(n, 16, 4.0)), now);
     }
-    let bad: Vec<JobId> = model.jobs().keys().copied().collect();
-    let mut tries = 0;
+    let failing: Vec<JobId> = model.jobs().keys().copied().collect();
+    let mut attempts = 0;
     for i in 0..300u64 {
         now += secs(1);
         model.plan(now);
         for id in &ids {
-            tries += tasks_on(&model, id).len();
-            all_ended(&mut model, id, ExitReason::Failed, 10 + i * 2, now);
+            attempts += tasks_on(&model, id).len();
+            end_all_tasks(&mut model, id, ExitReason::Failed, 10 + i * 2, now);
         }
     }
     assert!(model.machines().values().all(|x| x.cordoned_since.is_none()));
-    assert!((18..80).contains(&tries), "{tries} tries in 300 s");
+    assert!((18..80).contains(&attempts), "{attempts} attempts in 300 s");
     let longest = model
         .jobs()
         .values()
@@ -61,15 +61,15 @@
         .max()
         .expect("a pause");
     assert!(longest <= now + secs(20));
-    // One was only unlucky: it is tried again in time, and then runs in full.
-    let job = model.set_up().jobs.get_mut(&bad[0]).expect("known");
+    // One failed by chance only: it is retried in time, and then runs in full.
+    let job = model.set_up().jobs.get_mut(&failing[0]).expect("known");
     job.done.insert(0);
     job.waiting.remove(0);
     job.failures.clear();
     job.pause_until = None;
     model.plan(now + secs(1));
     assert_eq!(
-        model.jobs()[&bad[0]].waiting.count(),
+        model.jobs()[&failing[0]].waiting.count(),
         0,
         "15 tasks on 8 machines of 8 CPUs"
     );
@@ -77,20 +77,20 @@
 
 #[test]
 fn a_job_whose_other_tasks_run_on_does_not_stay_on_probation() {
-    // Three sick machines among good ones, and no task is done for long: tried
+    // Three faulty machines among good ones, and no task is done for long: tried
     // on one at a time, its other tasks would wait beside free machines.
     let now = start();
     let mut model = model(1);
     let ids: Vec<String> = (1..=4).map(|i| format!("i-{i}")).collect();
     ids.iter()
-        .for_each(|id| add(&mut model, id, "small", "north", false, now));
+        .for_each(|id| add_machine(&mut model, id, "small", "north", false, now));
     model.add_job(record(job(1, 4, 8.0)), now);
     model.plan(now);
     let mut message = heartbeat("i-1", "small", "north", false, 1, 2);
     message.tasks = running(&model, &"i-1".into());
     model.apply_heartbeat(&message, now + secs(1));
     for id in &ids[1..] {
-        all_ended(&mut model, id, ExitReason::Failed, 2, now + secs(2));
+        end_all_tasks(&mut model, id, ExitReason::Failed, 2, now + secs(2));
     }
     let only = model.jobs().values().next().expect("the job");
     assert_eq!(
@@ -102,8 +102,8 @@
         model.placement_limit(only, now + secs(60)) >= 4,
         "one task runs on and on: all are admitted"
     );
-    add(&mut model, "i-5", "small", "north", false, now + secs(60));
-    add(&mut model, "i-6", "small", "north", false, now + secs(60));
+    add_machine(&mut model, "i-5", "small", "north", false, now + secs(60));
+    add_machine(&mut model, "i-6", "small", "north", false, now + secs(60));
     model.plan(now + secs(60));
     assert_eq!(tasks_on(&model, "i-5").len() + tasks_on(&model, "i-6").len(), 2);
 }
@@ -111,12 +111,12 @@
 #[test]
 fn a_cordon_ends_whether_or_not_the_machine_runs_something() {
     // An empty machine goes back to the cloud, but the cloud may refuse that for
-    // long. One with long tasks stays, and its room with it. What ailed either
-    // may be over.
+    // long. One with long tasks stays, and its room with it. The cause of either
+    // may have ended.
     for busy in [false, true] {
         let now = start();
         let mut model = model(1);
-        add(&mut model, "i-1", "small", "north", false, now);
+        add_machine(&mut model, "i-1", "small", "north", false, now);
         if busy {
             model.add_job(record(job(1, 1, 4.0)), now);
             model.plan(now);
--- a/tests/planner/fixtures.rs
+++ b/tests/planner/fixtures.rs
@@ -1,4 +1,4 @@
-//! Machines and what they report, shared by the planner's tests.
+//! Machines and their heartbeats, shared by the planner's tests.
 
 use std::time::Instant;
 
@@ -8,11 +8,12 @@
 
 use crate::support::*;
 
-/// Adds a machine that may be placed on.
-pub fn add(model: &mut ClusterModel, id: &str, kind: &str, zone: &str, spot: bool, now: Instant) {
+/// Adds a schedulable machine.
+pub fn add_machine(model: &mut ClusterModel, id: &str, kind: &str, zone: &str, spot: bool, now: Instant) {
     model.apply_heartbeat(&heartbeat(id, kind, zone, spot, model.term(), 1), now);
 }
 
+/// The tasks with a slot on a machine, by name.
 pub fn tasks_on(model: &ClusterModel, id: &str) -> Vec<String> {
     model.machines()[&MachineId::from(id)]
         .slots
@@ -21,8 +22,8 @@
         .collect()
 }
 
-/// Marks all that is placed as running since `now`.
-pub fn run_all(model: &mut ClusterModel, now: Instant) {
+/// Marks all placed tasks as running since `now`.
+pub fn mark_all_running(model: &mut ClusterModel, now: Instant) {
     let term = model.term();
     for slot in model
         .set_up()
@@ -38,9 +39,9 @@
     }
 }
 
-/// A second passes on four machines: tasks that have run for `run` seconds are
-/// done, what fits is placed.
-pub fn turn(model: &mut ClusterModel, second: u64, now: Instant, run_s: u64) {
+/// Advances four machines to `now`: tasks placed at least `run_s` seconds ago are done,
+/// and a scheduling round places what fits.
+pub fn advance_second(model: &mut ClusterModel, second: u64, now: Instant, run_s: u64) {
     for i in 0..4 {
         let mut message = heartbeat(&format!("i-{i}"), "small", "north", false, 5, second + 10);
         message.token = (5 << 20) + 900;
@@ -77,17 +78,23 @@
     }
 }
 
-/// Tells the model that all tasks on a machine ended so.
-pub fn all_ended(model: &mut ClusterModel, machine: &str, reason: ExitReason, sequence: u64, now: Instant) {
+/// Sends heartbeats in which all tasks on a machine have ended for `reason`.
+pub fn end_all_tasks(
+    model: &mut ClusterModel,
+    machine: &str,
+    reason: ExitReason,
+    sequence: u64,
+    now: Instant,
+) {
     let id = MachineId::from(machine);
-    run_all(model, now);
+    mark_all_running(model, now);
     let mut message = heartbeat(machine, "small", "north", false, 1, sequence);
     message.tasks = running(model, &id);
     for reported in &mut message.tasks {
         (reported.state, reported.exit_reason) = (TaskState::Exited, Some(reason));
     }
     model.apply_heartbeat(&message, now);
-    // Forgotten by the worker, too.
+    // The worker has removed them, too.
     let mut message = heartbeat(machine, "small", "north", false, 1, sequence + 1);
     message.token = (1 << 20) + 500_000;
     model.apply_heartbeat(&message, now);
--- a/tests/planner/gangs.rs
+++ b/tests/planner/gangs.rs
@@ -11,13 +11,13 @@
 fn a_gang_is_placed_whole_or_not_at_all() {
     let now = start();
     let mut model = model(1);
-    add(&mut model, "i-1", "small", "north", false, now);
+    add_machine(&mut model, "i-1", "small", "north", false, now);
     let mut spec = job(1, 3, 4.0);
     spec.kind = JobKind::Gang;
     model.add_job(record(spec), now);
     model.plan(now);
     assert!(tasks_on(&model, "i-1").is_empty(), "two of three would fit");
-    add(&mut model, "i-2", "small", "south", false, now);
+    add_machine(&mut model, "i-2", "small", "south", false, now);
     model.plan(now);
     let attempts: BTreeSet<u64> = model
         .machines()
--- a/tests/planner/generated.rs
+++ b/tests/planner/generated.rs
@@ -107,8 +107,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Never above a limit, never a forbidden place; only shadow and young
-    /// borrowed load is preempted, and only for a job that outranks it.
+    /// Never above a limit, never on a forbidden machine; only shadow load and young
+    /// over-quota load is preempted, and only for a job that outranks it.
     #[test]
     fn rounds_keep_the_rules(
         first in any_jobs(),
@@ -119,12 +119,12 @@
         let mut model = model(5);
         for (i, [large, south, spot]) in machines.iter().enumerate() {
             let (kind, zone) = (if *large { "large" } else { "small" }, if *south { "south" } else { "north" });
-            add(&mut model, &format!("i-{i}"), kind, zone, *spot, now);
+            add_machine(&mut model, &format!("i-{i}"), kind, zone, *spot, now);
         }
         for spec in first { model.add_job(record(spec), now); }
         model.plan(now);
         check_placements(&model)?;
-        run_all(&mut model, now);
+        mark_all_running(&mut model, now);
         let later = now + secs(2);
         for mut spec in second {
             spec.id = format!("{}9", spec.id).parse().expect("an id");
@@ -144,13 +144,13 @@
             let for_better = model.jobs().values().any(|j| ranks[&j.spec.id] < own && gained(j));
             prop_assert!(for_better, "{task} is stopped for nobody above it");
             if shadow_before[task] { continue; }
-            // Sunny, so it can only have been borrowed load.
+            // Sunny load, so it can only have been over quota.
             let job = &model.jobs()[&task.job];
             let for_higher = model.jobs().values()
                 .any(|j| j.spec.priority > job.spec.priority && ranks[&j.spec.id].tier <= Tier::InTime && gained(j));
             prop_assert!(for_higher, "{task} is stopped for no higher priority");
-            prop_assert!(job.spec.kind == JobKind::Array && job.spec.deadline_s.is_none(), "{task} was promised");
-            prop_assert!(own.tier != Tier::WithinQuota, "{task} was within its team's guarantee");
+            prop_assert!(job.spec.kind == JobKind::Array && job.spec.deadline_s.is_none(), "{task} has a deadline");
+            prop_assert!(own.tier != Tier::WithinQuota, "{task} was within its team's quota");
             let young = model.predict(&job.spec) / 4;
             prop_assert!(slot.running_since.is_some_and(|t| later - t < young), "{task} is not young");
             let not_stopped = model.machines().values().flat_map(|x| &x.slots)
@@ -176,7 +176,7 @@
             let mut model = model(5);
             for (i, [large, south, spot]) in machines.iter().enumerate() {
                 let (kind, zone) = (if *large { "large" } else { "small" }, if *south { "south" } else { "north" });
-                add(&mut model, &format!("i-{i}"), kind, zone, *spot, now);
+                add_machine(&mut model, &format!("i-{i}"), kind, zone, *spot, now);
             }
             model
         };
@@ -193,7 +193,7 @@
         prop_assert_eq!(places(&together), places(&one_by_one));
         let later = now + secs(2);
         for model in [&mut together, &mut one_by_one] {
-            run_all(model, now);
+            mark_all_running(model, now);
             for spec in &second {
                 let mut spec = spec.clone();
                 spec.id = format!("{}9", spec.id).parse().expect("an id");
--- a/tests/planner/overload.rs
+++ b/tests/planner/overload.rs
@@ -17,22 +17,22 @@
     let now = start();
     let mut model = model(5);
     for i in 0..4 {
-        add(&mut model, &format!("i-{i}"), "small", "north", false, now);
+        add_machine(&mut model, &format!("i-{i}"), "small", "north", false, now);
     }
     let mut arrived: HashMap<JobId, (u64, u32)> = HashMap::new();
-    let mut n = 0;
+    let mut submitted = 0;
     let mut second = 0;
     while second < 600 || model.jobs().values().any(|j| !j.is_complete()) {
         let at = now + secs(second);
         let mut submit_every = |model: &mut ClusterModel, every: u64, tasks: u32, priority: Priority| {
             if second < 600 && second % every == 0 {
-                n += 1;
-                let mut spec = job(n, tasks, 4.0);
+                submitted += 1;
+                let mut spec = job(submitted, tasks, 4.0);
                 spec.priority = priority;
-                spec.team = if n % 2 == 0 { "red" } else { "blue" }.into();
+                spec.team = if submitted % 2 == 0 { "red" } else { "blue" }.into();
                 spec.class = format!("{priority:?}");
                 spec.estimate_s = 20.0;
-                spec.deadline_s = (n % 3 > 0).then_some(60.0);
+                spec.deadline_s = (submitted % 3 > 0).then_some(60.0);
                 arrived.insert(spec.id, (second, tasks));
                 model.add_job(record(spec), at);
             }
@@ -40,7 +40,7 @@
         submit_every(&mut model, 10, 3, Priority::High);
         submit_every(&mut model, 40, 8, Priority::Normal);
         submit_every(&mut model, 120, 24, Priority::Low);
-        turn(&mut model, second, at, 20);
+        advance_second(&mut model, second, at, 20);
         for job in model.jobs().values().filter(|job| !job.has_started()) {
             let waited = second - arrived[&job.spec.id].0;
             assert!(
@@ -71,17 +71,17 @@
         let now = start();
         let mut model = model(5);
         for i in 0..4 {
-            add(&mut model, &format!("i-{i}"), "small", "north", false, now);
+            add_machine(&mut model, &format!("i-{i}"), "small", "north", false, now);
         }
-        let mut low = Vec::new();
+        let mut wide_jobs = Vec::new();
         for (n, team) in ["red", "blue"].into_iter().enumerate() {
             for priority in [Priority::Low, Priority::Normal] {
-                let mut spec = job(low.len() as u32 + 900, wide, 4.0);
+                let mut spec = job(wide_jobs.len() as u32 + 900, wide, 4.0);
                 spec.team = team.into();
                 spec.class = format!("wide-{n}");
                 spec.priority = priority;
                 spec.deadline_s = due.map(f64::from);
-                low.push(spec.id);
+                wide_jobs.push(spec.id);
                 model.add_job(record(spec), now);
             }
         }
@@ -94,14 +94,14 @@
                 spec.priority = Priority::High;
                 model.add_job(record(spec), at);
             }
-            turn(&mut model, second, at, run);
-            for id in &low {
+            advance_second(&mut model, second, at, run);
+            for id in &wide_jobs {
                 if model.jobs().get(id).is_none_or(|j| j.has_started()) {
                     begun.entry(*id).or_insert(second);
                 }
             }
         }
-        for id in &low {
+        for id in &wide_jobs {
             let at = begun.get(id).copied();
             prop_assert!(at.is_some_and(|s| s < 220), "{} began at {:?}", id, at);
         }
--- a/tests/planner/prediction.rs
+++ b/tests/planner/prediction.rs
@@ -23,12 +23,12 @@
     // An instantly failing job must not make its team's long jobs look short.
     let now = start();
     let mut model = model(1);
-    add(&mut model, "i-1", "small", "north", false, now);
+    add_machine(&mut model, "i-1", "small", "north", false, now);
     model.add_job(record(job(1, 1, 1.0)), now);
     model.plan(now);
     let id = MachineId::from("i-1");
     let mut sequence = 2;
-    run_all(&mut model, now);
+    mark_all_running(&mut model, now);
     for (reason, ran, expect) in [
         (ExitReason::Failed, 0, None),
         (ExitReason::Done, 30, Some(33.0 / 60.0)),
@@ -64,6 +64,6 @@
             .for_each(|write| model.write_finished(write, true, base));
         assert_eq!(model.run_time_ratios().get("blue").copied(), expect);
         model.plan(base + secs(ran));
-        run_all(&mut model, base + secs(ran));
+        mark_all_running(&mut model, base + secs(ran));
     }
 }
--- a/tests/planner/probation.rs
+++ b/tests/planner/probation.rs
@@ -10,7 +10,7 @@
 use crate::fixtures::*;
 use crate::support::*;
 
-/// A job of so many tasks that failed on three machines at `now`, each time
+/// A model with a job of so many tasks that failed on three machines at `now`, each time
 /// after it had run for `run`, and eight more machines with room.
 fn failed_on_three_machines(tasks: u32, run: Duration, now: Instant) -> ClusterModel {
     let mut model = model(1);
@@ -19,25 +19,25 @@
     fail_on_three_machines(only, run, now);
     only.pause_until = Some(now + only.failures.pause());
     for i in 1..=8 {
-        add(&mut model, &format!("i-{i}"), "small", "north", false, now);
+        add_machine(&mut model, &format!("i-{i}"), "small", "north", false, now);
     }
     model
 }
 
-/// Keeps the machines reporting and plans once a second for so long; how many
-/// tasks are placed after each second.
-fn placed_each_second(model: &mut ClusterModel, now: Instant, seconds: u64, runs: bool) -> Vec<u32> {
+/// Sends a heartbeat for each machine and runs a scheduling round once a second;
+/// returns the number of placed tasks after each second.
+fn placed_each_second(model: &mut ClusterModel, now: Instant, seconds: u64, tasks_run: bool) -> Vec<u32> {
     let mut placed = Vec::new();
     for i in 1..=seconds {
         let at = now + secs(i);
         for n in 1..=8 {
             let id = format!("i-{n}");
             let mut message = heartbeat(&id, "small", "north", false, 1, 1 + i);
-            let here = id.as_str().into();
-            message.tasks = if runs {
-                running(model, &here)
+            let machine = id.as_str().into();
+            message.tasks = if tasks_run {
+                running(model, &machine)
             } else {
-                fetching(model, &here)
+                fetching(model, &machine)
             };
             model.apply_heartbeat(&message, at);
         }
@@ -90,6 +90,6 @@
             prop_assert!(failures.pause() >= secs(2), "a failure is followed by a pause");
         }
         prop_assert_eq!(failures.on_probation(now), runs.len() >= 3);
-        prop_assert!(!failures.on_probation(now + secs(60)), "nobody is held back for longer");
+        prop_assert!(!failures.on_probation(now + secs(60)), "no job is held back for longer");
     }
 }
--- a/tests/planner/ranking.rs
+++ b/tests/planner/ranking.rs
@@ -10,7 +10,7 @@
 fn jobs_start_by_priority_then_arrival() {
     let now = start();
     let mut model = model(1);
-    add(&mut model, "i-1", "small", "north", false, now);
+    add_machine(&mut model, "i-1", "small", "north", false, now);
     let mut low = job(1, 1, 8.0);
     low.priority = Priority::Low;
     model.add_job(record(low), now);
@@ -24,8 +24,8 @@
 fn a_job_at_its_teams_limit_is_skipped_not_the_head() {
     let now = start();
     let mut model = model(1);
-    add(&mut model, "i-1", "large", "north", false, now);
-    add(&mut model, "i-2", "large", "north", false, now);
+    add_machine(&mut model, "i-1", "large", "north", false, now);
+    add_machine(&mut model, "i-2", "large", "north", false, now);
     let mut big = job(1, 8, 8.0);
     big.team = "red".into();
     model.add_job(record(big), now);
@@ -40,28 +40,28 @@
 
 #[test]
 fn under_load_jobs_that_can_still_be_in_time_come_before_late_ones() {
-    // One machine, room for one: by arrival the lost job would come first, and
-    // all others would be late in turn.
+    // One machine, room for one: by arrival the job that is already late would come
+    // first, and all others would be late in turn.
     let now = start();
-    let with = |n: u32, due: Option<f64>, age: u64, team: &str| {
+    let submitted = |n: u32, due: Option<f64>, age: u64, team: &str| {
         let mut spec = job(n, 1, 8.0);
         spec.deadline_s = due;
         spec.team = team.into();
         (record(spec), now - secs(age))
     };
-    let lost = with(1, Some(50.0), 100, "blue");
-    let in_time = with(2, Some(100.0), 20, "blue");
-    let later = with(3, None, 10, "blue");
-    let guaranteed = with(4, None, 5, "red");
-    let forgotten = with(5, Some(50.0), 1000, "blue");
-    let order = [forgotten, lost, in_time, later, guaranteed];
+    let late = submitted(1, Some(50.0), 100, "blue");
+    let in_time = submitted(2, Some(100.0), 20, "blue");
+    let no_deadline = submitted(3, None, 10, "blue");
+    let within_quota = submitted(4, None, 5, "red");
+    let starved = submitted(5, Some(50.0), 1000, "blue");
+    let order = [starved, late, in_time, no_deadline, within_quota];
     let mut model = model(1);
     order.iter().for_each(|(r, at)| model.add_job(r.clone(), *at));
     let ranks = model.ranks(now);
     let mut ids: Vec<JobId> = ranks.keys().copied().collect();
     ids.sort_by_key(|id| ranks[id]);
     let ids: Vec<String> = ids.iter().map(ToString::to_string).collect();
-    // The forgotten one has waited long enough; red's is within its guarantee;
+    // The starved one has waited long enough; red's is within its quota;
     // the one that is due can wait 20 s yet.
     let expected = [5, 4, 3, 2, 1].map(|n| format!("job-{n:06}"));
     assert_eq!(ids, expected);
@@ -72,7 +72,7 @@
     // By arrival or by latest start, a large job would make ten small ones late.
     let now = start();
     let mut model = model(1);
-    add(&mut model, "i-1", "small", "north", false, now);
+    add_machine(&mut model, "i-1", "small", "north", false, now);
     for (n, tasks) in [(1, 40), (2, 5), (3, 1)] {
         let mut spec = job(n, tasks, 8.0);
         spec.deadline_s = Some(200.0);
@@ -96,6 +96,6 @@
     assert_eq!(
         tiers,
         [Tier::WithinQuota, Tier::WithinQuota, Tier::InTime],
-        "16 CPUs are guaranteed"
+        "the quota is 16 CPUs"
     );
 }
--- a/tests/safety/commands.rs
+++ b/tests/safety/commands.rs
@@ -1,4 +1,4 @@
-//! Commands, their fencing tokens, and what may still arrive after them.
+//! Commands, their fencing tokens, and delayed commands that arrive later.
 
 use bitternfold::wire::*;
 
@@ -6,8 +6,8 @@
 
 #[test]
 fn a_heartbeat_older_than_the_last_start_reconciles_nothing() {
-    // A start with no answer may still arrive: only a token at least as high
-    // as the start's, in the worker's own words, shows that it can't.
+    // A start without a response may still arrive: only a heartbeat with a token at
+    // least as high as the start's shows that it can't.
     let now = start();
     let mut model = model(7);
     let id = MachineId::from("i-1");
@@ -33,7 +33,7 @@
     assert_eq!(
         model.machines()[&id].slots.len(),
         1,
-        "unanswered is unknown, not failed"
+        "without a response its outcome is unknown, not failed"
     );
     let mut later = heartbeat("i-1", "small", "north", false, 7, 3);
     later.token = batch.token;
@@ -43,8 +43,8 @@
 
 #[test]
 fn a_heartbeat_response_never_carries_the_token_of_a_command_in_transit() {
-    // Else the worker would report that token though the command, and the
-    // start in it, is still to come, and is accepted with an equal token.
+    // Else the worker would send that token in its heartbeats though the command, and
+    // the start in it, is still in transit, and is accepted with an equal token.
     let now = start();
     let mut model = model(7);
     let id = MachineId::from("i-1");
@@ -68,21 +68,21 @@
     assert_eq!(
         model.heartbeat_response(&id, 8 << 20, now),
         None,
-        "a later leader has spoken: no answer"
+        "it has seen a later leader's token: no response"
     );
 }
 
 #[test]
 fn a_delayed_start_is_refused_for_good_once_its_job_is_cancelled() {
-    // Commands to the machine get no answers, its reports arrive. While they are
-    // answered its session lives, and the start would be taken whenever it comes.
+    // Commands to the machine get no response, its heartbeats arrive. While they get
+    // responses its lease is renewed, and the start would be accepted whenever it arrives.
     let now = start();
     let mut model = model(7);
     let id = MachineId::from("i-1");
     model.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
-    let rec = record(job(1, 1, 4.0));
-    let job = rec.spec.id;
-    model.add_job(rec, now);
+    let job_record = record(job(1, 1, 4.0));
+    let job = job_record.spec.id;
+    model.add_job(job_record, now);
     model.plan(now);
     model
         .take_due_writes(now)
@@ -94,20 +94,20 @@
     let mut message = heartbeat("i-1", "small", "north", false, 7, 2);
     let soon = model
         .heartbeat_response(&id, message.token, now + secs(2))
-        .expect("an answer");
+        .expect("a response");
     assert!(soon.token < batch.token, "its stop may yet get through");
     let token = model
         .heartbeat_response(&id, message.token, now + secs(9))
-        .expect("an answer")
+        .expect("a response")
         .token;
     assert!(token > batch.token, "the start is refused from now on");
     (message.token, message.sequence) = (token, 3);
     model.apply_heartbeat(&message, now + secs(9));
     assert!(
         model.machines()[&id].slots.is_empty(),
-        "and that settles its place"
+        "and its slot is reconciled"
     );
-    // A task that is there is stopped by the answer itself.
+    // A task that runs there is stopped by the heartbeat response itself.
     message.tasks = vec![ReportedTask {
         task: TaskId { job, index: 0 },
         attempt: 5,
@@ -141,20 +141,20 @@
     let writes = model.take_due_writes(now + secs(1));
     let response = model
         .heartbeat_response(&id, message.token, now)
-        .expect("an answer");
-    assert!(response.commands.is_empty(), "nothing to say yet");
+        .expect("a response");
+    assert!(response.commands.is_empty(), "the outcome is not stored yet");
     writes
         .iter()
         .for_each(|write| model.write_finished(write, true, now));
     let response = model
         .heartbeat_response(&id, message.token, now)
-        .expect("an answer");
+        .expect("a response");
     assert!(matches!(response.commands[..], [Command::Acknowledge { .. }]));
     assert!(
         response.token > batch.token,
         "late copies of the start are refused from now on"
     );
-    // No report comes: it is said by a command.
+    // No heartbeat arrives: a command carries the acknowledgement.
     assert!(model.next_command(&id, now + secs(2)).is_none());
     let batch = model.next_command(&id, now + secs(9)).expect("a command").batch;
     assert!(matches!(batch.commands[..], [Command::Acknowledge { .. }]));
@@ -162,7 +162,7 @@
 
 #[test]
 fn a_leader_whose_commands_reach_too_few_workers_finds_itself_partitioned() {
-    // Their reports come by way of others and renew their leases, so without
+    // Their heartbeats come by way of others and renew their leases, so without
     // this the stops of a cancelled job would never arrive.
     let now = start();
     let mut model = model(7);
@@ -179,8 +179,8 @@
         model.apply_heartbeat(&heartbeat(id, "small", "north", false, 7, 2), now + secs(7));
     }
     assert!(model.is_partitioned_from_workers(now + secs(7)));
-    let answer = heartbeat(&ids[0], "small", "north", false, 7, 3);
-    model.command_finished(&ids[0], Some(&answer), now + secs(7));
+    let response = heartbeat(&ids[0], "small", "north", false, 7, 3);
+    model.command_finished(&ids[0], Some(&response), now + secs(7));
     model.command_finished(
         &ids[1],
         Some(&heartbeat(&ids[1], "small", "north", false, 7, 3)),
@@ -188,9 +188,9 @@
     );
     assert!(
         !model.is_partitioned_from_workers(now + secs(7)),
-        "half of them answer"
+        "half of them respond"
     );
-    // Those that were sent nothing of late don't count as answering.
+    // Workers that were sent nothing recently don't count as responding.
     model.command_finished(&ids[0], None, now + secs(8));
     for id in &ids {
         model.apply_heartbeat(&heartbeat(id, "small", "north", false, 7, 4), now + secs(14));
--- a/tests/safety/generated.rs
+++ b/tests/safety/generated.rs
@@ -1,5 +1,5 @@
-//! Generated troubles: nothing is done twice or too early meanwhile, and all work is done
-//! once they are over.
+//! Generated faults: nothing is done twice or too early meanwhile, and all work is done
+//! once they have ended.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -50,8 +50,8 @@
     ]
 }
 
-/// A world in which all that was done, and whose messages arrive again.
-fn after_trouble(operations: Vec<Operation>) -> SimulatedCluster {
+/// A cluster after these operations, in which all messages arrive again.
+fn after_faults(operations: Vec<Operation>) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new();
     for operation in operations {
         if !matches!(operation, Operation::MachineDies(_)) {
@@ -70,9 +70,10 @@
     cluster
 }
 
-/// Trouble is over: all gets done, and nobody waits for long beside room.
-fn quiet_ending(cluster: &mut SimulatedCluster) -> Result<(), TestCaseError> {
-    let mut since = BTreeMap::new();
+/// Runs the cluster without faults: all jobs get done, and none waits for long despite
+/// free capacity.
+fn finish_without_faults(cluster: &mut SimulatedCluster) -> Result<(), TestCaseError> {
+    let mut waiting_starts = BTreeMap::new();
     for i in 0..9600usize {
         // Tasks run for long, so that work waits and every machine is needed.
         let ends = if i / 8 % 60 < 8 { 0 } else { 4 };
@@ -86,7 +87,7 @@
             6 => Operation::ResolveDependency(0),
             _ => Operation::Deliver(0),
         };
-        // What the fleet does with silent machines.
+        // The fleet releases silent machines.
         let alive = |id: &MachineId| {
             cluster
                 .workers
@@ -105,20 +106,20 @@
         }
         cluster.step(operation);
         let waiting = cluster.jobs_waiting_despite_room();
-        since.retain(|id, _| waiting.contains(id));
+        waiting_starts.retain(|id, _| waiting.contains(id));
         for id in waiting {
-            let t = *since.entry(id).or_insert(cluster.now);
+            let waiting_since = *waiting_starts.entry(id).or_insert(cluster.now);
             prop_assert!(
-                cluster.now - t <= secs(90),
-                "{id} waits for {:?} beside room",
-                cluster.now - t
+                cluster.now - waiting_since <= secs(90),
+                "{id} waits for {:?} despite room",
+                cluster.now - waiting_since
             );
         }
     }
     let open: BTreeSet<_> = cluster.stored_jobs.keys().collect();
     prop_assert!(
         open.is_empty(),
-        "left over: {:?}, mail {}",
+        "left over: {:?}, messages in transit: {}",
         open,
         cluster.in_transit.len()
     );
@@ -138,26 +139,26 @@
         }
     }
 
-    /// Once the trouble ends, every job that isn't cancelled gets done, and none
+    /// Once the faults end, every job that isn't cancelled gets done, and none
     /// waits for long while a machine that fits has room.
     #[test]
     fn all_work_is_done_once_faults_end(operations in proptest::collection::vec(any_operation(), 20..200)) {
-        let mut cluster = after_trouble(operations);
-        quiet_ending(&mut cluster)?;
+        let mut cluster = after_faults(operations);
+        finish_without_faults(&mut cluster)?;
     }
 
     /// The same after all that runs has failed everywhere, six times in a row.
     #[test]
     fn no_job_waits_despite_room_after_failing_everywhere(operations in proptest::collection::vec(any_operation(), 20..200)) {
         let mut cluster = after_failing_everywhere(operations);
-        quiet_ending(&mut cluster)?;
+        finish_without_faults(&mut cluster)?;
     }
 }
 
-/// The world after some trouble, the last of which is that all that runs
-/// fails, six times.
+/// A cluster after some faults, the last of which is that all running tasks fail, six
+/// times.
 fn after_failing_everywhere(operations: Vec<Operation>) -> SimulatedCluster {
-    let mut cluster = after_trouble(operations);
+    let mut cluster = after_faults(operations);
     for i in 0..240usize {
         let operation = match (i % 40, i % 8) {
             (39, _) => Operation::FailAllTasks,
@@ -172,7 +173,7 @@
 
 #[test]
 fn a_job_that_failed_everywhere_is_placed_in_full_again_in_time() {
-    // A generated sequence after which tasks waited for 90.4 s beside room:
+    // A generated sequence after which tasks waited for 90.4 s despite room:
     // pauses of 32 s, then one task at a time, while machines stayed cordoned.
     let submit = |tasks, cpus, red| Operation::Submit {
         tasks,
@@ -225,5 +226,5 @@
         deliver(5766986400068430867),
     ];
     let mut cluster = after_failing_everywhere(operations);
-    quiet_ending(&mut cluster).expect("nobody waits for long");
+    finish_without_faults(&mut cluster).expect("no job waits for long");
 }
--- a/tests/safety/heartbeats.rs
+++ b/tests/safety/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats that are late, or that name what the leader doesn't know.
+//! Heartbeats that are late, or that list tasks unknown to the leader.
 
 use bitternfold::core::evidence::heartbeats::HeartbeatOutcome;
 use bitternfold::core::state::machine::MessageOrder;
@@ -9,7 +9,7 @@
 
 #[test]
 fn an_older_message_changes_nothing() {
-    // Reports held back by the network arrive after newer ones; their tasks
+    // Heartbeats held back by the network arrive after newer ones; their tasks
     // are as old as they are.
     let now = start();
     let mut model = model(7);
@@ -41,8 +41,8 @@
 
 #[test]
 fn heartbeats_older_than_the_fencing_token_create_no_slots() {
-    // A new leader may hear late copies first: what they list is not there any
-    // more, and a place made for it would keep its task from starting elsewhere.
+    // A new leader may receive late copies first: the tasks they list don't run there
+    // any more, and a slot made for one would keep it from starting elsewhere.
     let now = start();
     let mut model = model(9);
     model.add_job(record(job(1, 1, 4.0)), now);
@@ -58,7 +58,7 @@
     let id = MachineId::from("i-1");
     assert!(model.machines()[&id].slots.is_empty());
     assert_eq!(model.jobs().values().next().expect("the job").waiting.count(), 1);
-    // In its own words, after the fence, it counts.
+    // A heartbeat that carries the fencing token counts.
     late.token = 9 << 20;
     late.sequence += 1;
     model.apply_heartbeat(&late, now);
@@ -68,7 +68,7 @@
 
 #[test]
 fn a_released_machine_stays_released_in_the_next_term() {
-    // Late copies of its reports must not bring it back into the fleet.
+    // Late copies of its heartbeats must not bring it back into the fleet.
     let now = start();
     let mut model = model(7);
     model.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
@@ -82,8 +82,8 @@
         }
     }
     next.replay_log(now);
-    let last_heartbeat = next.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 9), now);
-    assert_eq!(last_heartbeat, HeartbeatOutcome::MachineReleased);
+    let outcome = next.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 9), now);
+    assert_eq!(outcome, HeartbeatOutcome::MachineReleased);
     assert!(next.machines().is_empty());
 }
 
@@ -93,12 +93,12 @@
     let mut model = model(7);
     let id = MachineId::from("i-1");
     model.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
-    let rec = record(job(1, 1, 4.0));
+    let job_record = record(job(1, 1, 4.0));
     let task = TaskId {
-        job: rec.spec.id,
+        job: job_record.spec.id,
         index: 0,
     };
-    model.add_job(rec, now);
+    model.add_job(job_record, now);
     model.plan(now);
     let mut message = heartbeat("i-1", "small", "north", false, 7, 2);
     message.tasks = running(&model, &id);
@@ -107,12 +107,12 @@
     message.tasks[0].attempt += 1;
     assert_eq!(model.unknown_tasks(&message).count(), 1);
     message.tasks[0].attempt -= 1;
-    // Its place is gone, or its job.
+    // Its slot is removed, or its job.
     let slot = model
         .set_up()
         .machines
         .get_mut(&id)
-        .and_then(|x| x.slots.remove(&task))
+        .and_then(|machine| machine.slots.remove(&task))
         .expect("placed");
     assert_eq!(model.unknown_tasks(&message).count(), 1);
     model
@@ -124,7 +124,8 @@
         .insert(task, slot);
     model.remove_job(task.job);
     assert_eq!(model.unknown_tasks(&message).count(), 1);
-    // What has ended is no matter, nor what a machine says before it obeys.
+    // Ended tasks don't count, nor a heartbeat from before the machine has seen this
+    // term's token.
     message.tasks[0].state = TaskState::Exited;
     assert_eq!(model.unknown_tasks(&message).count(), 0);
     message.tasks[0].state = TaskState::Running;
