--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! What the fleet does with machines that are silent, cut off, noticed, or that take no commands.
+//! What the fleet does with machines that are silent, partitioned, about to be reclaimed,
+//! or that no command reaches.
 
 mod support;
 
@@ -14,6 +15,7 @@
 use bitternfold::wire::*;
 use support::*;
 
+/// Plans the fleet's actions and returns the machines that are to be released.
 fn released(model: &mut ClusterModel, now: Instant) -> Vec<String> {
     model
         .plan_fleet(now)
@@ -27,7 +29,7 @@
         .collect()
 }
 
-/// So many machines in each zone, each with a task of its own.
+/// A model with `per_zone` machines in each zone, each with a running task of its own.
 fn cluster(per_zone: usize, now: Instant) -> ClusterModel {
     let mut model = model(7);
     model.add_job(record(job(1, 2 * per_zone as u32, 8.0)), now);
@@ -54,7 +56,8 @@
     model
 }
 
-/// Each machine of a zone sends a heartbeat with what it holds, and gets a response.
+/// Each machine whose id contains `zone` sends a heartbeat with its running tasks, and
+/// gets a response.
 fn send_heartbeats(model: &mut ClusterModel, zone: &str, sequence: u64, now: Instant) {
     let ids: Vec<MachineId> = model
         .machines()
@@ -73,8 +76,8 @@
 
 #[test]
 fn a_zone_that_is_cut_off_is_kept_and_its_leases_settle_its_tasks() {
-    // To release a third of the machines for a cut of a minute would cost them
-    // a boot and their images.
+    // To release a third of the machines for a partition of a minute would cost a boot
+    // and the images of each.
     let now = start();
     let mut model = cluster(5, now);
     send_heartbeats(&mut model, "north", 10, now);
@@ -91,17 +94,17 @@
             "{second} s"
         );
     }
-    // The lease is 20 s: not sooner, and with a margin, their tasks are gone.
+    // The lease is 20 s: not sooner, and with a margin, their tasks have been removed.
     send_heartbeats(&mut model, "north", 40, now + secs(22));
     assert_eq!(released(&mut model, now + secs(22)), Vec::<String>::new());
-    let cut = |model: &ClusterModel| {
+    let emptied_in_south = |model: &ClusterModel| {
         model
             .machines()
             .values()
             .filter(|x| x.zone == "south" && x.slots.is_empty())
             .count()
     };
-    assert_eq!(cut(&model), 5);
+    assert_eq!(emptied_in_south(&model), 5);
     assert_eq!(model.jobs().values().next().expect("the job").waiting.count(), 5);
     // A message of the incarnation that has ended comes late and changes nothing.
     let id = MachineId::from("i-south-0");
@@ -118,29 +121,32 @@
         model.apply_heartbeat(&late, now + secs(24)),
         HeartbeatOutcome::Applied
     );
-    // One that is still silent long after is given up.
+    // Machines that are still silent long after are released.
     send_heartbeats(&mut model, "north", 50, now + secs(75));
-    let gone = released(&mut model, now + secs(75));
+    let released_machines = released(&mut model, now + secs(75));
     let expected: Vec<String> = (1..5).map(|i| format!("i-south-{i}")).collect();
-    assert_eq!(gone, expected, "the one that spoke meanwhile is not");
+    assert_eq!(
+        released_machines, expected,
+        "all but the one that sent a heartbeat"
+    );
 }
 
 #[test]
 fn a_single_silent_machine_is_released_so_that_its_tasks_run_elsewhere() {
     let now = start();
     let mut model = cluster(5, now);
-    let odd = MachineId::from("i-north-3");
+    let silent = MachineId::from("i-north-3");
     for second in 1..=9 {
         send_heartbeats(&mut model, "north", 10 + second, now + secs(second));
         send_heartbeats(&mut model, "south", 10 + second, now + secs(second));
-        let machine = model.set_up().machines.get_mut(&odd).expect("known");
+        let machine = model.set_up().machines.get_mut(&silent).expect("known");
         machine.last_heartbeat = Some(now);
     }
     assert_eq!(released(&mut model, now + secs(9)), Vec::<String>::new());
     model
         .set_up()
         .machines
-        .get_mut(&odd)
+        .get_mut(&silent)
         .expect("known")
         .last_heartbeat = Some(now - secs(1));
     assert_eq!(released(&mut model, now + secs(9)), ["i-north-3"]);
@@ -148,8 +154,8 @@
 
 #[test]
 fn no_healthy_machine_is_released_for_its_ordinary_interval() {
-    // Reports come every report_s, give or take a quarter, and two of them may
-    // be late; a fixed threshold was right for one interval only.
+    // Heartbeats are sent every report_s, give or take a quarter, and two of them may
+    // be late; a fixed threshold would be right for one interval only.
     for report_s in [1.0, 3.0, 8.0, 12.0] {
         let text = SETTINGS
             .replace("report_s = 3.0", &format!("report_s = {report_s:.1}"))
@@ -168,7 +174,7 @@
         for i in 0..4 {
             model.apply_heartbeat(&heartbeat(&format!("i-{i}"), "small", "north", true, 7, 1), now);
         }
-        // They are warm room for a job that needs them soon.
+        // They are warm capacity for a job that needs them soon.
         model.add_job(record(job(1, 40, 8.0)), now);
         assert_eq!(released(&mut model, now + longest * 3 / 2), Vec::<String>::new());
     }
@@ -179,11 +185,11 @@
     let now = start();
     let mut model = cluster(2, now);
     let id = MachineId::from("i-north-0");
-    let noticed = |model: &mut ClusterModel, sequence: u64, reclaim_at: f64, now: Instant| {
+    let stops_task = |model: &mut ClusterModel, sequence: u64, reclaim_in_s: f64, now: Instant| {
         let mut message = heartbeat(&id, "small", "north", false, 7, sequence);
         message.token = model.machines()[&id].seen_token;
         message.tasks = running(model, &id);
-        message.reclaim_in_s = Some(reclaim_at);
+        message.reclaim_in_s = Some(reclaim_in_s);
         model.apply_heartbeat(&message, now);
         model.plan_fleet(now);
         model.machines()[&id]
@@ -191,21 +197,21 @@
             .values()
             .any(|s| s.stop_grace.is_some())
     };
-    // No room elsewhere: it may still end in time.
-    assert!(!noticed(&mut model, 10, 15.0, now + secs(1)));
+    // No free machine elsewhere: the task may still end in time.
+    assert!(!stops_task(&mut model, 10, 15.0, now + secs(1)));
     model.apply_heartbeat(
         &heartbeat("i-spare", "small", "north", false, 7, 1),
         now + secs(1),
     );
     // Predicted to run 60 s: 50 s may do, 15 s will not.
-    assert!(!noticed(&mut model, 11, 50.0, now + secs(1)));
-    assert!(noticed(&mut model, 12, 15.0, now + secs(1)));
+    assert!(!stops_task(&mut model, 11, 50.0, now + secs(1)));
+    assert!(stops_task(&mut model, 12, 15.0, now + secs(1)));
 }
 
 #[test]
 fn a_machine_that_no_command_reaches_gets_no_starts_and_is_given_up() {
-    // Its reports arrive, so it isn't silent; but no command reaches it, and no
-    // answer, so its lease runs out, its session changes, and so on for ever.
+    // Its heartbeats arrive, so it isn't silent; but no command and no response reaches it,
+    // so its lease expires, a new incarnation begins, and so on for ever.
     let now = start();
     let mut model = cluster(3, now);
     let id = MachineId::from("i-south-1");
@@ -215,7 +221,7 @@
     assert!(sent.iter().any(|due| due.machine == id));
     model.command_finished(&id, None, now);
     assert!(!model.is_schedulable(&model.machines()[&id], now + secs(1)));
-    // A later session than its start was sent to: the task is gone.
+    // A later incarnation than the start was sent to: the task does not run there.
     let mut message = heartbeat(&id, "small", "south", false, 7, 1);
     message.incarnation = 2;
     model.apply_heartbeat(&message, now + secs(12));
@@ -233,7 +239,8 @@
 #[test]
 fn a_process_pause_is_not_taken_for_missed_heartbeats() {
     // A controller that resumes after a pause has received nothing meanwhile; its
-    // lease may have lived on, as in an outage. To release all machines for that would end all work.
+    // lease may have been kept, as in an outage. To release all machines for that would end
+    // all work.
     let now = start();
     let mut model = cluster(5, now);
     send_heartbeats(&mut model, "north", 10, now);
@@ -252,7 +259,7 @@
         .machines()
         .values()
         .all(|x| x.cordoned_since.is_none() && x.slots.len() == 1));
-    // One that stays silent from then on is released as ever.
+    // A machine that stays silent from then on is released as usual.
     for second in 1..=12 {
         send_heartbeats(&mut model, "south", 30 + second, resumed_at + secs(second));
         let ids: Vec<MachineId> = model.machines().keys().cloned().collect();
@@ -269,7 +276,7 @@
 
 #[test]
 fn a_lease_that_another_may_renew_is_not_taken_as_expired() {
-    // Until a machine obeys this term, the leader before may answer its reports.
+    // Until a machine has seen this term's token, the earlier leader may renew its lease.
     let now = start();
     let mut model = cluster(1, now);
     let id = MachineId::from("i-north-0");
@@ -279,15 +286,15 @@
     let other = MachineId::from("i-south-0");
     assert!(
         model.machines()[&other].slots.is_empty(),
-        "this one obeys: it is over"
+        "this one has seen the term's token: its lease has expired"
     );
 }
 
 #[test]
 fn a_job_that_cannot_start_does_not_hold_idle_machines() {
-    // Submitted with a mistake, a job waits until its user cancels it, mostly in
-    // a pause or with its one trial on its way. A job at its team's limit waits
-    // for its own tasks. Neither has any use for more machines.
+    // A job that fails everywhere waits until its user cancels it, mostly in a pause or
+    // with its one trial placed. A job at its team's limit waits for its own tasks. Neither
+    // can use more machines.
     let now = start();
     let later = now + secs(600);
     let idle_fleet = || {
@@ -309,19 +316,19 @@
 
     let mut paused = idle_fleet();
     paused.add_job(record(job(1, 50, 8.0)), later);
-    let bad = paused.set_up().jobs.values_mut().next().expect("the job");
-    fail_on_three_machines(bad, secs(1), later);
-    let pause = bad.failures.pause();
-    bad.pause_until = Some(later + pause);
+    let failing = paused.set_up().jobs.values_mut().next().expect("the job");
+    fail_on_three_machines(failing, secs(1), later);
+    let pause = failing.failures.pause();
+    failing.pause_until = Some(later + pause);
     assert_eq!(released(&mut paused, later).len(), 20, "it pauses");
 
-    let mut tried = idle_fleet();
-    tried.add_job(record(job(1, 50, 8.0)), later);
-    let bad = tried.set_up().jobs.values_mut().next().expect("the job");
-    fail_on_three_machines(bad, secs(1), later);
-    tried.plan(later);
-    assert_eq!(tried.jobs().values().next().expect("the job").place_count, 1);
-    assert!(released(&mut tried, later).len() >= 17, "one task is tried");
+    let mut on_trial = idle_fleet();
+    on_trial.add_job(record(job(1, 50, 8.0)), later);
+    let failing = on_trial.set_up().jobs.values_mut().next().expect("the job");
+    fail_on_three_machines(failing, secs(1), later);
+    on_trial.plan(later);
+    assert_eq!(on_trial.jobs().values().next().expect("the job").place_count, 1);
+    assert!(released(&mut on_trial, later).len() >= 17, "one task is tried");
 
     let mut limited = idle_fleet();
     let mut spec = job(1, 50, 8.0);
@@ -338,7 +345,7 @@
         "its team is at its limit"
     );
 
-    let mut wanted = idle_fleet();
-    wanted.add_job(record(job(1, 50, 8.0)), later);
-    assert_eq!(released(&mut wanted, later), Vec::<String>::new());
+    let mut startable = idle_fleet();
+    startable.add_job(record(job(1, 50, 8.0)), later);
+    assert_eq!(released(&mut startable, later), Vec::<String>::new());
 }
--- a/tests/gap/main.rs
+++ b/tests/gap/main.rs
@@ -1,8 +1,8 @@
 //! The gap: one leader is refused by the state service, another confirms
 //! cancellations, then the state service is out for everybody, while workers go
-//! on reporting to the old leader. Nothing of a cancelled job may be anywhere
-//! `cancel` after its user was told, whatever the settings, the drift of the
-//! clocks, the delays and the messages lost.
+//! on sending heartbeats to the old leader. No task of a cancelled job may run
+//! `cancel` after the cancellation was confirmed to the client, whatever the
+//! settings, the drift of the clocks, the delays and the messages lost.
 
 #[path = "../support/mod.rs"]
 mod support;
@@ -27,7 +27,7 @@
         SimulatedSite::new(times, seed).play();
     }
 
-    /// The same while the steady clock of a controller stands still with it, as
+    /// The same while the monotonic clock of a controller is paused with its process, as
     /// when a virtual machine is paused. The time of day goes on.
     #[test]
     fn cancelled_tasks_end_in_time_though_a_steady_clock_was_paused(times in any_times(), seed in any::<u64>()) {
@@ -37,68 +37,68 @@
 }
 
 proptest! {
-    /// By any two clocks an authority is over before the lease that it rests on
+    /// By any two clocks an authority ends before the lease that it rests on
     /// can be, and what it may renew after that is bounded by the cancellation.
     #[test]
     fn an_authority_ends_before_its_lease(
         hold in 0.5..60.0f64,
         lease in 1.0..120.0f64,
-        spare in 0.0..120.0f64,
+        spare_s in 0.0..120.0f64,
         drift in -0.0005..0.0005f64,
-        other in -0.0005..0.0005f64,
-        asked in 0.0..300.0f64,
-        stood in 0.0..300.0f64,
-        error in 0.0..1.5f64,
-        off in -1.0..1.0f64,
+        other_drift in -0.0005..0.0005f64,
+        elapsed_s in 0.0..300.0f64,
+        paused_s in 0.0..300.0f64,
+        clock_error_s in 0.0..1.5f64,
+        error_share in -1.0..1.0f64,
     ) {
         let (hold, lease) = (Duration::from_secs_f64(hold), Duration::from_secs_f64(lease));
-        let cancel = lease + MARGIN + Duration::from_secs_f64(spare);
+        let cancel = lease + MARGIN + Duration::from_secs_f64(spare_s);
         let sent = start();
-        let clock_error = Duration::from_secs_f64(error);
+        let clock_error = Duration::from_secs_f64(clock_error_s);
         let limits = AuthorityLimits { lease: hold, worker_lease: lease, cancel, clock_error };
         let day = SystemTime::UNIX_EPOCH + secs(1000);
-        let mut a = Authority::new(&limits, ClockReading { steady: sent, time_of_day: day });
-        let t = Duration::from_secs_f64(asked);
-        // Its steady clock may have stood still for a part of that; its time of
+        let mut authority = Authority::new(&limits, ClockReading { steady: sent, time_of_day: day });
+        let elapsed = Duration::from_secs_f64(elapsed_s);
+        // Its monotonic clock may have been paused for a part of that; its time of
         // day is off by the error, then and now.
-        let stood = Duration::from_secs_f64(stood).min(t);
+        let pause = Duration::from_secs_f64(paused_s).min(elapsed);
         let read = |steady: Duration| ClockReading {
             steady: sent + steady.mul_f64(1.0 + drift),
-            time_of_day: (day + t).checked_add(clock_error.mul_f64(1.0 + off)).expect("a time")
-                - clock_error.mul_f64(1.0 - off),
+            time_of_day: (day + elapsed).checked_add(clock_error.mul_f64(1.0 + error_share)).expect("a time")
+                - clock_error.mul_f64(1.0 - error_share),
         };
-        let (running, paused, theirs) = (read(t), read(t - stood), sent + t.mul_f64(1.0 + other));
-        prop_assert!(!a.may_act(running) || theirs < sent + hold);
-        prop_assert!(!a.may_act(paused) || t < hold + clock_error * 4);
+        let (running, paused, by_other_clock) = (read(elapsed), read(elapsed - pause), sent + elapsed.mul_f64(1.0 + other_drift));
+        prop_assert!(!authority.may_act(running) || by_other_clock < sent + hold);
+        prop_assert!(!authority.may_act(paused) || elapsed < hold + clock_error * 4);
         // A worker whose lease was renewed at the last moment loses it in time
         // for whoever was elected as soon as that was possible.
-        let gone = t + lease.mul_f64(1.0006);
-        let promised = hold.mul_f64(0.9995) + cancel;
+        let lease_end = elapsed + lease.mul_f64(1.0006);
+        let deadline = hold.mul_f64(0.9995) + cancel;
         for now in [running, paused] {
-            prop_assert!(!a.may_renew_leases(now) || gone <= promised, "{gone:?} {promised:?}");
+            prop_assert!(!authority.may_renew_leases(now) || lease_end <= deadline, "{lease_end:?} {deadline:?}");
         }
-        // A clock that runs is never taken for one that stood still.
-        let whole = hold.mul_f64(0.998).saturating_sub(Duration::from_millis(51));
-        prop_assert!(a.may_act(running) || t >= whole);
-        // One that stood still renews nothing past its authority before the state
-        // service has answered a renewal that was sent after it woke.
+        // A clock that runs is never taken for one that was paused.
+        let min_authority = hold.mul_f64(0.998).saturating_sub(Duration::from_millis(51));
+        prop_assert!(authority.may_act(running) || elapsed >= min_authority);
+        // After a pause it renews no lease before the state service has confirmed a renewal
+        // that was sent after it resumed.
         let later = |millis: i64| {
             let by = Duration::from_millis(millis.unsigned_abs());
             let steady = if millis < 0 { running.steady - by } else { running.steady + by };
             ClockReading { steady, ..running }
         };
-        a.resumed_after_pause(running.steady);
-        prop_assert!(!a.may_renew_leases(running));
-        a.renewed(later(-1));
-        prop_assert!(!a.may_renew_leases(running));
-        a.renewed(later(1));
-        prop_assert!(a.may_renew_leases(later(2)));
+        authority.resumed_after_pause(running.steady);
+        prop_assert!(!authority.may_renew_leases(running));
+        authority.renewed(later(-1));
+        prop_assert!(!authority.may_renew_leases(running));
+        authority.renewed(later(1));
+        prop_assert!(authority.may_renew_leases(later(2)));
     }
 }
 
 #[test]
 fn the_generated_gaps_confirm_cancellations_under_running_tasks() {
-    // Else the test above would show nothing.
+    // Otherwise the tests above would show nothing.
     use proptest::strategy::ValueTree;
     let mut runner = proptest::test_runner::TestRunner::deterministic();
     let counted = (0..60)
--- a/tests/guest.rs
+++ b/tests/guest.rs
@@ -1,5 +1,5 @@
-//! A guest's work beside that of others, through the real endpoints: one array
-//! of 100,000 tasks, many jobs of one task, and a job that is called off.
+//! Over-quota work beside that of other teams, through the real endpoints: one array
+//! of 100,000 tasks, many jobs of one task, and a cancelled job.
 
 #[path = "support/site.rs"]
 mod site;
@@ -20,8 +20,8 @@
 const SMALL_JOBS: u32 = 150;
 
 /// A job whose tasks take next to nothing of a machine.
-fn tiny_tasks(site: &Site, n: u32, tasks: u32) -> Value {
-    let mut job = site.job(n, tasks);
+fn tiny_tasks(site: &Site, number: u32, tasks: u32) -> Value {
+    let mut job = site.job(number, tasks);
     job["cpus"] = json!(0.25);
     job["memory_gb"] = json!(0.1);
     job
@@ -43,7 +43,7 @@
             let small = tiny_tasks(&site, n, 1);
             site.insist("POST", n as usize % 3, "/v2/runs", Some(small)).await;
         }
-        // Within a guarantee, beside the guest's.
+        // Within its team's quota, beside the over-quota array.
         let mut urgent = site.job(900, 4);
         urgent["desk"] = json!("red");
         urgent["urgency"] = json!("high");
@@ -64,7 +64,7 @@
             keys.filter(|k| k.starts_with("wal/")).count()
         };
         assert!(segments(&site) <= 8, "{} segments of the log", segments(&site));
-        // Called off, it is gone within the time for a cancellation.
+        // Once it is cancelled, no task of it runs after the time for a cancellation.
         let (status, view) = site.insist("POST", 2, "/v2/runs/job-000000/cancel", None).await;
         assert_eq!((status, &view["standing"]), (200, &json!("cancelled")));
         let began = Instant::now();
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,5 +1,5 @@
-//! Work in proportion to what changed, at a fleet more than half as large again
-//! as the 4,000 machines that the service is run with. Work is counted, in allocations, not timed.
+//! Work in proportion to what changed, with a fleet of 6,600 machines, where the service
+//! is run with 4,000. Work is counted in allocations, not timed.
 
 mod support;
 
@@ -13,13 +13,13 @@
 use support::*;
 
 /// Counts the allocations of each thread.
-struct Counting;
+struct CountingAllocator;
 
 thread_local! {
     static COUNT: Cell<u64> = const { Cell::new(0) };
 }
 
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         let _ = COUNT.try_with(|c| c.set(c.get() + 1));
         System.alloc(layout)
@@ -31,22 +31,25 @@
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
+/// The allocations that an operation makes on this thread, and its result.
 fn count_allocations<T>(operation: impl FnOnce() -> T) -> (u64, T) {
     let before = COUNT.with(Cell::get);
     let result = operation();
     (COUNT.with(Cell::get) - before, result)
 }
 
+/// Machines of a small fleet.
 const SMALL: usize = 660;
+/// Machines of a large fleet.
 const LARGE: usize = 6600;
 
 fn id(i: usize) -> MachineId {
     format!("i-{i:06}").as_str().into()
 }
 
-/// All that is due is stored; what is due next, too.
+/// Takes all writes that fall due within 400 s as stored; returns the log segments in them.
 fn store_all_writes(model: &mut ClusterModel, now: Instant) -> Vec<(u64, Option<serde_json::Value>)> {
     let mut segments = Vec::new();
     for second in 0..400 {
@@ -60,14 +63,15 @@
     segments
 }
 
-/// A cluster of so many machines, all full, and thousands of waiting tasks.
+/// A model with full machines and thousands of waiting tasks, and the log segments that
+/// it has stored.
 fn full_cluster(machines: usize, now: Instant) -> (ClusterModel, Vec<(u64, Option<serde_json::Value>)>) {
     let mut model = model(7);
     for i in 0..machines {
         model.apply_heartbeat(&heartbeat(&id(i), "small", "north", false, 7, 1), now);
     }
     for number in 0..machines / 20 {
-        // 40 tasks of 4 CPUs: as many as fit on 20 machines of 8, and some more jobs wait.
+        // 40 tasks of 4 CPUs: as many as fit on 20 machines of 8 CPUs.
         model.add_job(record(job(number as u32, 40, 4.0)), now);
     }
     model.plan(now);
@@ -86,11 +90,11 @@
     (model, segments)
 }
 
-/// The report of a machine in which the first task has ended.
-fn heartbeat_with_one_ended(model: &ClusterModel, i: usize, sequence: u64) -> Heartbeat {
-    let mut message = heartbeat(&id(i), "small", "north", false, 7, sequence);
-    message.token = model.machines()[&id(i)].seen_token;
-    message.tasks = ended(model, &id(i), 1);
+/// A heartbeat of a machine in which its first task has ended.
+fn heartbeat_with_one_task_ended(model: &ClusterModel, machine: usize, sequence: u64) -> Heartbeat {
+    let mut message = heartbeat(&id(machine), "small", "north", false, 7, sequence);
+    message.token = model.machines()[&id(machine)].seen_token;
+    message.tasks = ended(model, &id(machine), 1);
     message
 }
 
@@ -99,9 +103,9 @@
     let now = start();
     let costs = [SMALL, LARGE].map(|machines| {
         let (mut model, _) = full_cluster(machines, now);
-        let message = heartbeat_with_one_ended(&model, machines / 2, 3);
+        let message = heartbeat_with_one_task_ended(&model, machines / 2, 3);
         let at = now + secs(1000);
-        let (last_heartbeat, _) = count_allocations(|| {
+        let (heartbeat_cost, _) = count_allocations(|| {
             model.apply_heartbeat(&message, at);
             model.heartbeat_response(&message.machine, message.token, at)
         });
@@ -124,22 +128,18 @@
             .iter()
             .for_each(|write| model.write_finished(write, true, at));
         let (round, done) = count_allocations(|| model.plan(at));
-        assert_eq!(
-            done.in_order + done.backfilled,
-            1,
-            "the place that fell free is taken"
-        );
+        assert_eq!(done.in_order + done.backfilled, 1, "the free place is taken");
         let writes = model.take_due_writes(at + secs(1));
         writes
             .iter()
             .for_each(|write| model.write_finished(write, true, at));
-        let (commands, out) = count_allocations(|| model.take_due_commands(at, 64));
-        assert_eq!(out.len(), 1, "one machine has something to be told");
-        (last_heartbeat, append, commands, round)
+        let (commands, due) = count_allocations(|| model.take_due_commands(at, 64));
+        assert_eq!(due.len(), 1, "one machine has a command due");
+        (heartbeat_cost, append, commands, round)
     });
     let [small, large] = costs;
     // The open segment is written again as a whole, whatever the fleet.
-    assert!(large.0 <= small.0 + 8, "a report: {} for {}", large.0, small.0);
+    assert!(large.0 <= small.0 + 8, "a heartbeat: {} for {}", large.0, small.0);
     assert!(
         large.1 <= small.1 * 2 + 600,
         "an append: {} for {}",
@@ -195,9 +195,9 @@
 
 #[test]
 fn a_new_leader_asks_in_bounded_numbers_and_starts_first() {
-    // Thousands of machines are to be asked what is on them. Not all at once:
-    // the renewal of the lease must not wait behind them. What a machine that has
-    // spoken already has room for doesn't wait behind them, either.
+    // Thousands of machines must be asked for their tasks. Not all at once: the renewal of
+    // the lease must not wait behind them, nor starts on a machine whose heartbeat with
+    // this term's token has arrived already.
     let now = start();
     let (old, segments) = full_cluster(LARGE, now);
     let mut model = model(8);
@@ -213,7 +213,7 @@
     let first = model.take_due_commands(now, 64);
     assert_eq!(first.len(), 64);
     assert!(model.take_due_commands(now, 0).is_empty(), "no socket is free");
-    // The last machine, by its own report, obeys this term and has lost its tasks.
+    // By its heartbeat, the last machine has seen this term's token and has lost its tasks.
     let last = id(LARGE - 1);
     let mut message = heartbeat(&last, "small", "north", false, 8, 90);
     message.token += 5;
@@ -227,18 +227,18 @@
     let starts = |batch: &CommandBatch| batch.commands.iter().any(|c| matches!(c, Command::Start { .. }));
     assert!(next.iter().any(|due| due.machine == last && starts(&due.batch)));
     assert!(next.len() <= 65);
-    // Asked in turn, all are reached.
-    let mut asked = first.len() + next.len() - 1;
-    while asked < LARGE - 1 {
+    // Probed in turn, all are reached.
+    let mut probed = first.len() + next.len() - 1;
+    while probed < LARGE - 1 {
         let more = model.take_due_commands(now, 64).len();
         assert!(more > 0 && more <= 64);
-        asked += more;
+        probed += more;
     }
 }
 
 #[test]
 fn a_list_of_the_whole_fleet_is_taken_in() {
-    // Read by a leader that knows none of it, then by one that knows it all.
+    // Read by a leader that knows none of the machines, then by one that knows them all.
     let now = start();
     let listed: Vec<ListedMachine> = (0..LARGE)
         .map(|i| ListedMachine {
@@ -265,7 +265,7 @@
     assert_eq!(next.machines().len(), LARGE);
     assert!(
         again <= LARGE as u64 / 2,
-        "{again} allocations for a list that tells nothing new"
+        "{again} allocations for a list without a new machine"
     );
 }
 
@@ -282,7 +282,7 @@
         let at = now + secs(u64::from(turn) * 2);
         model.add_job(record(job(turn, 80, 4.0)), at);
         for i in 0..40 {
-            // What ended in the turn before is forgotten.
+            // The worker has removed the tasks that ended in the previous turn.
             let mut message = heartbeat(&id(i), "small", "north", false, 7, 2 + u64::from(turn) * 2);
             message.token = model.machines()[&id(i)].seen_token;
             model.apply_heartbeat(&message, at);
@@ -299,7 +299,7 @@
             }
             model.write_finished(&write, true, at);
         }
-        // Its tasks are told to start, run and end.
+        // Its tasks are started, run and end.
         for due in model.take_due_commands(at, 64) {
             let mut message = heartbeat(&due.machine, "small", "north", false, 7, 3 + u64::from(turn) * 2);
             message.token = due.batch.token;
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -1,5 +1,5 @@
-//! Commands that wait before they are sent: what was decided earlier must still hold
-//! at the moment of sending.
+//! Commands that wait before they are sent: a decision must still hold at the moment of
+//! sending.
 
 #[path = "support/site.rs"]
 mod site;
@@ -16,15 +16,17 @@
 use site::{job_name, on_loopback, Site, LONG};
 use tokio::time::sleep;
 
-/// Machines that hang with stops due, more than there are sockets for commands.
+/// Machines that accept connections but don't respond, with stops due: more than there
+/// are sockets for commands.
 const HANGING: u32 = 60;
 /// At least so many of them have to run a task before they hang.
 const MIN_RUNNING: usize = 36;
 /// Sockets of a controller. A quarter of what is left to workers is for commands: 26.
 const SOCKET_LIMIT: u32 = 128;
-/// Sockets of it for commands.
+/// Sockets of a controller for commands.
 const COMMAND_SOCKETS: usize = 26;
 
+/// Waits until a condition holds; fails with `what` if it takes too long.
 async fn until(what: &str, holds: impl Fn() -> bool) {
     let began = Instant::now();
     while !holds() {
@@ -50,8 +52,8 @@
         let mut job = site.job(1, HANGING);
         job["cpus"] = 8.0.into();
         job["yard"] = "north".into();
-        let (status, answer) = site.insist("POST", 0, "/v2/runs", Some(job)).await;
-        assert_eq!(status, 201, "{answer}");
+        let (status, body) = site.insist("POST", 0, "/v2/runs", Some(job)).await;
+        assert_eq!(status, 201, "{body}");
         site.until_running(|n| n >= MIN_RUNNING).await;
         let empty = site.cloud.empty_machines();
         let full: Vec<String> = site
@@ -78,7 +80,7 @@
         assert_eq!(site.insist("POST", 0, &path, None).await.0, 200);
         let started_before = site.cloud.starts_of(&waiting);
 
-        // All that waited has been sent or given up by then.
+        // All waiting commands have been sent or given up by then.
         sleep(Duration::from_secs(8)).await;
         let started = site.cloud.starts_of(&waiting);
         assert_eq!(started, started_before, "a task of a cancelled job was started");
@@ -202,7 +204,7 @@
     let again = decided
         .model
         .next_command(&decided.machine, decided.now)
-        .expect("the start anew")
+        .expect("the start again")
         .batch;
     assert!(
         again.token > decided.commands.token,
