--- a/tests/log.rs
+++ b/tests/log.rs
@@ -1,5 +1,5 @@
-//! The write-ahead log under generated crashes and lost answers: its replay
-//! names all that may be on a machine, and its size stays bounded.
+//! The write-ahead log under generated crashes and lost responses: its replay
+//! names all tasks that may be on a machine, and its size stays bounded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -11,216 +11,306 @@
 use proptest::prelude::*;
 use serde_json::Value;
 
-const VALUE: usize = 1024;
+/// Largest value in the state service, in bytes.
+const VALUE_BYTES: usize = 1024;
 
 #[derive(Debug, Clone)]
-enum Op {
+enum Operation {
     /// Tasks of a job are placed on a machine.
-    Start(u8, u8, u8),
+    Start { machine: u8, job: u8, tasks: u8 },
     /// The first task on a machine ends, done or not.
-    End(u8, bool),
-    /// A machine is gone.
-    Gone(u8),
-    /// All of a job is over.
-    Over(u8),
-    /// An append is sent; it is stored (and answered or not), or never is.
-    Send { stored: bool, answered: bool },
+    End { machine: u8, done: bool },
+    /// A machine is released.
+    Release(u8),
+    /// A job without running tasks is complete.
+    CompleteJob(u8),
+    /// An append is sent; it is stored (and confirmed or not), or never is.
+    Append { stored: bool, confirmed: bool },
     /// A new leader reads what is stored.
     Elect,
 }
 
-fn any_op() -> impl Strategy<Value = Op> {
+fn any_operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        6 => (any::<u8>(), any::<u8>(), 1..8u8).prop_map(|(m, j, n)| Op::Start(m, j, n)),
-        6 => (any::<u8>(), any::<bool>()).prop_map(|(m, d)| Op::End(m, d)),
-        1 => any::<u8>().prop_map(Op::Gone),
-        1 => any::<u8>().prop_map(Op::Over),
-        6 => any::<(bool, bool)>().prop_map(|(stored, answered)| Op::Send { stored, answered }),
-        1 => Just(Op::Elect),
+        6 => (any::<u8>(), any::<u8>(), 1..8u8).prop_map(|(machine, job, tasks)| Operation::Start { machine, job, tasks }),
+        6 => (any::<u8>(), any::<bool>()).prop_map(|(machine, done)| Operation::End { machine, done }),
+        1 => any::<u8>().prop_map(Operation::Release),
+        1 => any::<u8>().prop_map(Operation::CompleteJob),
+        6 => any::<(bool, bool)>().prop_map(|(stored, confirmed)| Operation::Append { stored, confirmed }),
+        1 => Just(Operation::Elect),
     ]
 }
 
-fn machine(m: u64) -> MachineId {
-    format!("i-{m:06}").as_str().into()
+fn machine_id(number: u64) -> MachineId {
+    format!("i-{number:06}").as_str().into()
 }
 
-fn job(j: u64) -> JobId {
-    format!("job-{j:06}").parse().expect("an id")
+fn job_id(number: u64) -> JobId {
+    format!("job-{number:06}").parse().expect("an id")
 }
 
-/// What is true, and what a leader may rely on.
-#[derive(Default)]
-struct World {
+/// The bytes that the log needs for so many machines, slots and done tasks.
+fn live_bytes(slots: &BTreeMap<MachineId, BTreeMap<TaskId, Slot>>, done: usize) -> usize {
+    slots.len() * 60 + slots.values().map(BTreeMap::len).sum::<usize>() * 50 + done * 6
+}
+
+/// A place of a task, and the log's mark of its start.
+#[derive(Debug, Clone, Copy)]
+struct Slot {
+    attempt: u64,
+    mark: u64,
+}
+
+/// The log under test beside a plain model of the cluster and of the state service.
+struct LoggedCluster {
+    log: WriteAheadLog,
+    /// Segments in the state service, by number.
     stored: BTreeMap<u64, Value>,
-    /// Slots by machine, with their attempts and marks.
-    slots: BTreeMap<MachineId, BTreeMap<TaskId, (u64, u64)>>,
+    slots: BTreeMap<MachineId, BTreeMap<TaskId, Slot>>,
+    /// Done tasks of open jobs, with the log's marks of their ends.
     done: BTreeMap<TaskId, u64>,
-    open: BTreeSet<JobId>,
-    next: u64,
+    open_jobs: BTreeSet<JobId>,
+    last_attempt: u64,
+    /// Grows with each release and election, since ids of machines are never reused.
     generation: u64,
+    highest_segment: u64,
+    max_live_bytes: usize,
 }
 
-impl World {
-    fn apply(&mut self, a: &LogAppend) {
-        for (n, v) in &a.segments {
-            match v {
-                Some(v) => {
-                    assert!(v.to_string().len() <= VALUE, "a segment fits a value");
-                    self.stored.insert(*n, v.clone());
+impl LoggedCluster {
+    fn new() -> Self {
+        Self {
+            log: WriteAheadLog::new(VALUE_BYTES),
+            stored: BTreeMap::new(),
+            slots: BTreeMap::new(),
+            done: BTreeMap::new(),
+            open_jobs: BTreeSet::new(),
+            last_attempt: 0,
+            generation: 0,
+            highest_segment: 0,
+            max_live_bytes: 0,
+        }
+    }
+
+    fn step(&mut self, operation: Operation) -> Result<(), TestCaseError> {
+        match operation {
+            Operation::Start { machine, job, tasks } => self.start(machine, job, tasks),
+            Operation::End { machine, done } => self.end(machine, done),
+            Operation::Release(machine) => self.release(machine),
+            Operation::CompleteJob(job) => self.complete_job(job),
+            Operation::Append { stored, confirmed } => self.append(stored, confirmed)?,
+            Operation::Elect => self.elect(),
+        }
+        Ok(())
+    }
+
+    fn machine(&self, machine: u8) -> MachineId {
+        machine_id(u64::from(machine % 8) + self.generation * 8)
+    }
+
+    fn start(&mut self, machine: u8, job: u8, tasks: u8) {
+        let id = self.machine(machine);
+        let job = job_id(u64::from(job % 10));
+        self.open_jobs.insert(job);
+        self.last_attempt += 1;
+        let attempt = self.last_attempt;
+        if !self.slots.contains_key(&id) {
+            self.log.push(LogEntry::Machine(
+                id.clone(),
+                "127.0.0.1:9".into(),
+                "small".into(),
+                "north".into(),
+                false,
+            ));
+        }
+        for i in 0..u32::from(tasks) {
+            let task = TaskId {
+                job,
+                index: attempt as u32 * 8 + i,
+            };
+            let entry = LogEntry::Start(id.clone(), job, attempt, vec![task.index]);
+            let mark = self.log.push(entry);
+            let slots = self.slots.entry(id.clone()).or_default();
+            slots.insert(task, Slot { attempt, mark });
+        }
+    }
+
+    fn end(&mut self, machine: u8, done: bool) {
+        let id = self.machine(machine);
+        let first = self.slots.get_mut(&id).and_then(BTreeMap::pop_first);
+        if let Some((task, _)) = first.filter(|_| done) {
+            let mark = self.log.push(LogEntry::Done(task.job, vec![task.index]));
+            self.done.insert(task, mark);
+        }
+    }
+
+    fn release(&mut self, machine: u8) {
+        let id = self.machine(machine);
+        if self.slots.remove(&id).is_some() {
+            self.log.push(LogEntry::Released(id));
+            self.generation += 1;
+        }
+    }
+
+    fn complete_job(&mut self, job: u8) {
+        let job = job_id(u64::from(job % 10));
+        let is_busy = self.slots.values().flat_map(BTreeMap::keys).any(|t| t.job == job);
+        if !is_busy && self.open_jobs.remove(&job) {
+            self.done.retain(|task, _| task.job != job);
+        }
+    }
+
+    /// Sends the log's next append, if there is one. Unless it is stored and confirmed, the
+    /// term ends and a new leader is elected.
+    fn append(&mut self, stored: bool, confirmed: bool) -> Result<(), TestCaseError> {
+        let Some(append) = self.take_append() else {
+            return Ok(());
+        };
+        if stored {
+            for (number, value) in &append.segments {
+                if value.is_some() && !self.stored.contains_key(number) {
+                    prop_assert!(*number > self.highest_segment, "number {} is used again", number);
+                    self.highest_segment = *number;
                 }
-                None => drop(self.stored.remove(n)),
             }
+            self.apply(&append);
+        }
+        if stored && confirmed {
+            self.log.appended(&append);
+            self.check_replay()?;
+            self.check_size()?;
+        } else {
+            // The term ends without a confirmation.
+            self.elect();
         }
+        Ok(())
     }
 
-    fn take(&self, log: &mut WriteAheadLog) -> Option<LogAppend> {
-        let live_bytes = self.slots.len() * 60 + self.slots.values().map(BTreeMap::len).sum::<usize>() * 50;
-        log.take_append(6, live_bytes + self.done.len() * 6, |e| match e {
-            LogEntry::Machine(id, ..) => self.slots.contains_key(id).then(|| e.clone()),
+    fn take_append(&mut self) -> Option<LogAppend> {
+        let Self {
+            log,
+            slots,
+            done,
+            open_jobs,
+            ..
+        } = self;
+        log.take_append(6, live_bytes(slots, done.len()), |e| match e {
+            LogEntry::Machine(id, ..) => slots.contains_key(id).then(|| e.clone()),
             LogEntry::Released(_) => None,
             LogEntry::Start(id, job, attempt, tasks) => {
-                let on = self.slots.get(id)?;
-                let live = |i: &u32| {
-                    on.get(&TaskId { job: *job, index: *i })
-                        .is_some_and(|s| s.0 == *attempt)
+                let on_machine = slots.get(id)?;
+                let is_live = |i: &u32| {
+                    on_machine
+                        .get(&TaskId { job: *job, index: *i })
+                        .is_some_and(|slot| slot.attempt == *attempt)
                 };
-                let left: Vec<u32> = tasks.iter().copied().filter(live).collect();
-                (!left.is_empty()).then(|| LogEntry::Start(id.clone(), *job, *attempt, left))
+                let live: Vec<u32> = tasks.iter().copied().filter(is_live).collect();
+                (!live.is_empty()).then(|| LogEntry::Start(id.clone(), *job, *attempt, live))
             }
-            LogEntry::Done(job, _) => self.open.contains(job).then(|| e.clone()),
+            LogEntry::Done(job, _) => open_jobs.contains(job).then(|| e.clone()),
             LogEntry::Unknown(_) => Some(e.clone()),
         })
     }
-}
-
-proptest! {
-    #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    #[test]
-    fn a_replay_names_all_that_may_be_there(ops in proptest::collection::vec(any_op(), 50..600)) {
-        let mut w = World::default();
-        let mut log = WriteAheadLog::new(VALUE);
-        let (mut highest, mut most_live) = (0, 0);
-        for op in ops {
-            match op {
-                Op::Start(m, j, n) => {
-                    let id = machine(u64::from(m % 8) + w.generation * 8);
-                    let job = job(u64::from(j % 10));
-                    w.open.insert(job);
-                    w.next += 1;
-                    if !w.slots.contains_key(&id) {
-                        log.push(LogEntry::Machine(id.clone(), "127.0.0.1:9".into(), "small".into(), "north".into(), false));
-                    }
-                    for i in 0..u32::from(n) {
-                        let task = TaskId { job, index: w.next as u32 * 8 + i };
-                        let mark = log.push(LogEntry::Start(id.clone(), job, w.next, vec![task.index]));
-                        w.slots.entry(id.clone()).or_default().insert(task, (w.next, mark));
-                    }
-                }
-                Op::End(m, done) => {
-                    let id = machine(u64::from(m % 8) + w.generation * 8);
-                    let first = w.slots.get_mut(&id).and_then(|on| on.pop_first());
-                    if let Some((task, _)) = first.filter(|_| done) {
-                        let mark = log.push(LogEntry::Done(task.job, vec![task.index]));
-                        w.done.insert(task, mark);
-                    }
-                }
-                Op::Gone(m) => {
-                    let id = machine(u64::from(m % 8) + w.generation * 8);
-                    if w.slots.remove(&id).is_some() {
-                        log.push(LogEntry::Released(id));
-                        // Names are never used again.
-                        w.generation += 1;
-                    }
+    fn apply(&mut self, append: &LogAppend) {
+        for (number, value) in &append.segments {
+            match value {
+                Some(value) => {
+                    assert!(value.to_string().len() <= VALUE_BYTES, "a segment fits a value");
+                    self.stored.insert(*number, value.clone());
                 }
-                Op::Over(j) => {
-                    let job = job(u64::from(j % 10));
-                    let busy = w.slots.values().flat_map(|on| on.keys()).any(|t| t.job == job);
-                    if !busy && w.open.remove(&job) {
-                        w.done.retain(|t, _| t.job != job);
-                    }
-                }
-                Op::Send { stored, answered } => {
-                    if let Some(a) = w.take(&mut log) {
-                        if stored {
-                            for (n, v) in &a.segments {
-                                if v.is_some() && !w.stored.contains_key(n) {
-                                    prop_assert!(*n > highest, "number {} is used again", n);
-                                    highest = *n;
-                                }
-                            }
-                            w.apply(&a);
-                        }
-                        if stored && answered {
-                            log.appended(&a);
-                            // What it was told to wait for may be relied upon: a
-                            // new leader must find every stored start and outcome.
-                            let mut fresh = WriteAheadLog::new(VALUE);
-                            for (n, v) in &w.stored {
-                                prop_assert!(fresh.load(*n, v.clone()));
-                            }
-                            let r = fresh.replay();
-                            for (id, on) in &w.slots {
-                                for (task, (attempt, mark)) in on {
-                                    if log.is_stored(*mark) {
-                                        let named = r.starts.get(id).and_then(|s| s.get(task));
-                                        prop_assert_eq!(named, Some(attempt), "{} on {}", task, id);
-                                        prop_assert!(r.machines.contains_key(id));
-                                    }
-                                }
-                            }
-                            for (task, mark) in &w.done {
-                                if log.is_stored(*mark) {
-                                    prop_assert!(r.done.get(&task.job).is_some_and(|d| d.contains(&task.index)));
-                                }
-                            }
-                            let live = w.slots.len() * 60
-                                + w.slots.values().map(BTreeMap::len).sum::<usize>() * 50
-                                + w.done.len() * 6;
-                            most_live = most_live.max(live);
-                            // Each append drops one segment at the most, and may
-                            // add some when much is pending.
-                            let bound = 4 + 2 * most_live.div_ceil(VALUE - 256) + 12;
-                            prop_assert!(w.stored.len() <= bound, "{} segments, {} live bytes", w.stored.len(), live);
-                        } else {
-                            // The term ends with the answer unknown.
-                            (log, w) = elect(w);
-                        }
-                    }
+                None => drop(self.stored.remove(number)),
+            }
+        }
+    }
+
+    /// A leader may rely on whatever the log calls stored: a new leader must find
+    /// every stored start and outcome.
+    fn check_replay(&self) -> Result<(), TestCaseError> {
+        let mut fresh = WriteAheadLog::new(VALUE_BYTES);
+        for (number, value) in &self.stored {
+            prop_assert!(fresh.load(*number, value.clone()));
+        }
+        let replay = fresh.replay();
+        for (id, on_machine) in &self.slots {
+            for (task, slot) in on_machine {
+                if self.log.is_stored(slot.mark) {
+                    let named = replay.starts.get(id).and_then(|s| s.get(task));
+                    prop_assert_eq!(named, Some(&slot.attempt), "{} on {}", task, id);
+                    prop_assert!(replay.machines.contains_key(id));
                 }
-                Op::Elect => (log, w) = elect(w),
             }
         }
+        for (task, mark) in &self.done {
+            if self.log.is_stored(*mark) {
+                prop_assert!(replay
+                    .done
+                    .get(&task.job)
+                    .is_some_and(|d| d.contains(&task.index)));
+            }
+        }
+        Ok(())
     }
-}
 
-/// A new leader: it knows only what is stored.
-fn elect(mut w: World) -> (WriteAheadLog, World) {
-    let mut log = WriteAheadLog::new(VALUE);
-    for (n, v) in &w.stored {
-        assert!(log.load(*n, v.clone()));
+    /// Each append drops one segment at the most, and may add some when much is pending.
+    fn check_size(&mut self) -> Result<(), TestCaseError> {
+        let live = live_bytes(&self.slots, self.done.len());
+        self.max_live_bytes = self.max_live_bytes.max(live);
+        let bound = 4 + 2 * self.max_live_bytes.div_ceil(VALUE_BYTES - 256) + 12;
+        prop_assert!(
+            self.stored.len() <= bound,
+            "{} segments, {} live bytes",
+            self.stored.len(),
+            live
+        );
+        Ok(())
     }
-    let r = log.replay();
-    w.slots = r.machines.keys().map(|m| (m.clone(), BTreeMap::new())).collect();
-    for (id, on) in r.starts {
-        let slots = on.into_iter().map(|(t, a)| (t, (a, 0))).collect();
-        w.slots.insert(id, slots);
+
+    /// A new leader: it knows only what is stored.
+    fn elect(&mut self) {
+        self.log = WriteAheadLog::new(VALUE_BYTES);
+        for (number, value) in &self.stored {
+            assert!(self.log.load(*number, value.clone()));
+        }
+        let replay = self.log.replay();
+        self.slots = replay
+            .machines
+            .keys()
+            .map(|id| (id.clone(), BTreeMap::new()))
+            .collect();
+        for (id, starts) in replay.starts {
+            let slots = starts
+                .into_iter()
+                .map(|(task, attempt)| (task, Slot { attempt, mark: 0 }));
+            self.slots.insert(id, slots.collect());
+        }
+        self.done = replay
+            .done
+            .into_iter()
+            .filter(|(job, _)| self.open_jobs.contains(job))
+            .flat_map(|(job, tasks)| tasks.into_iter().map(move |index| (TaskId { job, index }, 0)))
+            .collect();
+        self.generation += 1;
+    }
+}
+
+proptest! {
+    #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
+
+    #[test]
+    fn a_replay_names_all_that_may_be_there(operations in proptest::collection::vec(any_operation(), 50..600)) {
+        let mut cluster = LoggedCluster::new();
+        for operation in operations {
+            cluster.step(operation)?;
+        }
     }
-    w.done = r
-        .done
-        .into_iter()
-        .filter(|(j, _)| w.open.contains(j))
-        .flat_map(|(j, l)| l.into_iter().map(move |i| (TaskId { job: j, index: i }, 0)))
-        .collect();
-    w.generation += 1;
-    (log, w)
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 100, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The log takes all it is given of the budget of changes; acceptances and
-    /// cancellations, a few a second, still go at once, and the log goes on.
+    /// The log takes as much of the budget of changes as it gets; acceptances and
+    /// cancellations, a few a second, are still sent at once, and the log makes progress.
     #[test]
     fn a_full_budget_starves_neither_users_nor_the_log(
         rate in 8u32..80,
@@ -228,46 +318,46 @@
         users in proptest::collection::vec(0u32..3, 50..200),
     ) {
         let rate = f64::from(rate);
-        let pace = RateLimiter::new(rate, rate);
+        let limiter = RateLimiter::new(rate, rate);
         let mut now = Instant::now() + Duration::from_secs(10);
-        let (mut taken, mut log) = (0.0, 0.0);
+        let (mut taken, mut taken_by_log) = (0.0, 0.0);
         let began = now;
-        for (size, n) in sizes.iter().zip(&users) {
-            // The log wants as much as there is, all the time.
+        for (size, requests) in sizes.iter().zip(&users) {
+            // The log always has more to write than the budget allows.
             let size = f64::from(*size).min(rate);
             let mut tries = 0;
             loop {
-                let wait = pace.take_above_reserve(size, URGENT_RESERVE, now);
+                let wait = limiter.take_above_reserve(size, URGENT_RESERVE, now);
                 if wait.is_zero() { break; }
                 tries += 1;
-                prop_assert!(tries < 10, "the log never goes");
+                prop_assert!(tries < 10, "the log makes no progress");
                 now += wait;
             }
-            log += size;
+            taken_by_log += size;
             taken += size;
-            // Few beside the budget, as users are.
-            if f64::from(*n) <= rate * URGENT_RESERVE && size <= rate * (1.0 - URGENT_RESERVE) {
-                for _ in 0..*n {
-                    let wait = pace.take_above_reserve(1.0, 0.0, now);
+            // Few compared with the budget, as users' requests are.
+            if f64::from(*requests) <= rate * URGENT_RESERVE && size <= rate * (1.0 - URGENT_RESERVE) {
+                for _ in 0..*requests {
+                    let wait = limiter.take_above_reserve(1.0, 0.0, now);
                     prop_assert!(wait.is_zero(), "a user waits {:?} behind the log", wait);
                     taken += 1.0;
                 }
             }
         }
-        let most = rate + rate * now.duration_since(began).as_secs_f64();
-        prop_assert!(taken <= most + 1e-6, "{} taken of {}", taken, most);
-        prop_assert!(log > 0.0);
+        let max_taken = rate + rate * now.duration_since(began).as_secs_f64();
+        prop_assert!(taken <= max_taken + 1e-6, "{} taken of {}", taken, max_taken);
+        prop_assert!(taken_by_log > 0.0);
     }
 }
 
 #[test]
 fn a_huge_array_that_ends_task_by_task_keeps_its_log_small() {
-    // Its ends come between those of another job, so that no two follow on each
-    // other: an entry for each would be five times as long as what it says.
+    // Its tasks end in turn with those of another job, so that no two ends of a job are
+    // consecutive: an entry for each would be five times as long as its content.
     const TASKS: u32 = 50_000;
     let mut log = WriteAheadLog::new(4096);
     let mut stored: BTreeMap<u64, usize> = BTreeMap::new();
-    let ids = [1, 2].map(job);
+    let ids = [1, 2].map(job_id);
     let mut written = 0;
     for i in 0..TASKS {
         for id in ids {
@@ -275,15 +365,15 @@
         }
         if i % 20 == 19 {
             let live_bytes = 2 * (i as usize + 1) * 6;
-            let Some(a) = log.take_append(10, live_bytes, |e| Some(e.clone())) else {
+            let Some(append) = log.take_append(10, live_bytes, |e| Some(e.clone())) else {
                 continue;
             };
-            log.appended(&a);
-            for (n, v) in &a.segments {
+            log.appended(&append);
+            for (number, value) in &append.segments {
                 written += 1;
-                match v {
-                    Some(v) => stored.insert(*n, v.to_string().len()),
-                    None => stored.remove(n),
+                match value {
+                    Some(value) => stored.insert(*number, value.to_string().len()),
+                    None => stored.remove(number),
                 };
             }
         }
