--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -1,5 +1,5 @@
-//! Wire bodies, settings and stored sets: what is written is read again, what
-//! is wrong is refused and named.
+//! Wire bodies, settings and task sets: what is written is read back, and invalid input
+//! is refused with the name of the field.
 
 mod support;
 
@@ -32,33 +32,37 @@
         ),
     )
         .prop_map(
-            |((id, class, team, k, p, tasks), (cpus, gpus, mem, b), (types, zone, est, due, awaits))| {
+            |(
+                (id, class, team, kind, priority, tasks),
+                (cpus, gpus, memory, flags),
+                (types, zone, estimate_s, deadline_s, awaits),
+            )| {
                 JobSpec {
                     id,
                     class,
                     team,
-                    kind: [JobKind::Array, JobKind::Service, JobKind::Gang][k as usize],
+                    kind: [JobKind::Array, JobKind::Service, JobKind::Gang][kind as usize],
                     priority: [
                         Priority::Low,
                         Priority::Normal,
                         Priority::High,
                         Priority::Production,
-                    ][p as usize],
+                    ][priority as usize],
                     tasks,
                     cpus: f64::from(cpus) / 4.0,
                     gpus: f64::from(gpus),
-                    memory_gb: f64::from(mem) / 8.0,
+                    memory_gb: f64::from(memory) / 8.0,
                     image: "img-07".into(),
                     image_gb: 6.2,
                     types,
                     zone,
-                    one_zone: b[0],
-                    spread: b[1],
-                    spot: b[2],
-                    estimate_s: est,
+                    one_zone: flags[0],
+                    spread: flags[1],
+                    spot: flags[2],
+                    estimate_s,
                     checkpoint_s: 30.0,
                     checkpoint_grace_s: 4.0,
-                    deadline_s: due,
+                    deadline_s,
                     awaits,
                 }
             },
@@ -77,35 +81,38 @@
 
     #[test]
     fn a_submission_without_a_required_field_is_refused(spec in any_spec(), at in 0usize..17) {
-        let mut v = serde_json::to_value(&spec).expect("json");
-        let o = v.as_object_mut().expect("an object");
+        let mut body = serde_json::to_value(&spec).expect("json");
+        let fields = body.as_object_mut().expect("an object");
         let optional = ["rigs", "yard", "due_s", "awaits"];
-        let field: Vec<String> = o.keys().filter(|k| !optional.contains(&k.as_str())).cloned().collect();
-        o.remove(&field[at % field.len()]);
-        prop_assert!(serde_json::from_value::<JobSpec>(v).is_err());
+        let required: Vec<String> = fields.keys().filter(|k| !optional.contains(&k.as_str())).cloned().collect();
+        fields.remove(&required[at % required.len()]);
+        prop_assert!(serde_json::from_value::<JobSpec>(body).is_err());
     }
 
     #[test]
     fn ids_are_digits_after_job(text in "(job-)?[0-9a-z/]{0,20}") {
-        let good = text.strip_prefix("job-").is_some_and(|d| {
+        let is_valid = text.strip_prefix("job-").is_some_and(|d| {
             (1..=18).contains(&d.len()) && d.bytes().all(|b| b.is_ascii_digit())
         });
         match text.parse::<JobId>() {
-            Ok(id) => { prop_assert!(good); prop_assert_eq!(id.to_string(), text); }
-            Err(_) => prop_assert!(!good),
+            Ok(id) => { prop_assert!(is_valid); prop_assert_eq!(id.to_string(), text); }
+            Err(_) => prop_assert!(!is_valid),
         }
     }
 
     #[test]
-    fn a_set_holds_what_was_put_in(len in 1u32..3_000, some in proptest::collection::vec(any::<(u32, bool)>(), 0..200)) {
-        let mut a = TaskSet::new(len);
-        let mut b = std::collections::BTreeSet::new();
-        for (i, put) in some {
-            let i = i % len;
-            prop_assert_eq!(if put { a.insert(i) } else { a.remove(i) }, if put { b.insert(i) } else { b.remove(&i) });
+    fn a_set_holds_what_was_put_in(len in 1u32..3_000, changes in proptest::collection::vec(any::<(u32, bool)>(), 0..200)) {
+        let mut tasks = TaskSet::new(len);
+        let mut expected = std::collections::BTreeSet::new();
+        for (index, insert) in changes {
+            let index = index % len;
+            prop_assert_eq!(
+                if insert { tasks.insert(index) } else { tasks.remove(index) },
+                if insert { expected.insert(index) } else { expected.remove(&index) }
+            );
         }
-        prop_assert_eq!(a.iter().collect::<Vec<_>>(), b.iter().copied().collect::<Vec<_>>());
-        prop_assert_eq!((a.count() as usize, a.first()), (b.len(), b.first().copied()));
+        prop_assert_eq!(tasks.iter().collect::<Vec<_>>(), expected.iter().copied().collect::<Vec<_>>());
+        prop_assert_eq!((tasks.count() as usize, tasks.first()), (expected.len(), expected.first().copied()));
     }
 }
 
@@ -122,22 +129,22 @@
         (spec.tasks, spec.zone.clone(), spec.priority),
         (16, None, Priority::High)
     );
-    let report: Heartbeat = serde_json::from_str(
+    let heartbeat: Heartbeat = serde_json::from_str(
         r#"{"rack":"i-000231","endpoint":"10.1.0.232:9000","rig":"g8","yard":"a","loaners":true,
         "tenure":1,"tick":88,"gavel":41,"recall_s":null,
         "lots":[{"lot":"job-000412/3","try":2,"standing":"running"},
                 {"lot":"job-000398/0","try":1,"standing":"ended","cause":"done"},
                 {"lot":"job-000398/1","try":1,"standing":"ended","cause":"a_new_reason"}]}"#,
     )
-    .expect("a report");
-    assert_eq!(report.tasks[1].exit_reason, Some(ExitReason::Done));
+    .expect("a heartbeat");
+    assert_eq!(heartbeat.tasks[1].exit_reason, Some(ExitReason::Done));
     assert_eq!(
-        report.tasks[2].exit_reason,
+        heartbeat.tasks[2].exit_reason,
         Some(ExitReason::Other),
-        "an unknown reason is no reason to drop a report"
+        "a heartbeat with an unknown reason is read"
     );
     let stop = Command::Stop {
-        task: report.tasks[0].task,
+        task: heartbeat.tasks[0].task,
         attempt: 1,
         grace_s: 10.0,
     };
@@ -149,23 +156,23 @@
 
 #[test]
 fn values_out_of_range_are_named() {
-    let good = support::job(1, 4, 2.0);
-    let mut bad = good.clone();
-    bad.tasks = MAX_TASKS + 1;
-    assert_eq!(bad.check(), Err("lots"));
-    let mut bad = good.clone();
-    bad.cpus = 0.0;
-    assert_eq!(bad.check(), Err("cpus"));
-    let mut bad = good;
-    bad.estimate_s = -1.0;
-    assert_eq!(bad.check(), Err("expected_s"));
+    let valid = support::job(1, 4, 2.0);
+    let mut invalid = valid.clone();
+    invalid.tasks = MAX_TASKS + 1;
+    assert_eq!(invalid.check(), Err("lots"));
+    let mut invalid = valid.clone();
+    invalid.cpus = 0.0;
+    assert_eq!(invalid.check(), Err("cpus"));
+    let mut invalid = valid;
+    invalid.estimate_s = -1.0;
+    assert_eq!(invalid.check(), Err("expected_s"));
 }
 
 #[test]
 fn settings_ignore_the_unknown_and_name_the_wrong() {
-    let p = support::deployment();
-    assert_eq!(p.cluster.workers.lease, std::time::Duration::from_secs(20));
-    assert_eq!(p.cluster.teams[1].cpu_limit, 0.0, "0 means none");
+    let settings = support::deployment();
+    assert_eq!(settings.cluster.workers.lease, std::time::Duration::from_secs(20));
+    assert_eq!(settings.cluster.teams[1].cpu_limit, 0.0, "0 means none");
     for (from, to, field) in [
         ("lease_s = 20.0", "lease_s = -1.0", "cluster.workers.lease_s"),
         ("lease_s = 20.0", "", "lease_s"),
@@ -218,19 +225,19 @@
         ),
     ] {
         let text = support::SETTINGS.replace(from, to);
-        let e = DeploymentSettings::parse(&text, "test")
+        let error = DeploymentSettings::parse(&text, "test")
             .expect_err(field)
             .to_string();
-        assert!(e.contains(field), "{e} should name {field}");
-        assert_eq!(e.lines().count(), 1, "one line: {e}");
+        assert!(error.contains(field), "{error} should name {field}");
+        assert_eq!(error.lines().count(), 1, "one line: {error}");
     }
     for written in ["3000", "3000.0"] {
         let text = format!(
             "{}\n[cluster.machine_limits]\nfd_limit = {written}\n",
             support::SETTINGS
         );
-        let p = DeploymentSettings::parse(&text, "test").expect("either way");
-        assert_eq!(p.cluster.process_limits.max_sockets, 3000);
+        let settings = DeploymentSettings::parse(&text, "test").expect("either way");
+        assert_eq!(settings.cluster.process_limits.max_sockets, 3000);
     }
     // The smaller of both limits counts, whichever is announced.
     let text = support::SETTINGS.replace(
@@ -251,17 +258,21 @@
 fn properties_are_checked() {
     for key in ["leader.lease_ms", "leader.hold_ms"] {
         let text = format!("# ours\n{key} = 2500\nfleet.warm: 0.5\n");
-        let t = OperatorSettings::parse(text.as_bytes(), "test").expect("good");
-        assert_eq!((t.leader_lease.as_millis(), t.warm_share), (2500, 0.5), "{key}");
+        let settings = OperatorSettings::parse(text.as_bytes(), "test").expect("good");
+        assert_eq!(
+            (settings.leader_lease.as_millis(), settings.warm_share),
+            (2500, 0.5),
+            "{key}"
+        );
     }
     for (text, key) in [
         ("leader.hold_ms=soon", "leader.hold_ms"),
         ("fleet.warm=-1", "fleet.warm"),
         ("fleet.wram=1", "fleet.wram"),
     ] {
-        let e = OperatorSettings::parse(text.as_bytes(), "test")
+        let error = OperatorSettings::parse(text.as_bytes(), "test")
             .expect_err(text)
             .to_string();
-        assert!(e.contains(key), "{e}");
+        assert!(error.contains(key), "{error}");
     }
 }
