--- a/tests/dependencies/fixtures.rs
+++ b/tests/dependencies/fixtures.rs
@@ -9,13 +9,13 @@
 
 use crate::support::*;
 
-pub fn id(n: usize) -> JobId {
-    format!("job-{n:06}").parse().expect("an id")
+pub fn id(number: usize) -> JobId {
+    format!("job-{number:06}").parse().expect("an id")
 }
 
 /// A job that waits for others.
-pub fn job_awaiting(n: u32, awaits: &[u32]) -> JobRecord {
-    let mut spec = job(n, 1, 1.0);
+pub fn job_awaiting(number: u32, awaits: &[u32]) -> JobRecord {
+    let mut spec = job(number, 1, 1.0);
     spec.awaits = awaits.iter().map(|a| id(*a as usize)).collect();
     record(spec)
 }
@@ -47,6 +47,6 @@
     model.apply_heartbeat(&message, now);
 }
 
-pub fn state_of(model: &ClusterModel, n: usize) -> Option<JobState> {
-    model.status(id(n)).map(|v| v.state)
+pub fn state_of(model: &ClusterModel, number: usize) -> Option<JobState> {
+    model.status(id(number)).map(|v| v.state)
 }
--- a/tests/dependencies/size.rs
+++ b/tests/dependencies/size.rs
@@ -9,7 +9,7 @@
 use crate::fixtures::*;
 use crate::support::*;
 
-/// Shapes of 10,000 jobs: the first is cancelled, or all are done in turn.
+/// Shapes of 10,000 jobs: the first is cancelled, or all are done one after another.
 fn shapes() -> Vec<(&'static str, Vec<JobRecord>)> {
     const JOBS: u32 = 10_000;
     let chain = (1..JOBS).map(|n| job_awaiting(n, &[n - 1]));
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -168,62 +168,66 @@
     assert_eq!(invalid.check(), Err("expected_s"));
 }
 
+/// A text of the valid settings, an invalid one in its place, and the field that the
+/// error names.
+const INVALID_SETTINGS: [(&str, &str, &str); 17] = [
+    ("lease_s = 20.0", "lease_s = -1.0", "cluster.workers.lease_s"),
+    ("lease_s = 20.0", "", "lease_s"),
+    ("cancel_s = 40.0", "cancel_s = 10.0", "cluster.workers.cancel_s"),
+    ("txn_ops = 12", "txn_ops = \"many\"", "cluster.state.txn_ops"),
+    ("name = \"blue\"", "name = \"red\"", "cluster.teams[1].name"),
+    ("share = 0.9", "share = 9.0", "cluster.objectives[0].share"),
+    ("127.0.0.1:4", "localhost", "services.cloud"),
+    ("\nrps = 200.0", "\nrps = 0.0", "cluster.state.rps"),
+    ("write_rps = 100.0", "write_rps = 0.0", "cluster.state.write_rps"),
+    (
+        "list_lag_s = 4.0",
+        "list_lag_s = 4.0\n[cluster.machine_limits]\nfd_limit = 0",
+        "cluster.machine_limits.fd_limit",
+    ),
+    (
+        "list_lag_s = 4.0",
+        "list_lag_s = 4.0\n[cluster.machine_limits]\nmemory_mb = 0.0",
+        "cluster.machine_limits.memory_mb",
+    ),
+    (
+        "list_lag_s = 4.0",
+        "list_lag_s = 4.0\n[cluster.machine_limits]\ncore_share = 0.0",
+        "cluster.machine_limits.core_share",
+    ),
+    (
+        "txn_ops = 12",
+        "txn_ops = 12\nnext = { rps = 0.0 }",
+        "cluster.state.next.rps",
+    ),
+    (
+        "txn_ops = 12",
+        "txn_ops = 12\nnext = { write_rps = -1.0 }",
+        "cluster.state.next.write_rps",
+    ),
+    (
+        "txn_ops = 12",
+        "txn_ops = 12\nnext = { value_kb = 0.0 }",
+        "cluster.state.next.value_kb",
+    ),
+    (
+        "txn_ops = 12",
+        "txn_ops = 12\nnext = { txn_ops = 1 }",
+        "cluster.state.next.txn_ops",
+    ),
+    (
+        "txn_ops = 12",
+        "txn_ops = 12\nnext = { txn_ops = \"few\" }",
+        "cluster.state.next.txn_ops",
+    ),
+];
+
 #[test]
 fn settings_ignore_the_unknown_and_name_the_wrong() {
     let settings = support::deployment();
     assert_eq!(settings.cluster.workers.lease, std::time::Duration::from_secs(20));
     assert_eq!(settings.cluster.teams[1].cpu_limit, 0.0, "0 means none");
-    for (from, to, field) in [
-        ("lease_s = 20.0", "lease_s = -1.0", "cluster.workers.lease_s"),
-        ("lease_s = 20.0", "", "lease_s"),
-        ("cancel_s = 40.0", "cancel_s = 10.0", "cluster.workers.cancel_s"),
-        ("txn_ops = 12", "txn_ops = \"many\"", "cluster.state.txn_ops"),
-        ("name = \"blue\"", "name = \"red\"", "cluster.teams[1].name"),
-        ("share = 0.9", "share = 9.0", "cluster.objectives[0].share"),
-        ("127.0.0.1:4", "localhost", "services.cloud"),
-        ("\nrps = 200.0", "\nrps = 0.0", "cluster.state.rps"),
-        ("write_rps = 100.0", "write_rps = 0.0", "cluster.state.write_rps"),
-        (
-            "list_lag_s = 4.0",
-            "list_lag_s = 4.0\n[cluster.machine_limits]\nfd_limit = 0",
-            "cluster.machine_limits.fd_limit",
-        ),
-        (
-            "list_lag_s = 4.0",
-            "list_lag_s = 4.0\n[cluster.machine_limits]\nmemory_mb = 0.0",
-            "cluster.machine_limits.memory_mb",
-        ),
-        (
-            "list_lag_s = 4.0",
-            "list_lag_s = 4.0\n[cluster.machine_limits]\ncore_share = 0.0",
-            "cluster.machine_limits.core_share",
-        ),
-        (
-            "txn_ops = 12",
-            "txn_ops = 12\nnext = { rps = 0.0 }",
-            "cluster.state.next.rps",
-        ),
-        (
-            "txn_ops = 12",
-            "txn_ops = 12\nnext = { write_rps = -1.0 }",
-            "cluster.state.next.write_rps",
-        ),
-        (
-            "txn_ops = 12",
-            "txn_ops = 12\nnext = { value_kb = 0.0 }",
-            "cluster.state.next.value_kb",
-        ),
-        (
-            "txn_ops = 12",
-            "txn_ops = 12\nnext = { txn_ops = 1 }",
-            "cluster.state.next.txn_ops",
-        ),
-        (
-            "txn_ops = 12",
-            "txn_ops = 12\nnext = { txn_ops = \"few\" }",
-            "cluster.state.next.txn_ops",
-        ),
-    ] {
+    for (from, to, field) in INVALID_SETTINGS {
         let text = support::SETTINGS.replace(from, to);
         let error = DeploymentSettings::parse(&text, "test")
             .expect_err(field)
--- a/tests/planner/cordon.rs
+++ b/tests/planner/cordon.rs
@@ -78,7 +78,7 @@
 #[test]
 fn a_job_whose_other_tasks_run_on_does_not_stay_on_probation() {
     // Three faulty machines among good ones, and no task is done for long: tried
-    // on one at a time, its other tasks would wait beside free machines.
+    // on one at a time, its other tasks would wait despite free machines.
     let now = start();
     let mut model = model(1);
     let ids: Vec<String> = (1..=4).map(|i| format!("i-{i}")).collect();
@@ -111,7 +111,7 @@
 #[test]
 fn a_cordon_ends_whether_or_not_the_machine_runs_something() {
     // An empty machine goes back to the cloud, but the cloud may refuse that for
-    // long. One with long tasks stays, and its room with it. The cause of either
+    // long. One with long tasks stays, and with it its free capacity. The cause of either
     // may have ended.
     for busy in [false, true] {
         let now = start();
--- a/tests/planner/preemption.rs
+++ b/tests/planner/preemption.rs
@@ -83,7 +83,7 @@
 
 #[test]
 fn preempting_over_quota_tasks_pauses_their_job_for_a_bounded_time() {
-    // A pause that each preemption prolonged would keep other tasks waiting beside free
+    // A pause that each preemption prolonged would keep other tasks waiting despite free
     // capacity that the blocked head can't use, for as long as preemptions go on.
     let as_is = |_: &mut JobSpec| {};
     let (mut model, stopped) = stopped_for_urgent_work(as_is, as_is, secs(20));
--- a/tests/planner/probation.rs
+++ b/tests/planner/probation.rs
@@ -11,7 +11,7 @@
 use crate::support::*;
 
 /// A model with a job of so many tasks that failed on three machines at `now`, each time
-/// after it had run for `run`, and eight more machines with room.
+/// after it had run for `run`, and eight more, idle machines.
 fn failed_on_three_machines(tasks: u32, run: Duration, now: Instant) -> ClusterModel {
     let mut model = model(1);
     model.add_job(record(job(1, tasks, 4.0)), now);
@@ -65,7 +65,7 @@
 #[test]
 fn probation_ends_even_if_no_trial_ever_runs() {
     // The one task that is tried waits for its image for ever; the others would
-    // wait with it beside free machines.
+    // wait with it despite free machines.
     let now = start();
     let mut model = failed_on_three_machines(16, secs(300), now);
     let placed = placed_each_second(&mut model, now, 65, false);
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -98,6 +98,14 @@
     message
 }
 
+/// The allocations of each step from a heartbeat to the next start.
+struct Costs {
+    heartbeat: u64,
+    append: u64,
+    commands: u64,
+    round: u64,
+}
+
 #[test]
 fn a_heartbeat_a_start_and_an_append_cost_the_same_in_a_large_fleet() {
     let now = start();
@@ -135,20 +143,40 @@
             .for_each(|write| model.write_finished(write, true, at));
         let (commands, due) = count_allocations(|| model.take_due_commands(at, 64));
         assert_eq!(due.len(), 1, "one machine has a command due");
-        (heartbeat_cost, append, commands, round)
+        Costs {
+            heartbeat: heartbeat_cost,
+            append,
+            commands,
+            round,
+        }
     });
     let [small, large] = costs;
     // The open segment is written again as a whole, whatever the fleet.
-    assert!(large.0 <= small.0 + 8, "a heartbeat: {} for {}", large.0, small.0);
     assert!(
-        large.1 <= small.1 * 2 + 600,
+        large.heartbeat <= small.heartbeat + 8,
+        "a heartbeat: {} for {}",
+        large.heartbeat,
+        small.heartbeat
+    );
+    assert!(
+        large.append <= small.append * 2 + 600,
         "an append: {} for {}",
-        large.1,
-        small.1
+        large.append,
+        small.append
+    );
+    assert!(
+        large.commands <= small.commands + 8,
+        "commands: {} for {}",
+        large.commands,
+        small.commands
     );
-    assert!(large.2 <= small.2 + 8, "commands: {} for {}", large.2, small.2);
     // A round looks at each machine once, at no pair of them.
-    assert!(large.3 <= small.3 * 12, "a round: {} for {}", large.3, small.3);
+    assert!(
+        large.round <= small.round * 12,
+        "a round: {} for {}",
+        large.round,
+        small.round
+    );
 }
 
 #[test]
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -18,8 +18,8 @@
 
 /// Machines that accept connections but don't respond, with stops due: more than there
 /// are sockets for commands.
-const HANGING: u32 = 60;
-/// At least so many of them have to run a task before they hang.
+const UNRESPONSIVE: u32 = 60;
+/// At least so many of them have to run a task before they stop responding.
 const MIN_RUNNING: usize = 36;
 /// Sockets of a controller. A quarter of what is left to workers is for commands: 26.
 const SOCKET_LIMIT: u32 = 128;
@@ -49,7 +49,7 @@
         site.cloud.boot("south", true).await;
         // One task fills a machine.
         let (filler, waiting) = (job_name(1), job_name(2));
-        let mut job = site.job(1, HANGING);
+        let mut job = site.job(1, UNRESPONSIVE);
         job["cpus"] = 8.0.into();
         job["yard"] = "north".into();
         let (status, body) = site.insist("POST", 0, "/v2/runs", Some(job)).await;
@@ -137,7 +137,11 @@
         .model
         .permit_send(&decided.machine, &decided.commands, false);
     assert_eq!(without_authority.err(), Some(SendRefusal::NoAuthority));
+    assert_starts_of_ended_or_waiting_jobs_are_refused();
+    assert_starts_without_a_place_are_refused();
+}
 
+fn assert_starts_of_ended_or_waiting_jobs_are_refused() {
     let mut decided = DecidedStart::new();
     decided.model.cancel(decided.task.job, decided.now);
     decided.assert_refused(StartRefusal::JobCancelled);
@@ -158,7 +162,9 @@
     };
     decided.commands.commands = vec![start];
     decided.assert_refused(StartRefusal::JobWaits);
+}
 
+fn assert_starts_without_a_place_are_refused() {
     let mut decided = DecidedStart::new();
     let grace = Duration::from_secs(5);
     decided
