--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -90,7 +90,7 @@
             "{second} s"
         );
         assert!(
-            model.machines().values().all(|x| x.slots.len() == 1),
+            model.machines().values().all(|machine| machine.slots.len() == 1),
             "{second} s"
         );
     }
@@ -101,7 +101,7 @@
         model
             .machines()
             .values()
-            .filter(|x| x.zone == "south" && x.slots.is_empty())
+            .filter(|machine| machine.zone == "south" && machine.slots.is_empty())
             .count()
     };
     assert_eq!(emptied_in_south(&model), 5);
@@ -258,7 +258,7 @@
     assert!(model
         .machines()
         .values()
-        .all(|x| x.cordoned_since.is_none() && x.slots.len() == 1));
+        .all(|machine| machine.cordoned_since.is_none() && machine.slots.len() == 1));
     // A machine that stays silent from then on is released as usual.
     for second in 1..=12 {
         send_heartbeats(&mut model, "south", 30 + second, resumed_at + secs(second));
--- a/tests/planner/cordon.rs
+++ b/tests/planner/cordon.rs
@@ -52,7 +52,10 @@
             end_all_tasks(&mut model, id, ExitReason::Failed, 10 + i * 2, now);
         }
     }
-    assert!(model.machines().values().all(|x| x.cordoned_since.is_none()));
+    assert!(model
+        .machines()
+        .values()
+        .all(|machine| machine.cordoned_since.is_none()));
     assert!((18..80).contains(&attempts), "{attempts} attempts in 300 s");
     let longest = model
         .jobs()
--- a/tests/planner/fixtures.rs
+++ b/tests/planner/fixtures.rs
@@ -72,7 +72,7 @@
         .set_up()
         .machines
         .values_mut()
-        .flat_map(|x| x.slots.values_mut())
+        .flat_map(|machine| machine.slots.values_mut())
     {
         slot.start_token = 5 << 20;
     }
--- a/tests/planner/gangs.rs
+++ b/tests/planner/gangs.rs
@@ -22,7 +22,7 @@
     let attempts: BTreeSet<u64> = model
         .machines()
         .values()
-        .flat_map(|x| x.slots.values().map(|s| s.attempt))
+        .flat_map(|machine| machine.slots.values().map(|s| s.attempt))
         .collect();
     assert_eq!(model.jobs().values().next().expect("the job").places.len(), 3);
     assert_eq!(attempts.len(), 1, "a gang's tasks share their attempt");
--- a/tests/planner/generated.rs
+++ b/tests/planner/generated.rs
@@ -131,12 +131,12 @@
             model.add_job(record(spec), later);
         }
         let shadow_before: HashMap<TaskId, bool> = model.machines().values()
-            .flat_map(|x| x.slots.iter().map(|(t, s)| (*t, s.backfilled))).collect();
+            .flat_map(|machine| machine.slots.iter().map(|(t, s)| (*t, s.backfilled))).collect();
         let waiting: HashMap<JobId, u32> = model.jobs().iter().map(|(id, j)| (*id, j.waiting.count())).collect();
         model.plan(later);
         check_placements(&model)?;
         let ranks = model.ranks(later);
-        for (task, slot) in model.machines().values().flat_map(|x| &x.slots) {
+        for (task, slot) in model.machines().values().flat_map(|machine| &machine.slots) {
             if slot.stop_grace.is_none() { continue; }
             if model.jobs()[&task.job].is_broken_gang() { continue; }
             let own = ranks[&task.job];
@@ -153,7 +153,7 @@
             prop_assert!(own.tier != Tier::WithinQuota, "{task} was within its team's quota");
             let young = model.predict(&job.spec) / 4;
             prop_assert!(slot.running_since.is_some_and(|t| later - t < young), "{task} is not young");
-            let not_stopped = model.machines().values().flat_map(|x| &x.slots)
+            let not_stopped = model.machines().values().flat_map(|machine| &machine.slots)
                 .filter(|(t, s)| t.job == task.job && s.stop_grace.is_none()).count();
             prop_assert!(not_stopped >= 2, "{task} is stopped though its job has hardly begun");
         }
@@ -182,7 +182,7 @@
         };
         let places = |model: &ClusterModel| -> Vec<(MachineId, TaskId, bool, bool)> {
             model.machines().values()
-                .flat_map(|x| x.slots.iter().map(|(t, s)| (x.id.clone(), *t, s.backfilled, s.stop_grace.is_some())))
+                .flat_map(|machine| machine.slots.iter().map(|(t, s)| (machine.id.clone(), *t, s.backfilled, s.stop_grace.is_some())))
                 .collect()
         };
         let (mut together, mut one_by_one) = (build(), build());
--- a/tests/planner/preemption.rs
+++ b/tests/planner/preemption.rs
@@ -40,7 +40,10 @@
     set_urgent(&mut spec);
     model.add_job(record(spec), later);
     model.plan(later);
-    let slots = model.machines().values().flat_map(|x| x.slots.values());
+    let slots = model
+        .machines()
+        .values()
+        .flat_map(|machine| machine.slots.values());
     let stopped = slots.filter(|s| s.stop_grace.is_some()).count();
     (model, stopped)
 }
@@ -101,7 +104,10 @@
     }
     model.add_job(record(again), at);
     model.plan(at);
-    let slots = model.machines().values().flat_map(|x| x.slots.values());
+    let slots = model
+        .machines()
+        .values()
+        .flat_map(|machine| machine.slots.values());
     assert_eq!(
         slots.filter(|s| s.stop_grace.is_some()).count(),
         4,
