--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -12,7 +12,7 @@
 
 use serde_json::{json, Value};
 use site::{job_name, on_loopback, Site, LONG};
-use standins::ask;
+use standins::send_request;
 use tokio::time::sleep;
 
 async fn accept(site: &Site, at: usize, body: Value) {
@@ -137,7 +137,7 @@
         site.state.outage(true);
         let at = (gone + 1) % 3;
         let began = Instant::now();
-        let (status, _) = ask(
+        let (status, _) = send_request(
             "POST",
             site.api[at],
             "/v2/runs",
--- a/tests/guest.rs
+++ b/tests/guest.rs
@@ -55,12 +55,12 @@
         let array_now = site.until(1, "job-000000", "running").await;
         assert!(array_now["done"].as_u64() > Some(0), "{array_now}");
         // What is stored stays within the limits, however many tasks have ended.
-        for key in site.state.stamps().into_keys() {
+        for key in site.state.revisions().into_keys() {
             let bytes = site.state.value(&key).map_or(0, |v| v.to_string().len());
             assert!(bytes <= VALUE_BYTES, "{key} has {bytes} bytes");
         }
         let segments = |site: &Site| {
-            let keys = site.state.stamps().into_keys();
+            let keys = site.state.revisions().into_keys();
             keys.filter(|k| k.starts_with("wal/")).count()
         };
         assert!(segments(&site) <= 8, "{} segments of the log", segments(&site));
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -15,7 +15,7 @@
 use proptest::prelude::*;
 use serde_json::{json, Map, Value};
 use site::{on_loopback, Site};
-use standins::ask;
+use standins::send_request;
 
 const TEXTS: [&str; 6] = ["name_id", "lot_class", "desk", "sort", "urgency", "kit"];
 const FLAGS: [&str; 3] = ["one_zone", "spread", "loaners"];
@@ -247,7 +247,7 @@
         check(&site, (gone + 1) % 3).await;
         // Nothing can be known: 503 at once.
         site.state.outage(true);
-        let (status, _) = ask(
+        let (status, _) = send_request(
             "POST",
             site.api[(gone + 1) % 3],
             "/v2/runs",
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -16,6 +16,7 @@
 use bitternfold::wire::Transaction;
 use serde_json::json;
 use site::{on_loopback, Site};
+use standins::state_service::LateWrites;
 use tokio::time::sleep;
 
 const NEXT: &str = "\n[cluster.state.next]\nwrite_rps = 60.0\nvalue_kb = 2.0\ntxn_ops = 4\n\n[cluster.cloud]";
@@ -54,7 +55,7 @@
         let (api, body) = (site.api[n as usize % 3], site.job(n, 1));
         waiting.spawn(async move {
             loop {
-                let (status, _) = standins::ask("POST", api, "/v2/runs", Some(body.clone())).await;
+                let (status, _) = standins::send_request("POST", api, "/v2/runs", Some(body.clone())).await;
                 if [200, 201].contains(&status) {
                     return;
                 }
@@ -115,15 +116,18 @@
     on_loopback(async {
         let site = Site::start(Duration::from_millis(100)).await;
         site.until_some_leader().await;
-        site.state.late_writes(Some((4, Duration::from_millis(700))));
+        site.state.late_writes(Some(LateWrites {
+            every: 4,
+            delay: Duration::from_millis(700),
+        }));
         let lower = async {
             sleep(Duration::from_millis(300)).await;
             site.state.limit_sizes(4096, 2);
         };
         tokio::join!(submit_at_once(&site, 1..=30), lower);
         site.state.late_writes(None);
-        let (failed, carried_out) = site.state.late_outcomes();
-        assert!(failed + carried_out > 0, "no transaction was late");
+        let late = site.state.late_outcomes();
+        assert!(late.failed + late.applied > 0, "no transaction was late");
         for n in 1..=30u32 {
             site.until(n as usize % 3, &format!("job-{n:06}"), "done").await;
             assert_eq!(site.state.puts_of(&format!("jobs/job-{n:06}")), 1, "job {n}");
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -10,7 +10,8 @@
 use std::time::{Duration, Instant};
 
 use site::{on_loopback, Site, LONG};
-use standins::ask;
+use standins::send_request;
+use standins::state_service::LateWrites;
 use tokio::time::sleep;
 
 #[test]
@@ -29,7 +30,11 @@
         assert_eq!((status, v["standing"].as_str()), (200, Some("cancelled")));
         site.state.outage(true);
         let began = Instant::now();
-        while ask("GET", site.api[0], "/v2/runs/job-000002", None).await.0 == 200 {
+        while send_request("GET", site.api[0], "/v2/runs/job-000002", None)
+            .await
+            .0
+            == 200
+        {
             assert!(began.elapsed() < LONG, "the authority doesn't end");
             sleep(Duration::from_millis(50)).await;
         }
@@ -49,7 +54,10 @@
         let site = Site::start(Duration::from_millis(400)).await;
         site.insist("POST", 0, "/v2/runs", Some(site.job(1, 2))).await;
         site.until(0, "job-000001", "done").await;
-        site.state.late_writes(Some((2, Duration::from_millis(2500))));
+        site.state.late_writes(Some(LateWrites {
+            every: 2,
+            delay: Duration::from_millis(2500),
+        }));
         for n in 2..8 {
             let (status, v) = site
                 .insist("POST", n as usize % 3, "/v2/runs", Some(site.job(n, 3)))
@@ -80,10 +88,12 @@
         site.state.late_writes(None);
         // All that is late has arrived, and a new leader reads what is left of it.
         sleep(Duration::from_millis(3000)).await;
-        let (failed, applied) = site.state.late_outcomes();
+        let late = site.state.late_outcomes();
         assert!(
-            failed > 0,
-            "{failed} late ones met their guards, {applied} applied"
+            late.failed > 0,
+            "{} late ones failed by their conditions, {} applied",
+            late.failed,
+            late.applied
         );
         site.state.end_leases();
         for at in 0..3 {
@@ -112,7 +122,7 @@
             let path = if repeat { "/v2/runs" } else { "/v2/runs/job-000001" };
             assert_eq!(site.insist(method, at, path, again.clone()).await.0, 200);
             site.state.refuse(at, true);
-            let (status, v) = ask(method, site.api[at], path, again).await;
+            let (status, v) = send_request(method, site.api[at], path, again).await;
             site.state.refuse(at, false);
             assert!(status == 503 || site.leader() != Some(at), "{status} {v}");
         }
@@ -128,15 +138,18 @@
         site.insist("POST", 0, "/v2/runs", Some(site.job(1, 2))).await;
         site.until(0, "job-000001", "running").await;
         let at = site.leader().expect("a leader");
-        site.state.late_writes(Some((1, Duration::ZERO)));
+        site.state.late_writes(Some(LateWrites {
+            every: 1,
+            delay: Duration::ZERO,
+        }));
         let path = "/v2/runs/job-000001/cancel";
         let (status, v) = site.insist("POST", (at + 1) % 3, path, None).await;
         assert_eq!((status, v["standing"].as_str()), (200, Some("cancelled")));
         for i in 0..30 {
-            let (status, v) = ask("GET", site.api[(at + i) % 3], "/v2/runs/job-000001", None).await;
+            let (status, v) = send_request("GET", site.api[(at + i) % 3], "/v2/runs/job-000001", None).await;
             assert!(status != 200 || v["standing"] == "cancelled", "{v}");
             let again = Some(site.job(1, 2));
-            let (status, v) = ask("POST", site.api[(at + i) % 3], "/v2/runs", again).await;
+            let (status, v) = send_request("POST", site.api[(at + i) % 3], "/v2/runs", again).await;
             assert!(status != 200 || v["standing"] == "cancelled", "{v}");
         }
         site.state.late_writes(None);
@@ -154,7 +167,7 @@
         site.until(0, "job-000001", "running").await;
         let value = site.state.value("jobs/job-000001").expect("stored");
         site.state.plant("jobs/job-000001", value);
-        ask("POST", site.api[0], "/v2/runs/job-000001/cancel", None).await;
+        send_request("POST", site.api[0], "/v2/runs/job-000001/cancel", None).await;
         site.until(1, "job-000001", "cancelled").await;
         site.until_running(|n| n == 0).await;
     });
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -18,7 +18,7 @@
 use bitternfold::sockets::SocketBudget;
 use serde_json::json;
 use site::{on_loopback, Site, LONG};
-use standins::ask;
+use standins::send_request;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
@@ -100,7 +100,7 @@
         assert!(asked_to_close.load(Ordering::Relaxed) > 0, "many had to close");
         let (status, v) = site.insist("POST", 0, "/v2/runs", Some(site.job(2, 3))).await;
         assert!([200, 201].contains(&status), "{v}");
-        assert_eq!(ask("GET", site.api[0], "/up", None).await.0, 200);
+        assert_eq!(send_request("GET", site.api[0], "/up", None).await.0, 200);
         site.until(0, "job-000002", "done").await;
         assert!(site.cloud.doubles.lock().is_empty());
         over.store(true, Ordering::Relaxed);
@@ -270,7 +270,7 @@
         for n in 0..6 {
             site.until(n % 3, &format!("job-{n:06}"), "done").await;
         }
-        let most = site.cloud.most_at_once.lock().1;
+        let most = site.cloud.concurrent_commands.lock().max;
         // A quarter of what is left beside the controller's own; two leaders may overlap.
         assert!(most <= 2 * 58, "{most} commands at once");
         assert!(
@@ -308,7 +308,7 @@
         }
         let starts = *site.cloud.starts.lock();
         let finals = |site: &Site| {
-            let mut all = site.state.stamps();
+            let mut all = site.state.revisions();
             all.retain(|k, _| k.starts_with("final/") || k.starts_with("jobs/"));
             all
         };
@@ -317,7 +317,7 @@
         site.cloud.repeat_commands();
         for (i, body) in site.cloud.reported().into_iter().enumerate().step_by(7) {
             let report = serde_json::from_slice(&body).expect("json");
-            ask("POST", site.api[i % 3], "/v1/report", Some(report)).await;
+            send_request("POST", site.api[i % 3], "/v1/report", Some(report)).await;
         }
         for (n, end) in ends.iter().enumerate() {
             for at in 0..3 {
--- a/tests/questions.rs
+++ b/tests/questions.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use site::{on_loopback, Site, LONG};
-use standins::ask;
+use standins::send_request;
 use tokio::time::sleep;
 
 /// Polls a job so many times, at these controllers in turn; returns the responses.
@@ -19,7 +19,7 @@
     for n in 0..times {
         let addr = site.api[at[n % at.len()]];
         let path = format!("/v2/runs/{job}");
-        polls.spawn(async move { ask("GET", addr, &path, None).await });
+        polls.spawn(async move { send_request("GET", addr, &path, None).await });
     }
     polls.join_all().await
 }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -11,7 +11,7 @@
 
 use serde_json::json;
 use site::{on_loopback, Site, LONG};
-use standins::ask;
+use standins::send_request;
 use tokio::time::sleep;
 
 #[test]
@@ -40,7 +40,7 @@
                     .0,
                 404
             );
-            assert_eq!(ask("GET", site.api[at], "/up", None).await.0, 200);
+            assert_eq!(send_request("GET", site.api[at], "/up", None).await.0, 200);
         }
         let mut huge = site.job(3, 1);
         huge["kit"] = json!("x".repeat(70_000));
@@ -91,7 +91,7 @@
         site.state.outage(true);
         sleep(Duration::from_millis(3500)).await;
         let began = Instant::now();
-        let (status, _) = ask("POST", site.api[0], "/v2/runs", Some(site.job(20, 1))).await;
+        let (status, _) = send_request("POST", site.api[0], "/v2/runs", Some(site.job(20, 1))).await;
         assert_eq!(status, 503);
         assert!(
             began.elapsed() < Duration::from_secs(4),
@@ -185,7 +185,7 @@
         site.state.plant("jobs/job-000001", same);
         site.state.plant("jobs/job-000008", json!({"spec": "torn"}));
         for at in 0..3 {
-            let (status, _) = ask("GET", site.api[at], "/v2/runs/job-000008", None).await;
+            let (status, _) = send_request("GET", site.api[at], "/v2/runs/job-000008", None).await;
             assert_eq!(status, 503, "neither known nor unknown");
         }
         let spec: bitternfold::wire::JobSpec = serde_json::from_value(site.job(8, 2)).expect("a job");
--- a/tests/soak/fault_injection.rs
+++ b/tests/soak/fault_injection.rs
@@ -6,6 +6,7 @@
 use crate::faults::{Fault, FAULTS};
 use crate::processes::Processes;
 use crate::proxy::LinkMode;
+use crate::standins::state_service::LateWrites;
 
 /// Whether a fault is to begin or to end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -31,7 +32,10 @@
         Fault::Pause => processes.pause(controller, begins),
         Fault::StateRefuses => state.refuse(controller, begins),
         Fault::StateOut => state.outage(begins),
-        Fault::LateWrites => state.late_writes(begins.then_some((4, Duration::from_secs(3)))),
+        Fault::LateWrites => state.late_writes(begins.then_some(LateWrites {
+            every: 4,
+            delay: Duration::from_secs(3),
+        })),
         Fault::NoCommands => cloud.no_commands.store(begins, Ordering::Relaxed),
         Fault::NoHeartbeats => cloud.mute.store(begins, Ordering::Relaxed),
         Fault::ControllerUnreachable if begins => drop(cloud.unreachable.lock().insert(controller)),
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -17,7 +17,7 @@
 
 use crate::history::{Event, StatusResponse, Submitted};
 use crate::site::job_name;
-use crate::standins::{ask, Cloud};
+use crate::standins::{send_request, Cloud};
 use crate::support;
 
 /// What users do, and the responses that they receive.
@@ -63,7 +63,7 @@
     /// Requests the state of a job; `None` unless the response is 200.
     pub async fn poll(&self, job: JobId, at: usize) -> Option<JobState> {
         let sent = self.began.elapsed();
-        let response = ask("GET", self.api[at], &format!("/v2/runs/{job}"), None).await;
+        let response = send_request("GET", self.api[at], &format!("/v2/runs/{job}"), None).await;
         self.record_response(job, sent, &response);
         state_of(&response.1).filter(|_| response.0 == 200)
     }
@@ -74,7 +74,7 @@
         self.jobs.lock().insert(job, submitted);
         for attempt in 0..40 {
             let sent = self.began.elapsed();
-            let response = ask(
+            let response = send_request(
                 "POST",
                 self.api[(at + attempt) % 3],
                 "/v2/runs",
@@ -107,7 +107,7 @@
         for attempt in 0..120 {
             let sent = self.began.elapsed();
             let path = format!("/v2/runs/{job}/cancel");
-            let response = ask("POST", self.api[(at + attempt) % 3], &path, None).await;
+            let response = send_request("POST", self.api[(at + attempt) % 3], &path, None).await;
             if response.0 == 200 {
                 self.record_response(job, sent, &response);
                 return true;
@@ -193,7 +193,7 @@
             if rng.random_bool(0.2) {
                 // A repeat of an accepted submission.
                 let sent = self.began.elapsed();
-                let response = ask("POST", self.api[at], "/v2/runs", Some(body.clone())).await;
+                let response = send_request("POST", self.api[at], "/v2/runs", Some(body.clone())).await;
                 self.record_response(job, sent, &response);
             } else if matches!(
                 self.poll(job, at).await,
--- a/tests/support/cloud/commands.rs
+++ b/tests/support/cloud/commands.rs
@@ -11,11 +11,11 @@
 use tokio::time::sleep;
 use warp::Filter;
 
-use super::super::{answer, serve, Json};
-use super::machine::{report_of, Machine, Task};
+use super::super::{json_response, serve, Json};
+use super::machine::{next_heartbeat, Machine, Task};
 use super::{Cloud, TaskChange};
 
-/// One more of something, for as long as it lives.
+/// Increments a counter for as long as it lives.
 struct Counted<'a>(&'a AtomicUsize);
 
 impl<'a> Counted<'a> {
@@ -45,8 +45,8 @@
             sequence: 0,
             token: 0,
             tasks: BTreeMap::new(),
-            renewed: Instant::now(),
-            gone: false,
+            lease_renewed: Instant::now(),
+            released: false,
         }));
         let (c, m) = (self.clone(), machine.clone());
         let with = warp::any().map(move || (c.clone(), m.clone()));
@@ -61,14 +61,14 @@
                         sleep(Duration::from_secs(3600)).await;
                     }
                     {
-                        let mut n = c.most_at_once.lock();
-                        n.0 += 1;
-                        n.1 = n.1.max(n.0);
+                        let mut concurrent = c.concurrent_commands.lock();
+                        concurrent.now += 1;
+                        concurrent.max = concurrent.max.max(concurrent.now);
                     }
                     sleep(Duration::from_millis(5)).await;
-                    let r = c.command(&m, &b);
-                    c.most_at_once.lock().0 -= 1;
-                    answer(r)
+                    let response = c.command(&m, &b);
+                    c.concurrent_commands.lock().now -= 1;
+                    json_response(response)
                 },
             );
         let addr = serve(commands).await;
@@ -78,9 +78,10 @@
         id
     }
 
+    /// Carries out a batch, unless it is of an earlier leader or for another incarnation.
     pub(super) fn command(&self, m: &Mutex<Machine>, b: &CommandBatch) -> Json {
         let mut m = m.lock();
-        if m.gone || self.no_commands.load(Ordering::Relaxed) {
+        if m.released || self.no_commands.load(Ordering::Relaxed) {
             return (500, json!({}));
         }
         let ok = b.token >= m.token && b.incarnation == m.incarnation;
@@ -93,10 +94,11 @@
         }
         (
             if ok { 200 } else { 409 },
-            serde_json::to_value(report_of(&mut m)).expect("json"),
+            serde_json::to_value(next_heartbeat(&mut m)).expect("json"),
         )
     }
 
+    /// Executes a command, as a worker does; starts of known tasks change nothing.
     pub(super) fn execute(&self, m: &mut Machine, c: Command) {
         match c {
             Command::Start { task, attempt } => {
@@ -119,10 +121,10 @@
                 );
                 let here = m.id.clone();
                 let twice = self.machines.lock().iter().any(|o| {
-                    // Its own lock is held; the others are asked in turn.
+                    // Its own lock is held, the others' are tried in turn.
                     o.try_lock().is_some_and(|o| {
                         o.id != here
-                            && !o.gone
+                            && !o.released
                             && o.tasks.get(&task).is_some_and(|t| t.state == TaskState::Running)
                     })
                 });
--- a/tests/support/cloud/faults.rs
+++ b/tests/support/cloud/faults.rs
@@ -1,4 +1,4 @@
-//! The troubles that tests ask the cloud for.
+//! The faults of the cloud that tests inject.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
         for (id, c) in self.carried_out.lock().clone() {
             if let Some(m) = machines.iter().find(|m| m.lock().id == id) {
                 let mut m = m.lock();
-                if !m.gone && c.token >= m.token {
+                if !m.released && c.token >= m.token {
                     m.token = c.token;
                     c.commands.iter().for_each(|c| self.execute(&mut m, *c));
                 }
@@ -30,21 +30,21 @@
     /// These machines hang from now on.
     pub fn hang(&self, machines: &[String]) {
         let ids = machines.iter().map(|id| id.as_str().into());
-        self.hanging.lock().extend(ids);
+        self.hanging_machines.lock().extend(ids);
     }
 
     pub(super) fn hangs(&self, m: &Mutex<Machine>) -> bool {
         let id = m.lock().id.clone();
-        self.hanging.lock().contains(&id)
+        self.hanging_machines.lock().contains(&id)
     }
 
-    /// Workers have leases of such a life from now on.
+    /// Workers' leases last this long from now on.
     pub fn use_leases(&self, lease: Duration) {
         *self.lease.lock() = Some(lease);
     }
 
-    /// Machines that hang go on.
+    /// Machines that hang go on; requests that wait for a response stay without one.
     pub fn resume(&self) {
-        self.hanging.lock().clear();
+        self.hanging_machines.lock().clear();
     }
 }
--- a/tests/support/cloud/heartbeats.rs
+++ b/tests/support/cloud/heartbeats.rs
@@ -9,14 +9,14 @@
 use parking_lot::Mutex;
 use tokio::time::sleep;
 
-use super::machine::{report_of, Machine};
+use super::machine::{next_heartbeat, Machine};
 use super::{Cloud, TaskChange};
 
-/// How long a worker waits for an answer to a report.
-const REPORT_PATIENCE: Duration = Duration::from_secs(4);
+/// How long a worker waits for the response to a heartbeat.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl Cloud {
-    /// All that is on a machine is gone.
+    /// Removes all tasks from a machine, whose live ones end.
     pub(super) fn end_all(&self, m: &mut Machine) {
         for (task, t) in std::mem::take(&mut m.tasks) {
             if t.state != TaskState::Exited {
@@ -25,14 +25,14 @@
         }
     }
 
-    /// Ends the session whose lease is over, and tasks that have completed.
+    /// Ends the incarnation whose lease has expired, and tasks that have completed.
     pub(super) fn pass_time(&self, m: &mut Machine) {
         let now = Instant::now();
         let lease = *self.lease.lock();
-        if lease.is_some_and(|lease| now > m.renewed + lease) {
+        if lease.is_some_and(|lease| now > m.lease_renewed + lease) {
             self.end_all(m);
             m.incarnation += 1;
-            m.renewed = now;
+            m.lease_renewed = now;
         }
         let ended: Vec<TaskId> = m
             .tasks
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A copy of a report arrives late, and its answer reaches nobody.
+    /// Sends a late copy of a heartbeat, whose response is dropped.
     pub(super) fn copy_late(&self, body: &[u8], to: &str) {
         let Some(delay) = *self.late_copies.lock() else {
             return;
@@ -58,11 +58,13 @@
             let method = hyper::Method::POST;
             let http = HttpClient::default();
             let _ = http
-                .call(method, &to, "/v1/report", Some(body), REPORT_PATIENCE)
+                .call(method, &to, "/v1/report", Some(body), RESPONSE_TIMEOUT)
                 .await;
         });
     }
 
+    /// The loop of a worker: a heartbeat each 150 ms, to the controller that it was
+    /// redirected to, or to the next one after a failure.
     pub(super) async fn heartbeat(self: Arc<Self>, m: Arc<Mutex<Machine>>) {
         let http = HttpClient::default();
         let mut at = 0;
@@ -75,10 +77,10 @@
             let (sent, incarnation) = (Instant::now(), m.lock().incarnation);
             let body = {
                 let mut m = m.lock();
-                if m.gone {
+                if m.released {
                     return;
                 }
-                serde_json::to_vec(&report_of(&mut m)).expect("json")
+                serde_json::to_vec(&next_heartbeat(&mut m)).expect("json")
             };
             let controller = at % self.controllers.len();
             if self.unreachable.lock().contains(&controller) {
@@ -87,7 +89,7 @@
             }
             let to = self.controllers[controller].1.to_string();
             self.copy_late(&body, &to);
-            let r = http
+            let response = http
                 .call(
                     hyper::Method::POST,
                     &to,
@@ -96,23 +98,24 @@
                     Duration::from_secs(2),
                 )
                 .await;
-            match r {
-                Ok(r) if r.status == 200 => {
+            match response {
+                Ok(response) if response.status == 200 => {
                     self.reported.lock().push(body);
-                    let reply: HeartbeatResponse = serde_json::from_slice(&r.body).expect("a reply");
+                    let accepted: HeartbeatResponse =
+                        serde_json::from_slice(&response.body).expect("a response");
                     let mut m = m.lock();
-                    let late = sent.elapsed() > REPORT_PATIENCE;
-                    if reply.token < m.token || m.incarnation != incarnation || late {
+                    let late = sent.elapsed() > RESPONSE_TIMEOUT;
+                    if accepted.token < m.token || m.incarnation != incarnation || late {
                         continue;
                     }
-                    m.token = reply.token;
-                    m.renewed = m.renewed.max(sent);
-                    for c in reply.commands {
+                    m.token = accepted.token;
+                    m.lease_renewed = m.lease_renewed.max(sent);
+                    for c in accepted.commands {
                         self.execute(&mut m, c);
                     }
                 }
-                Ok(r) if r.status == 421 => {
-                    let to = serde_json::from_slice::<Redirect>(&r.body)
+                Ok(response) if response.status == 421 => {
+                    let to = serde_json::from_slice::<Redirect>(&response.body)
                         .expect("a body")
                         .report_to;
                     at = self
--- a/tests/support/cloud/machine.rs
+++ b/tests/support/cloud/machine.rs
@@ -5,10 +5,12 @@
 
 use bitternfold::wire::*;
 
+/// A task on a machine.
 pub(super) struct Task {
     pub(super) attempt: u64,
     pub(super) state: TaskState,
     pub(super) exit_reason: Option<ExitReason>,
+    /// When it completes.
     pub(super) until: Instant,
 }
 
@@ -22,31 +24,33 @@
     pub(super) sequence: u64,
     pub(super) token: u64,
     pub(super) tasks: BTreeMap<TaskId, Task>,
-    /// Its last answered report was sent then.
-    pub(super) renewed: Instant,
-    pub(super) gone: bool,
+    /// When the last heartbeat that got a response was sent; the lease runs from there.
+    pub(super) lease_renewed: Instant,
+    /// The cloud has released it; its worker has ended.
+    pub(super) released: bool,
 }
 
-pub(super) fn report_of(m: &mut Machine) -> Heartbeat {
-    m.sequence += 1;
+/// The next heartbeat of the machine's worker.
+pub(super) fn next_heartbeat(machine: &mut Machine) -> Heartbeat {
+    machine.sequence += 1;
     Heartbeat {
-        machine: m.id.clone(),
-        addr: m.addr.clone(),
+        machine: machine.id.clone(),
+        addr: machine.addr.clone(),
         machine_type: "small".into(),
-        zone: m.zone.clone(),
-        spot: m.spot,
-        incarnation: m.incarnation,
-        sequence: m.sequence,
-        token: m.token,
+        zone: machine.zone.clone(),
+        spot: machine.spot,
+        incarnation: machine.incarnation,
+        sequence: machine.sequence,
+        token: machine.token,
         reclaim_in_s: None,
-        tasks: m
+        tasks: machine
             .tasks
             .iter()
-            .map(|(t, x)| ReportedTask {
-                task: *t,
-                attempt: x.attempt,
-                state: x.state,
-                exit_reason: x.exit_reason,
+            .map(|(id, task)| ReportedTask {
+                task: *id,
+                attempt: task.attempt,
+                state: task.state,
+                exit_reason: task.exit_reason,
                 saved: None,
             })
             .collect(),
--- a/tests/support/cloud/mod.rs
+++ b/tests/support/cloud/mod.rs
@@ -1,4 +1,4 @@
-//! A cloud and its workers, with the troubles that tests ask for.
+//! A cloud and its workers, with faults that tests inject.
 
 mod commands;
 mod faults;
@@ -17,10 +17,19 @@
 use serde_json::{json, Value};
 use warp::Filter;
 
-use super::{answer, serve, Json};
+use super::{json_response, serve, Json};
 use machine::Machine;
 pub use observations::{TaskChange, TaskEvent};
 
+/// Requests with commands that are being carried out at the same time.
+#[derive(Default)]
+pub struct ConcurrentCommands {
+    /// How many are now.
+    pub now: u32,
+    /// How many have been at most.
+    pub max: u32,
+}
+
 /// A cloud whose machines are up at once and run every task for `run`.
 pub struct Cloud {
     pub controllers: Vec<(String, SocketAddr)>,
@@ -28,30 +37,34 @@
     /// Jobs whose tasks run for hours.
     slow: Mutex<BTreeSet<JobId>>,
     machines: Mutex<Vec<Arc<Mutex<Machine>>>>,
+    /// Machines that each rental request got, so that its repetition gets the same.
     requests: Mutex<HashMap<String, Vec<String>>>,
-    /// Starts of each task, and whether any ran twice at a time.
+    /// Tasks that ran on two machines at a time.
     pub doubles: Mutex<Vec<TaskId>>,
+    /// How many starts were carried out.
     pub starts: Mutex<u32>,
-    /// Commands that were carried out, reports that were answered, releases.
+    /// Batches of commands that were carried out.
     carried_out: Mutex<Vec<(MachineId, CommandBatch)>>,
+    /// Heartbeats that got a response, as they were sent.
     reported: Mutex<Vec<Vec<u8>>>,
-    /// Commands get no answer and change nothing.
+    /// Commands get 500 and change nothing.
     pub no_commands: AtomicBool,
-    /// Life of the workers' leases; none: they last for ever.
+    /// Duration of the workers' leases; `None`: they never expire.
     lease: Mutex<Option<Duration>>,
-    /// All that was started and ended.
+    /// All starts and ends of tasks.
     events: Mutex<Vec<TaskEvent>>,
-    /// Controllers that no worker reaches, and the delay of a copy of each report.
+    /// Controllers that no worker reaches.
     pub unreachable: Mutex<BTreeSet<usize>>,
+    /// The delay of a copy of each heartbeat; `None`: no copies are sent.
     pub late_copies: Mutex<Option<Duration>>,
-    /// Machines that hang: they take connections, answer nothing and report nothing.
-    hanging: Mutex<BTreeSet<MachineId>>,
-    /// Commands on their way to them.
+    /// Machines that accept connections, but send neither responses nor heartbeats.
+    hanging_machines: Mutex<BTreeSet<MachineId>>,
+    /// Requests with commands that wait for a response of these.
     hanging_commands: AtomicUsize,
-    /// Workers report nothing.
+    /// Workers send no heartbeats.
     pub mute: AtomicBool,
-    /// Commands on their way at once, at the most.
-    pub most_at_once: Mutex<(u32, u32)>,
+    /// Requests with commands that are being carried out.
+    pub concurrent_commands: Mutex<ConcurrentCommands>,
 }
 
 impl Cloud {
@@ -72,20 +85,20 @@
             events: Mutex::default(),
             unreachable: Mutex::default(),
             late_copies: Mutex::default(),
-            hanging: Mutex::default(),
+            hanging_machines: Mutex::default(),
             hanging_commands: AtomicUsize::new(0),
             mute: AtomicBool::new(false),
-            most_at_once: Mutex::default(),
+            concurrent_commands: Mutex::default(),
         })
     }
 
-    /// Starts it on a port that was bound before.
+    /// Starts it on a free port of loopback; its address.
     pub async fn start(self: &Arc<Self>) -> SocketAddr {
         let c = self.clone();
         let with = warp::any().map(move || c.clone());
         let types = warp::get()
             .and(warp::path!("machine_types"))
-            .map(|| answer((200, json!({"rigs": crate::support::types()}))));
+            .map(|| json_response((200, json!({"rigs": crate::support::types()}))));
         let list = warp::get()
             .and(warp::path!("hosts"))
             .and(with.clone())
@@ -95,19 +108,19 @@
                     .lock()
                     .iter()
                     .map(|m| m.lock())
-                    .filter(|m| !m.gone)
+                    .filter(|m| !m.released)
                     .map(|m| {
                         json!({"name_id": m.id, "endpoint": m.addr, "rig": "small", "yard": m.zone,
                            "loaners": m.spot, "standing": "running", "age_s": 1.0})
                     })
                     .collect();
-                answer((200, json!({"racks": all, "has_next": false})))
+                json_response((200, json!({"racks": all, "has_next": false})))
             });
         let rent = warp::post()
             .and(warp::path!("hosts"))
             .and(warp::body::json())
             .and(with.clone())
-            .then(|r: RentalRequest, c: Arc<Cloud>| async move { answer(c.rent(r).await) });
+            .then(|r: RentalRequest, c: Arc<Cloud>| async move { json_response(c.rent(r).await) });
         let release = warp::post()
             .and(warp::path!("hosts" / "release"))
             .and(warp::body::json())
@@ -115,12 +128,12 @@
             .map(|r: MachineNames, c: Arc<Cloud>| {
                 for m in c.machines.lock().iter() {
                     let mut m = m.lock();
-                    if r.machines.contains(&m.id) && !m.gone {
-                        m.gone = true;
+                    if r.machines.contains(&m.id) && !m.released {
+                        m.released = true;
                         c.end_all(&mut m);
                     }
                 }
-                answer((200, json!({})))
+                json_response((200, json!({})))
             });
         serve(types.or(list).or(rent).or(release)).await
     }
--- a/tests/support/cloud/observations.rs
+++ b/tests/support/cloud/observations.rs
@@ -1,4 +1,4 @@
-//! What tests may learn of the cloud: its machines, and all that started and ended there.
+//! What tests may read of the cloud: its machines, and the starts and ends of tasks.
 
 use std::sync::atomic::Ordering;
 use std::time::Instant;
@@ -8,7 +8,7 @@
 use super::machine::Machine;
 use super::Cloud;
 
-/// Something that a machine did.
+/// A change of a task on a machine.
 #[derive(Debug, Clone)]
 pub struct TaskEvent {
     pub at: Instant,
@@ -22,19 +22,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskChange {
     Started,
-    /// It is there no more; whether it had completed.
+    /// It is on the machine no longer; `done` says whether it had completed.
     Ended {
         done: bool,
     },
 }
 
 impl Cloud {
-    /// Reports that were answered, oldest first.
+    /// Heartbeats that got a response, oldest first.
     pub fn reported(&self) -> Vec<Vec<u8>> {
         self.reported.lock().clone()
     }
 
-    /// How many commands wait for an answer of a machine that hangs.
+    /// How many requests with commands wait for a response of a machine that hangs.
     pub fn hanging_commands(&self) -> usize {
         self.hanging_commands.load(Ordering::Relaxed)
     }
@@ -49,33 +49,33 @@
             .count()
     }
 
-    /// Machines on which no task is.
+    /// Machines without tasks.
     pub fn empty_machines(&self) -> Vec<String> {
         let all = self.machines.lock();
         let empty = all
             .iter()
             .map(|m| m.lock())
-            .filter(|m| !m.gone && m.tasks.is_empty());
+            .filter(|m| !m.released && m.tasks.is_empty());
         empty.map(|m| m.id.to_string()).collect()
     }
 
     /// How many tasks run.
     pub fn running(&self) -> usize {
         let all = self.machines.lock();
-        let there = all.iter().map(|m| m.lock()).filter(|m| !m.gone);
-        there
+        let present = all.iter().map(|m| m.lock()).filter(|m| !m.released);
+        present
             .map(|m| m.tasks.values().filter(|t| t.state == TaskState::Running).count())
             .sum()
     }
 
-    /// The machines that are there.
+    /// The machines that have not been released.
     pub fn names(&self) -> Vec<String> {
         let all = self.machines.lock();
-        let there = all.iter().map(|m| m.lock()).filter(|m| !m.gone);
-        there.map(|m| m.id.to_string()).collect()
+        let present = all.iter().map(|m| m.lock()).filter(|m| !m.released);
+        present.map(|m| m.id.to_string()).collect()
     }
 
-    /// All that was started and ended, in the order of time.
+    /// All starts and ends of tasks, in the order of time.
     pub fn events(&self) -> Vec<TaskEvent> {
         self.events.lock().clone()
     }
--- a/tests/support/site.rs
+++ b/tests/support/site.rs
@@ -11,7 +11,7 @@
 use serde_json::{json, Value};
 use tokio::time::sleep;
 
-use crate::standins::{ask, Cloud, State};
+use crate::standins::{send_request, Cloud, State};
 use crate::support;
 
 /// A bound is far above what anything here takes; reaching it is a failure.
@@ -182,7 +182,7 @@
     pub async fn insist(&self, method: &str, at: usize, path: &str, body: Option<Value>) -> (u16, Value) {
         let began = Instant::now();
         loop {
-            let r = ask(method, self.api[at], path, body.clone()).await;
+            let r = send_request(method, self.api[at], path, body.clone()).await;
             if r.0 != 503 && r.0 != 0 {
                 return r;
             }
--- a/tests/support/standins.rs
+++ b/tests/support/standins.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for the outside, by their protocols, on loopback: a state service
-//! ([`State`]), and a cloud with its workers ([`Cloud`]).
+//! Stand-ins for the external services, speaking their protocols on loopback: a state
+//! service ([`State`]), and a cloud with its workers ([`Cloud`]).
 #![allow(dead_code)]
 
 pub mod cloud;
-mod state_service;
+pub mod state_service;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,10 +17,10 @@
 pub use cloud::Cloud;
 pub use state_service::State;
 
-/// A status and a body.
+/// The status and body of a response.
 type Json = (u16, Value);
 
-fn answer((status, body): Json) -> impl warp::Reply {
+fn json_response((status, body): Json) -> impl warp::Reply {
     warp::reply::with_status(
         warp::reply::json(&body),
         warp::http::StatusCode::from_u16(status).expect("a status"),
@@ -38,8 +38,8 @@
     addr
 }
 
-/// A user's request: status, Retry-After, body.
-pub async fn ask(method: &str, addr: SocketAddr, path: &str, body: Option<Value>) -> (u16, Value) {
+/// Sends a user's request; the status and the body, or 0 and null without a response.
+pub async fn send_request(method: &str, addr: SocketAddr, path: &str, body: Option<Value>) -> (u16, Value) {
     let http = HttpClient::default();
     let method = hyper::Method::from_bytes(method.as_bytes()).expect("a method");
     let body = body.map(|b| Bytes::from(b.to_string()).to_vec());
--- a/tests/support/state_service/faults.rs
+++ b/tests/support/state_service/faults.rs
@@ -1,18 +1,18 @@
-//! The troubles that tests ask the state service for.
+//! The faults of the state service that tests inject.
 
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
 use serde_json::Value;
 
-use super::State;
+use super::{LateWrites, State};
 
 impl State {
-    /// Makes it refuse everything, or serve again with all holds renewed.
+    /// Makes it refuse everything, or serve again with all leases renewed.
     pub fn outage(&self, down: bool) {
         let mut d = self.0.lock();
         d.down = down;
         let now = Instant::now();
-        d.holds.values_mut().for_each(|h| h.1 = now + h.0);
+        d.leases.values_mut().for_each(|h| h.1 = now + h.0);
     }
 
     /// From now on larger values and transactions get 400.
@@ -25,7 +25,7 @@
         self.0.lock().refuse_for_rate = transactions;
     }
 
-    /// Refuses one controller alone, or serves it again.
+    /// Refuses one controller while others are served, or serves it again.
     pub fn refuse(&self, who: usize, refused: bool) {
         let mut d = self.0.lock();
         if refused {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Writes a key past all controllers.
+    /// Writes a key that no controller has written.
     pub fn plant(&self, key: &str, value: Value) {
         let mut d = self.0.lock();
         d.revision += 1;
@@ -45,14 +45,14 @@
 
     /// Ends every lease: whoever leads is deposed.
     pub fn end_leases(&self) {
-        let ids: Vec<u64> = self.0.lock().holds.keys().copied().collect();
+        let ids: Vec<u64> = self.0.lock().leases.keys().copied().collect();
         for id in ids {
-            self.end(id);
+            self.end_lease(id);
         }
     }
 
-    /// From now on each so-manyth transaction is carried out so late, unanswered.
-    pub fn late_writes(&self, late: Option<(u64, Duration)>) {
+    /// From now on some transactions are carried out late and get no response.
+    pub fn late_writes(&self, late: Option<LateWrites>) {
         self.0.lock().late = late;
     }
 
--- a/tests/support/state_service/mod.rs
+++ b/tests/support/state_service/mod.rs
@@ -1,4 +1,4 @@
-//! A state service in memory, with the troubles that tests ask for.
+//! A state service in memory, with faults that tests inject.
 
 mod data;
 mod faults;
@@ -14,15 +14,16 @@
 use serde_json::{json, Value};
 use warp::Filter;
 
-use super::{answer, serve};
+use super::{json_response, serve};
 use data::Data;
+pub use data::{LateOutcomes, LateWrites};
 
 /// A state service in memory.
 #[derive(Default)]
 pub struct State(Mutex<Data>);
 
 impl State {
-    /// Starts it for one controller; the address that this one is given.
+    /// Starts an endpoint for one controller; its address.
     pub async fn start(self: &Arc<Self>, who: usize) -> SocketAddr {
         let s = self.clone();
         let gate = warp::any()
@@ -44,37 +45,42 @@
             .and(warp::path!("kv"))
             .and(query)
             .and(with.clone())
-            .map(|q: HashMap<String, String>, s: Arc<State>| answer(s.list(&q)));
+            .map(|q: HashMap<String, String>, s: Arc<State>| json_response(s.list(&q)));
         let get = warp::get()
             .and(warp::path("kv"))
             .and(warp::path::tail())
             .and(with.clone())
-            .map(|t: warp::path::Tail, s: Arc<State>| answer(s.get(t.as_str())));
+            .map(|t: warp::path::Tail, s: Arc<State>| json_response(s.get(t.as_str())));
         let multi = warp::post()
             .and(warp::path!("multi"))
             .and(warp::body::json())
             .and(with.clone())
-            .then(|t: Transaction, s: Arc<State>| async move { answer(s.multi_or_late(&t).await) });
-        let hold = warp::post()
+            .then(|t: Transaction, s: Arc<State>| async move { json_response(s.multi_or_late(&t).await) });
+        let grant_lease = warp::post()
             .and(warp::path!("holds"))
             .and(warp::body::json())
             .and(with.clone())
-            .map(|b: Value, s: Arc<State>| answer(s.hold(b["life_ms"].as_u64().unwrap_or(0))));
-        let touch = warp::post()
+            .map(|b: Value, s: Arc<State>| json_response(s.grant_lease(b["life_ms"].as_u64().unwrap_or(0))));
+        let renew_lease = warp::post()
             .and(warp::path!("holds" / u64 / "touch"))
             .and(with.clone())
-            .map(|id, s: Arc<State>| answer(s.touch(id)));
-        let end = warp::delete()
+            .map(|id, s: Arc<State>| json_response(s.renew_lease(id)));
+        let end_lease = warp::delete()
             .and(warp::path!("holds" / u64))
             .and(with.clone())
-            .map(|id, s: Arc<State>| answer(s.end(id)));
-        let watch = warp::get()
-            .and(warp::path!("watch"))
-            .and(query)
-            .and(with)
-            .then(|q: HashMap<String, String>, s: Arc<State>| async move { answer(s.watch(&q).await) });
-        let routes = list.or(get).or(multi).or(hold).or(touch).or(end).or(watch);
-        let refusal = |_| async { Ok::<_, warp::Rejection>(answer((503, json!({"error": "trouble"})))) };
+            .map(|id, s: Arc<State>| json_response(s.end_lease(id)));
+        let watch = warp::get().and(warp::path!("watch")).and(query).and(with).then(
+            |q: HashMap<String, String>, s: Arc<State>| async move { json_response(s.watch(&q).await) },
+        );
+        let routes = list
+            .or(get)
+            .or(multi)
+            .or(grant_lease)
+            .or(renew_lease)
+            .or(end_lease)
+            .or(watch);
+        let refusal =
+            |_| async { Ok::<_, warp::Rejection>(json_response((503, json!({"error": "trouble"})))) };
         serve(gate.and(routes).recover(refusal)).await
     }
 }
--- a/tests/support/state_service/observations.rs
+++ b/tests/support/state_service/observations.rs
@@ -1,11 +1,11 @@
-//! What tests may learn of the state service.
+//! What tests may read of the state service.
 
 use std::collections::BTreeMap;
 
 use bitternfold::wire::*;
 use serde_json::Value;
 
-use super::State;
+use super::{LateOutcomes, State};
 
 impl State {
     /// Transactions that were refused for their size.
@@ -64,13 +64,13 @@
     }
 
     /// Keys and their revisions.
-    pub fn stamps(&self) -> BTreeMap<String, u64> {
+    pub fn revisions(&self) -> BTreeMap<String, u64> {
         let d = self.0.lock();
         d.keys.iter().map(|(k, v)| (k.clone(), v.1)).collect()
     }
 
-    /// How many late transactions failed by their conditions, and how many were carried out.
-    pub fn late_outcomes(&self) -> (u32, u32) {
+    /// What became of the late transactions so far.
+    pub fn late_outcomes(&self) -> LateOutcomes {
         self.0.lock().late_outcomes
     }
 }
--- a/tests/support/state_service/requests.rs
+++ b/tests/support/state_service/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of the protocol and what each is answered.
+//! The requests of the protocol and their responses.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use super::super::Json;
-use super::data::Data;
+use super::data::{Data, LateWrites};
 use super::State;
 
 impl State {
@@ -22,13 +22,13 @@
             return (503, json!({"error": "trouble"}));
         }
         let now = Instant::now();
-        let over: Vec<u64> = d
-            .holds
+        let expired: Vec<u64> = d
+            .leases
             .iter()
             .filter(|(_, h)| h.1 < now)
             .map(|(i, _)| *i)
             .collect();
-        over.into_iter().for_each(|id| d.end(id));
+        expired.into_iter().for_each(|id| d.end_lease(id));
         let (status, body) = f(&mut d);
         (status, body.into())
     }
@@ -87,7 +87,7 @@
             }
             for c in &t.changes {
                 if let Change::Put { lease: Some(l), .. } = c {
-                    if !d.holds.contains_key(l) {
+                    if !d.leases.contains_key(l) {
                         return (400, json!({"error": "no such lease"}));
                     }
                 }
@@ -114,37 +114,37 @@
     pub(super) async fn multi_or_late(self: &Arc<Self>, t: &Transaction) -> Json {
         let late = {
             let mut d = self.0.lock();
-            d.came += u64::from(d.late.is_some());
-            let came = d.came;
-            d.late.filter(|l| came.is_multiple_of(l.0))
+            d.arrived += u64::from(d.late.is_some());
+            let arrived = d.arrived;
+            d.late.filter(|late| arrived.is_multiple_of(late.every))
         };
-        let Some((_, late)) = late else {
+        let Some(LateWrites { delay, .. }) = late else {
             return self.multi(t);
         };
         let (s, t) = (self.clone(), t.clone());
         // Carried out whether its sender still waits or not.
         tokio::spawn(async move {
-            sleep(late).await;
+            sleep(delay).await;
             let status = s.multi(&t).0;
             let mut d = s.0.lock();
-            d.late_outcomes.0 += u32::from(status != 200);
-            d.late_outcomes.1 += u32::from(status == 200);
+            d.late_outcomes.failed += u32::from(status != 200);
+            d.late_outcomes.applied += u32::from(status == 200);
         });
         sleep(Duration::from_secs(30)).await;
         (500, json!({}))
     }
 
-    pub(super) fn hold(&self, ms: u64) -> Json {
+    pub(super) fn grant_lease(&self, ms: u64) -> Json {
         self.with(|d| {
-            d.next_hold += 1;
+            d.next_lease += 1;
             let life = Duration::from_millis(ms);
-            d.holds.insert(d.next_hold, (life, Instant::now() + life));
-            (200, json!({"tenancy": d.next_hold}))
+            d.leases.insert(d.next_lease, (life, Instant::now() + life));
+            (200, json!({"tenancy": d.next_lease}))
         })
     }
 
-    pub(super) fn touch(&self, id: u64) -> Json {
-        self.with(|d| match d.holds.get_mut(&id) {
+    pub(super) fn renew_lease(&self, id: u64) -> Json {
+        self.with(|d| match d.leases.get_mut(&id) {
             Some(h) => {
                 h.1 = Instant::now() + h.0;
                 (200, json!({}))
@@ -153,9 +153,9 @@
         })
     }
 
-    pub(super) fn end(&self, id: u64) -> Json {
+    pub(super) fn end_lease(&self, id: u64) -> Json {
         self.with(|d| {
-            d.end(id);
+            d.end_lease(id);
             (200, json!({}))
         })
     }
