--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -1,6 +1,6 @@
-//! Jobs that wait for others, through the real endpoints: what is accepted at
-//! every controller, with the leader there and away, and what is told after
-//! cancellations and changes of leaders.
+//! Jobs that depend on others, through the real endpoints: what each controller accepts,
+//! with and without a leader, and which states it reports after cancellations and
+//! changes of leaders.
 
 #[path = "support/site.rs"]
 mod site;
@@ -20,16 +20,27 @@
     assert!([200, 201].contains(&status), "at {at}: {status} {v}");
 }
 
-/// Every answer to a submission that names others, at one controller, for jobs
-/// numbered from `first` on. Job 1 is done, 2 cancelled, 3 a service, and 4 waits
-/// for 5, which runs for hours.
-async fn check_acceptance(site: &Site, at: usize, first: u32) {
-    let with = |awaits: Value| {
-        let mut v = site.job(first, 1);
-        v["awaits"] = awaits;
-        v
-    };
-    let wrong = [
+/// A submission of a job with this value of `awaits`, well-formed or not.
+fn submission(site: &Site, n: u32, awaits: Value) -> Value {
+    let mut body = site.job(n, 1);
+    body["awaits"] = awaits;
+    body
+}
+
+/// Submits a job and checks the status, and that the reason contains a text.
+async fn check_refusal(site: &Site, at: usize, n: u32, awaits: Value, status: u16, reason: &str) {
+    let body = submission(site, n, awaits.clone());
+    let (actual, v) = site.insist("POST", at, "/v2/runs", Some(body)).await;
+    let error = v["error"].as_str().unwrap_or_default().to_owned();
+    assert!(
+        actual == status && error.contains(reason),
+        "{awaits} at {at}: {actual} {v}"
+    );
+}
+
+/// Submissions of job `first` that are refused: malformed (400) and impossible (422).
+async fn check_refusals(site: &Site, at: usize, first: u32) {
+    let malformed = [
         json!(5),
         json!("job-000001"),
         json!([5]),
@@ -37,15 +48,8 @@
         json!(["job-"]),
         json!({"a": 1}),
     ];
-    for awaits in wrong {
-        let (status, v) = site
-            .insist("POST", at, "/v2/runs", Some(with(awaits.clone())))
-            .await;
-        let reason = v["error"].as_str().unwrap_or_default().to_owned();
-        assert!(
-            status == 400 && reason.contains("awaits"),
-            "{awaits} at {at}: {status} {v}"
-        );
+    for awaits in malformed {
+        check_refusal(site, at, first, awaits, 400, "awaits").await;
     }
     let impossible = [
         (json!([job_name(999_999)]), "never accepted"),
@@ -53,15 +57,8 @@
         (json!([job_name(first)]), "itself"),
         (json!([job_name(3)]), "service"),
     ];
-    for (awaits, expected) in impossible {
-        let (status, v) = site
-            .insist("POST", at, "/v2/runs", Some(with(awaits.clone())))
-            .await;
-        let reason = v["error"].as_str().unwrap_or_default().to_owned();
-        assert!(
-            status == 422 && reason.contains(expected),
-            "{awaits} at {at}: {status} {v}"
-        );
+    for (awaits, reason) in impossible {
+        check_refusal(site, at, first, awaits, 422, reason).await;
     }
     let path = format!("/v2/runs/{}", job_name(first));
     assert_eq!(
@@ -70,18 +67,23 @@
         "nothing was stored"
     );
     assert!(!site.state.has(&format!("jobs/{}", job_name(first))));
-    // Absent, null and empty are alike; what is done holds nobody up.
+}
+
+/// Checks every response to a submission that names others, at one controller, for jobs
+/// numbered from `first` on. Job 1 is done, 2 cancelled, 3 a service, and 4 waits
+/// for 5, which runs for hours.
+async fn check_acceptance(site: &Site, at: usize, first: u32) {
+    check_refusals(site, at, first).await;
+    // Absent, null and empty are the same; a dependency that is done delays nothing.
     for (n, awaits) in [
         (0, json!(null)),
         (1, json!([])),
         (2, json!([job_name(1), job_name(1)])),
     ] {
-        let mut body = site.job(first + n, 1);
-        body["awaits"] = awaits;
-        accept(site, at, body).await;
+        accept(site, at, submission(site, first + n, awaits)).await;
         site.until(at, &job_name(first + n), "done").await;
     }
-    // What is cancelled, also through others accepted at another controller.
+    // Cancelled dependencies, also indirect ones accepted at another controller.
     let other = (0..3).find(|o| *o != at && site.is_up(*o)).unwrap_or(at);
     accept(site, at, site.job_awaiting(first + 3, 1, &[2])).await;
     accept(site, other, site.job_awaiting(first + 4, 1, &[1, first + 3])).await;
@@ -89,7 +91,7 @@
         let v = site.until(at, &job_name(first + n), "cancelled").await;
         assert_eq!(v["done"], 0);
     }
-    // Of a job that waits for one that runs.
+    // A dependency that waits for a running job.
     accept(site, at, site.job_awaiting(first + 5, 1, &[4, 5])).await;
     let path = format!("/v2/runs/{}", job_name(first + 5));
     let (_, v) = site.insist("GET", other, &path, None).await;
@@ -127,15 +129,15 @@
         for at in 0..3 {
             check_acceptance(&site, at, 100 * (at as u32 + 1)).await;
         }
-        // The leader is gone: the others judge by what is stored.
-        let gone = site.leader().expect("a leader");
-        site.kill(gone);
-        for at in (0..3).filter(|at| *at != gone) {
+        // Without a leader, the others decide by what is stored.
+        let killed = site.leader().expect("a leader");
+        site.kill(killed);
+        for at in (0..3).filter(|at| *at != killed) {
             check_acceptance(&site, at, 1000 * (at as u32 + 1)).await;
         }
         // Nothing can be known: 503 at once.
         site.state.outage(true);
-        let at = (gone + 1) % 3;
+        let at = (killed + 1) % 3;
         let began = Instant::now();
         let (status, _) = send_request(
             "POST",
@@ -149,6 +151,21 @@
     });
 }
 
+/// Checks that all controllers that run report these jobs cancelled.
+async fn check_all_cancelled(site: &Site, jobs: std::ops::Range<u32>) {
+    for at in (0..3).filter(|at| site.is_up(*at)) {
+        for n in jobs.clone() {
+            let path = format!("/v2/runs/{}", job_name(n));
+            let (status, v) = site.insist("GET", at, &path, None).await;
+            assert_eq!(
+                (status, &v["standing"]),
+                (200, &json!("cancelled")),
+                "{n} at {at}"
+            );
+        }
+    }
+}
+
 #[test]
 fn a_cancellation_is_reported_for_all_dependent_jobs_at_every_controller() {
     on_loopback(async {
@@ -169,20 +186,7 @@
         let path = format!("/v2/runs/{}/cancel", job_name(1));
         let (_, v) = site.insist("POST", follower, &path, None).await;
         assert_eq!(v["standing"], "cancelled");
-        let all_cancelled = async |site: &Site, jobs: std::ops::Range<u32>| {
-            for at in (0..3).filter(|at| site.is_up(*at)) {
-                for n in jobs.clone() {
-                    let path = format!("/v2/runs/{}", job_name(n));
-                    let (status, v) = site.insist("GET", at, &path, None).await;
-                    assert_eq!(
-                        (status, &v["standing"]),
-                        (200, &json!("cancelled")),
-                        "{n} at {at}"
-                    );
-                }
-            }
-        };
-        all_cancelled(&site, 1..6).await;
+        check_all_cancelled(&site, 1..6).await;
         // Records that no leader has touched since: the first is cancelled, those
         // after it are not yet.
         for n in 51..55 {
@@ -195,13 +199,13 @@
             let record = json!({"spec": spec, "at": 0, "cancelled": n == 51});
             site.state.plant(&format!("jobs/{}", job_name(n)), record);
         }
-        all_cancelled(&site, 52..55).await;
-        // Another leads, which knows no more than what is stored.
+        check_all_cancelled(&site, 52..55).await;
+        // The next leader knows only what is stored.
         site.kill(site.leader().expect("a leader"));
         site.state.end_leases();
-        all_cancelled(&site, 1..6).await;
-        all_cancelled(&site, 51..55).await;
-        // To cancel one of them is answered alike, and all ends are stored.
+        check_all_cancelled(&site, 1..6).await;
+        check_all_cancelled(&site, 51..55).await;
+        // A cancellation of one of them says the same, and all final states are stored.
         let up = (0..3).find(|at| site.is_up(*at)).expect("one is up");
         let path = format!("/v2/runs/{}/cancel", job_name(54));
         assert_eq!(
@@ -227,7 +231,7 @@
             let before: Vec<u32> = (n.saturating_sub(2).max(1)..n).collect();
             accept(&site, n as usize % 3, site.job_awaiting(n, 1, &before)).await;
         }
-        let standing = async |site: &Site, at: usize, n: u32| -> String {
+        let state_of = async |site: &Site, at: usize, n: u32| -> String {
             let (_, v) = site
                 .insist("GET", at, &format!("/v2/runs/{}", job_name(n)), None)
                 .await;
@@ -239,9 +243,9 @@
             let up = (0..3).find(|at| site.is_up(*at)).expect("one is up");
             let mut done = 0;
             for n in 2..=JOBS {
-                // The later one is asked first: what it needs is done before.
-                let later = standing(&site, up, n).await;
-                let earlier = standing(&site, up, n - 1).await;
+                // The later one is read first: what it depends on is done before.
+                let later = state_of(&site, up, n).await;
+                let earlier = state_of(&site, up, n - 1).await;
                 if later != "queued" {
                     assert_eq!(earlier, "done", "job {n} is {later}");
                 }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -105,7 +105,7 @@
     assert!(replay.released_machines.contains("i-000007"));
 }
 
-/// Everything of a replay that counts, whatever stands twice in the log.
+/// A log with the large segments of the fixture, and these by their numbers.
 fn loaded_large_segments(value_bytes: usize) -> (WriteAheadLog, BTreeMap<u64, Value>) {
     let mut log = WriteAheadLog::new(value_bytes);
     let mut stored = BTreeMap::new();
@@ -117,6 +117,7 @@
     (log, stored)
 }
 
+/// The replay of stored segments.
 fn replay_of(stored: &BTreeMap<u64, Value>) -> LogReplay {
     let mut log = WriteAheadLog::new(4096);
     for (number, value) in stored {
@@ -130,7 +131,7 @@
     // A compaction that moved a whole segment at once would pass the limits on
     // values and transactions as soon as these are lowered.
     const VALUE: usize = 2048;
-    for most in [2, 4, 5] {
+    for max_changes in [2, 4, 5] {
         let (mut log, mut stored) = loaded_large_segments(VALUE);
         let before = replay_of(&stored);
         let largest = stored.values().map(|v| v.to_string().len()).max();
@@ -139,16 +140,25 @@
             "the fixture is as large as production writes it"
         );
         let mut appends = 0;
-        // Some churn makes the log long enough for compactions.
+        // Further entries make the log long enough for compactions.
         while stored.contains_key(&1) || stored.contains_key(&2) {
             appends += 1;
-            assert!(appends < 500, "segments are never rewritten with {most} changes");
+            assert!(
+                appends < 500,
+                "segments are never rewritten with {max_changes} changes"
+            );
             for _ in 0..40 {
                 log.push(LogEntry::Released(format!("i-9{appends:05}").as_str().into()));
             }
             let live = |e: &LogEntry| (!matches!(e, LogEntry::Released(_))).then(|| e.clone());
-            let append = log.take_append(most, 0, live).expect("something is pending");
-            assert!(append.segments.len() <= most, "{} changes", append.segments.len());
+            let append = log
+                .take_append(max_changes, 0, live)
+                .expect("something is pending");
+            assert!(
+                append.segments.len() <= max_changes,
+                "{} changes",
+                append.segments.len()
+            );
             for (number, value) in &append.segments {
                 match value {
                     Some(value) => {
@@ -193,7 +203,7 @@
     assert!(append.segments.contains(&(1, None)), "the oldest is compacted");
     let written = format!("{:?}", append.segments);
     assert!(written.contains("later"), "the entry is lost: {written}");
-    // What such an entry names would be in doubt.
+    // It would be unclear what such an entry names.
     assert!(!WriteAheadLog::new(4096).load(1, json!([{ "s": ["i-000231"] }])));
     assert!(!WriteAheadLog::new(4096).load(1, json!(["s"])));
 }
@@ -221,7 +231,7 @@
         assert_eq!(written, sent, "{frame:?}");
         count += 1;
     }
-    assert_eq!(count, 9, "every kind of frame and question");
+    assert_eq!(count, 9, "every kind of frame and request");
 }
 
 #[test]
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -28,7 +28,7 @@
     "stow_s",
 ];
 
-fn good() -> Map<String, Value> {
+fn valid() -> Map<String, Value> {
     let v = json!({"name_id": "job-000007", "lot_class": "plain", "desk": "blue", "sort": "batch",
         "urgency": "standard", "lots": 3, "cpus": 2.0, "accelerators": 0.0, "memory_gb": 4.0, "kit": "img",
         "size_gb": 1.0, "rigs": null, "yard": null, "one_zone": false, "spread": false, "loaners": true,
@@ -38,7 +38,7 @@
 
 /// Every way in which a field is malformed: its name, and its value if it has one.
 fn malformed() -> Vec<(&'static str, Option<Value>)> {
-    let mut out = Vec::new();
+    let mut fields = Vec::new();
     let wrong = [json!(null), json!([]), json!({"a": 1})];
     let required = TEXTS
         .iter()
@@ -46,39 +46,39 @@
         .chain(&AMOUNTS)
         .chain(&["cpus", "lots"]);
     for name in required {
-        out.push((*name, None));
-        out.extend(wrong.iter().map(|v| (*name, Some(v.clone()))));
+        fields.push((*name, None));
+        fields.extend(wrong.iter().map(|v| (*name, Some(v.clone()))));
     }
     for name in TEXTS {
-        out.extend([json!(7), json!(true), json!("")].map(|v| (name, Some(v))));
+        fields.extend([json!(7), json!(true), json!("")].map(|v| (name, Some(v))));
     }
     for name in FLAGS {
-        out.extend([json!("yes"), json!(1)].map(|v| (name, Some(v))));
+        fields.extend([json!("yes"), json!(1)].map(|v| (name, Some(v))));
     }
     for name in AMOUNTS.iter().chain(&["cpus"]) {
-        out.extend([json!("4"), json!(true), json!(-0.5), json!(1e300)].map(|v| (*name, Some(v))));
+        fields.extend([json!("4"), json!(true), json!(-0.5), json!(1e300)].map(|v| (*name, Some(v))));
     }
     for v in [json!(0), json!(-1), json!(1.5), json!(100_001), json!(1u64 << 40)] {
-        out.push(("lots", Some(v)));
+        fields.push(("lots", Some(v)));
     }
-    out.push(("cpus", Some(json!(0.0))));
+    fields.push(("cpus", Some(json!(0.0))));
     for v in [json!(-1.0), json!("soon"), json!(1e300)] {
-        out.push(("due_s", Some(v)));
+        fields.push(("due_s", Some(v)));
     }
     for v in [json!(5), json!([]), json!([1]), json!([""])] {
-        out.push(("rigs", Some(v)));
+        fields.push(("rigs", Some(v)));
     }
     for v in [json!(5), json!("")] {
-        out.push(("yard", Some(v)));
+        fields.push(("yard", Some(v)));
     }
     for id in ["job-", "job-12a", "other-1", "job--1"] {
-        out.push(("name_id", Some(json!(id))));
+        fields.push(("name_id", Some(json!(id))));
     }
-    out
+    fields
 }
 
 fn with(name: &str, value: Option<Value>) -> Value {
-    let mut v = good();
+    let mut v = valid();
     match value {
         Some(value) => v.insert(name.to_owned(), value),
         None => v.remove(name),
@@ -86,10 +86,10 @@
     Value::Object(v)
 }
 
-/// What can never run, taken all restrictions together.
+/// Submissions of jobs that can never run under all their restrictions together.
 fn impossible() -> Vec<Value> {
     let set = |changes: Value| {
-        let mut v = good();
+        let mut v = valid();
         v.extend(changes.as_object().expect("an object").clone());
         Value::Object(v)
     };
@@ -113,24 +113,24 @@
     let controller = Controller::new(support::deployment(), Default::default());
     let types = support::types();
     assert!(controller
-        .parse_submission(&serde_json::to_vec(&good()).expect("json"), &types)
+        .parse_submission(&serde_json::to_vec(&valid()).expect("json"), &types)
         .is_ok());
     for (name, value) in malformed() {
         let body = with(name, value.clone()).to_string();
-        let reply = ApiResponse::from(
+        let response = ApiResponse::from(
             controller
                 .parse_submission(body.as_bytes(), &types)
                 .expect_err("refused"),
         );
-        assert_eq!(reply.status, 400, "{name} {value:?}");
-        let said = String::from_utf8_lossy(&reply.body).into_owned();
-        assert!(said.contains(name), "{name} {value:?}: {said}");
+        assert_eq!(response.status, 400, "{name} {value:?}");
+        let error = String::from_utf8_lossy(&response.body).into_owned();
+        assert!(error.contains(name), "{name} {value:?}: {error}");
     }
-    // The values alone, in the order in which they would be read without their names.
+    // The values without their names, in the order of the fields.
     let order = "name_id lot_class desk sort urgency lots cpus accelerators memory_gb kit size_gb rigs yard \
                  one_zone spread loaners expected_s tally_s stow_s due_s";
-    let list: Vec<Value> = order.split_whitespace().map(|k| good()[k].clone()).collect();
-    assert_eq!(list.len(), good().len());
+    let list: Vec<Value> = order.split_whitespace().map(|k| valid()[k].clone()).collect();
+    assert_eq!(list.len(), valid().len());
     for body in [
         "",
         "7",
@@ -157,13 +157,13 @@
         );
     }
     for body in impossible() {
-        let reply = ApiResponse::from(
+        let response = ApiResponse::from(
             controller
                 .parse_submission(body.to_string().as_bytes(), &types)
                 .expect_err("refused"),
         );
-        assert_eq!(reply.status, 422, "{body}");
-        assert!(reply.body.len() > 12, "with a reason");
+        assert_eq!(response.status, 422, "{body}");
+        assert!(response.body.len() > 12, "with a reason");
     }
 }
 
@@ -180,7 +180,7 @@
         red in any::<bool>(),
         rig in prop_oneof![Just(json!(null)), Just(json!(["small"])), Just(json!(["small", "large"]))],
     ) {
-        let mut v = good();
+        let mut v = valid();
         v.insert("cpus".into(), json!(cpus));
         v.insert("memory_gb".into(), json!(memory));
         v.insert("lots".into(), json!(lots));
@@ -189,12 +189,12 @@
         let only_small = rig == json!(["small"]);
         v.insert("rigs".into(), rig);
         let controller = Controller::new(support::deployment(), Default::default());
-        let judged = controller.parse_submission(Value::Object(v).to_string().as_bytes(), &support::types());
+        let parsed = controller.parse_submission(Value::Object(v).to_string().as_bytes(), &support::types());
         let sane = cpus.is_finite() && cpus > 0.0 && memory.is_finite() && memory >= 0.0 && (1..=100_000).contains(&lots);
-        let (most_cpus, most_memory) = if only_small { (8.0, 16.0) } else { (32.0, 64.0) };
+        let (max_cpus, max_memory) = if only_small { (8.0, 16.0) } else { (32.0, 64.0) };
         let all = if service { lots as f64 } else { 1.0 };
-        let fits = cpus <= most_cpus && memory <= most_memory && (!red || cpus * all <= 40.0);
-        match judged.map_err(ApiResponse::from) {
+        let fits = cpus <= max_cpus && memory <= max_memory && (!red || cpus * all <= 40.0);
+        match parsed.map_err(ApiResponse::from) {
             Ok(spec) => prop_assert!(sane && fits, "{spec:?}"),
             Err(r) if r.status == 400 => prop_assert!(!sane || cpus > 1e9 || memory > 1e9),
             Err(r) => prop_assert!(r.status == 422 && sane && !fits, "{}", r.status),
@@ -241,17 +241,17 @@
         for at in 0..3 {
             check(&site, at).await;
         }
-        // The leader is gone: the others judge by what is stored.
-        let gone = site.leader().expect("a leader");
-        site.kill(gone);
-        check(&site, (gone + 1) % 3).await;
+        // Without a leader, the others decide by what is stored.
+        let killed = site.leader().expect("a leader");
+        site.kill(killed);
+        check(&site, (killed + 1) % 3).await;
         // Nothing can be known: 503 at once.
         site.state.outage(true);
         let (status, _) = send_request(
             "POST",
-            site.api[(gone + 1) % 3],
+            site.api[(killed + 1) % 3],
             "/v2/runs",
-            Some(Value::Object(good())),
+            Some(Value::Object(valid())),
         )
         .await;
         assert_eq!(status, 503);
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -19,7 +19,9 @@
 use standins::state_service::LateWrites;
 use tokio::time::sleep;
 
-const NEXT: &str = "\n[cluster.state.next]\nwrite_rps = 60.0\nvalue_kb = 2.0\ntxn_ops = 4\n\n[cluster.cloud]";
+/// Settings that announce lower limits.
+const ANNOUNCED_LIMITS: &str =
+    "\n[cluster.state.next]\nwrite_rps = 60.0\nvalue_kb = 2.0\ntxn_ops = 4\n\n[cluster.cloud]";
 
 /// Tasks of each array, so many that the log fills segments as large as it may.
 const TASKS: u32 = 300;
@@ -35,8 +37,8 @@
         if n > 1 {
             body["awaits"] = json!([format!("job-{:06}", n - 1)]);
         }
-        let (status, answer) = site.insist("POST", n as usize % 3, "/v2/runs", Some(body)).await;
-        assert!([200, 201].contains(&status), "{answer}");
+        let (status, view) = site.insist("POST", n as usize % 3, "/v2/runs", Some(body)).await;
+        assert!([200, 201].contains(&status), "{view}");
         if n == jobs / 2 {
             site.state.end_leases();
         }
@@ -72,7 +74,7 @@
 #[test]
 fn announced_limits_are_kept_from_the_start() {
     on_loopback(async {
-        let settings = |text: String| text.replace("\n[cluster.cloud]", NEXT);
+        let settings = |text: String| text.replace("\n[cluster.cloud]", ANNOUNCED_LIMITS);
         let mut site = Site::with(Duration::from_millis(100), settings).await;
         serve_through_changes(&mut site, 8, 3, |site| site.state.limit_sizes(2048, 4)).await;
         submit_at_once(&site, 101..=160).await;
@@ -89,15 +91,15 @@
 
 #[test]
 fn limits_that_fall_without_notice_lose_and_repeat_no_acceptance() {
-    // The refusals are the only sign of them: transactions are split and sent again.
+    // Only the refusals show them: transactions are split and sent again.
     on_loopback(async {
         let site = Site::start(Duration::from_millis(100)).await;
         site.until_some_leader().await;
         site.state.limit_sizes(4096, 2);
         submit_at_once(&site, 1..=40).await;
         // An array whose placements fill several segments of the log at once.
-        let (status, answer) = site.insist("POST", 0, "/v2/runs", Some(site.job(41, 1500))).await;
-        assert!([200, 201].contains(&status), "{answer}");
+        let (status, view) = site.insist("POST", 0, "/v2/runs", Some(site.job(41, 1500))).await;
+        assert!([200, 201].contains(&status), "{view}");
         assert_eq!(site.until(0, "job-000041", "done").await["done"], 1500);
         assert!(site.state.too_large() > 0, "no transaction was too large");
         for n in 1..=40u32 {
@@ -111,8 +113,8 @@
 
 #[test]
 fn limits_that_fall_between_a_write_and_its_answer_lose_and_repeat_no_acceptance() {
-    // Some transactions get no answer and are carried out late; what is sent again
-    // meanwhile may be refused for its size. The keys show which copy was executed.
+    // Some transactions get no response and are carried out late; their repetition
+    // may be refused for its size meanwhile. The keys show which copy was executed.
     on_loopback(async {
         let site = Site::start(Duration::from_millis(100)).await;
         site.until_some_leader().await;
@@ -141,7 +143,7 @@
     // Accepted while values could be larger. To write it again as it is would be
     // refused for ever, and the cancellation never confirmed.
     on_loopback(async {
-        let settings = |text: String| text.replace("\n[cluster.cloud]", NEXT);
+        let settings = |text: String| text.replace("\n[cluster.cloud]", ANNOUNCED_LIMITS);
         let site = Site::with(Duration::from_millis(100), settings).await;
         let mut body = site.job(1, 1);
         body["rigs"] = json!(["large"]);
@@ -152,8 +154,8 @@
         assert!(record.to_string().len() > 2048);
         site.state.plant("jobs/job-000001", record);
         site.state.limit_sizes(2048, 4);
-        let (status, answer) = site.insist("POST", 0, "/v2/runs/job-000001/cancel", None).await;
-        assert_eq!((status, &answer["standing"]), (200, &json!("cancelled")));
+        let (status, view) = site.insist("POST", 0, "/v2/runs/job-000001/cancel", None).await;
+        assert_eq!((status, &view["standing"]), (200, &json!("cancelled")));
         assert_eq!(site.state.too_large(), 0);
         for controller in 0..3 {
             site.until(controller, "job-000001", "cancelled").await;
@@ -179,7 +181,7 @@
     on_loopback(async {
         let state = std::sync::Arc::new(standins::State::default());
         let address = state.start(0).await.to_string();
-        let settings = support::SETTINGS.replace("\n[cluster.cloud]", NEXT);
+        let settings = support::SETTINGS.replace("\n[cluster.cloud]", ANNOUNCED_LIMITS);
         let limits = DeploymentSettings::parse(&settings, "test")
             .expect("settings")
             .cluster
@@ -202,7 +204,7 @@
 #[test]
 fn work_goes_on_after_refusals_for_the_rate() {
     on_loopback(async {
-        let settings = |text: String| text.replace("\n[cluster.cloud]", NEXT);
+        let settings = |text: String| text.replace("\n[cluster.cloud]", ANNOUNCED_LIMITS);
         let mut site = Site::with(Duration::from_millis(100), settings).await;
         serve_through_changes(&mut site, 4, 2, |site| site.state.refuse_for_rate(20)).await;
     });
--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -1,4 +1,4 @@
-//! Two troubles at a time, through the real endpoints on stand-ins.
+//! Two faults at a time, through the real endpoints on stand-ins.
 
 #[path = "support/site.rs"]
 mod site;
@@ -17,8 +17,8 @@
 #[test]
 fn a_leader_past_its_authority_still_stops_cancelled_tasks() {
     // The stops are lost, the state service is out, the authority ends, and the
-    // workers go on reporting: the answers that renew their leases have to stop
-    // the cancelled tasks, or they live on for grace and lease.
+    // workers go on sending heartbeats: the responses that renew their leases have to
+    // stop the cancelled tasks, or these live on for the grace period and the lease.
     on_loopback(async {
         let site = Site::start(Duration::from_secs(600)).await;
         site.insist("POST", 0, "/v2/runs", Some(site.job(1, 4))).await;
@@ -47,7 +47,7 @@
 
 #[test]
 fn late_transactions_change_nothing_that_was_confirmed() {
-    // Every other transaction gets no answer and applies 2.5 s later, after its
+    // Every other transaction gets no response and applies 2.5 s later, after its
     // repetition and after newer ones: acceptances by leader and followers,
     // cancellations, the log, final states.
     on_loopback(async {
@@ -86,7 +86,7 @@
             last.push((id, v));
         }
         site.state.late_writes(None);
-        // All that is late has arrived, and a new leader reads what is left of it.
+        // All late transactions have arrived, and a new leader reads what they left.
         sleep(Duration::from_millis(3000)).await;
         let late = site.state.late_outcomes();
         assert!(
@@ -97,9 +97,13 @@
         );
         site.state.end_leases();
         for at in 0..3 {
-            for (id, told) in &last {
+            for (id, confirmed) in &last {
                 let (status, v) = site.insist("GET", at, &format!("/v2/runs/{id}"), None).await;
-                assert_eq!((status, &v["standing"]), (200, &told["standing"]), "{id} at {at}");
+                assert_eq!(
+                    (status, &v["standing"]),
+                    (200, &confirmed["standing"]),
+                    "{id} at {at}"
+                );
             }
         }
         assert!(site.cloud.doubles.lock().is_empty());
@@ -109,8 +113,8 @@
 
 #[test]
 fn a_leader_that_cannot_confirm_its_lease_gives_no_status_from_memory() {
-    // It may have stood still together with its clocks: by its own time it leads
-    // on, while another has told a user that the job is cancelled or done.
+    // It may have been paused together with its clocks: by its own time it still
+    // leads, while another has confirmed to a user that the job is cancelled or done.
     on_loopback(async {
         let site = Site::start(Duration::from_secs(600)).await;
         site.insist("POST", 0, "/v2/runs", Some(site.job(1, 2))).await;
@@ -131,8 +135,8 @@
 
 #[test]
 fn a_status_that_one_controller_gave_is_not_reverted_by_another_while_responses_are_lost() {
-    // Transactions are carried out, and their answers lost: a follower reads and
-    // tells a cancellation that the leader doesn't know to be stored.
+    // Transactions are carried out, and their responses lost: a follower reads and
+    // reports a cancellation that the leader doesn't know to be stored.
     on_loopback(async {
         let site = Site::start(Duration::from_secs(600)).await;
         site.insist("POST", 0, "/v2/runs", Some(site.job(1, 2))).await;
@@ -159,8 +163,8 @@
 
 #[test]
 fn a_cancellation_that_conflicts_with_a_changed_key_is_stored_all_the_same() {
-    // Its user asks once and gives up: the job must not be neither run nor
-    // cancelled for as long as the term lasts.
+    // Its user sends one request and gives up: the job must either run on or be
+    // cancelled, within the term.
     on_loopback(async {
         let site = Site::start(Duration::from_secs(600)).await;
         site.insist("POST", 0, "/v2/runs", Some(site.job(1, 2))).await;
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -9,6 +9,7 @@
 mod standins;
 mod support;
 
+use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -25,8 +26,8 @@
 
 pub use support::types;
 
-/// Sends a heartbeat over a connection that stays open. Whether the response asks for
-/// it to be closed; `None` without a response.
+/// Sends a heartbeat over a connection that stays open. Whether the response requests
+/// that it be closed; `None` without a response.
 async fn send_heartbeat(stream: &mut TcpStream, name: &str, sequence: u64) -> Option<bool> {
     let body = serde_json::to_string(&support::heartbeat(name, "small", "north", false, 0, sequence)).ok()?;
     let text = format!(
@@ -36,8 +37,45 @@
     stream.write_all(text.as_bytes()).await.ok()?;
     let mut buf = vec![0; 4096];
     let n = stream.read(&mut buf).await.ok().filter(|n| *n > 0)?;
-    let answer = String::from_utf8_lossy(&buf[..n]).to_lowercase();
-    Some(answer.contains("connection: close"))
+    let response = String::from_utf8_lossy(&buf[..n]).to_lowercase();
+    Some(response.contains("connection: close"))
+}
+
+/// Many workers that send heartbeats to one controller, each until it is stopped.
+#[derive(Default)]
+struct WorkerLoad {
+    /// Workers that have got a response.
+    served: AtomicU32,
+    /// Responses that requested the connection be closed.
+    closes: AtomicU32,
+    stopped: AtomicBool,
+}
+
+/// One worker: sends heartbeats over a connection until it breaks or has to close, and
+/// then connects again.
+async fn send_heartbeats(addr: SocketAddr, worker: usize, load: Arc<WorkerLoad>) {
+    let mut first = true;
+    let mut sequence = 0;
+    while !load.stopped.load(Ordering::Relaxed) {
+        let Ok(mut stream) = TcpStream::connect(addr).await else {
+            continue;
+        };
+        loop {
+            sequence += 1;
+            let Some(close) = send_heartbeat(&mut stream, &format!("x-{worker}"), sequence).await else {
+                break;
+            };
+            if std::mem::take(&mut first) {
+                load.served.fetch_add(1, Ordering::Relaxed);
+            }
+            if close {
+                load.closes.fetch_add(1, Ordering::Relaxed);
+                break;
+            }
+            sleep(Duration::from_millis(200)).await;
+        }
+        sleep(Duration::from_millis(100)).await;
+    }
 }
 
 #[test]
@@ -53,62 +91,31 @@
         site.insist("POST", 0, "/v2/runs", Some(site.job(1, 3))).await;
         site.kill(1);
         site.kill(2);
-        let answered = Arc::new(AtomicU32::new(0));
-        let over = Arc::new(AtomicBool::new(false));
-        let asked_to_close = Arc::new(AtomicU32::new(0));
-        for w in 0..100 {
-            let (addr, answered, over, closes) = (
-                site.api[0],
-                answered.clone(),
-                over.clone(),
-                asked_to_close.clone(),
-            );
-            tokio::spawn(async move {
-                let mut first = true;
-                let mut sequence = 0;
-                while !over.load(Ordering::Relaxed) {
-                    let Ok(mut stream) = TcpStream::connect(addr).await else {
-                        continue;
-                    };
-                    loop {
-                        sequence += 1;
-                        let Some(close) = send_heartbeat(&mut stream, &format!("x-{w}"), sequence).await
-                        else {
-                            break;
-                        };
-                        if std::mem::take(&mut first) {
-                            answered.fetch_add(1, Ordering::Relaxed);
-                        }
-                        if close {
-                            closes.fetch_add(1, Ordering::Relaxed);
-                            break;
-                        }
-                        sleep(Duration::from_millis(200)).await;
-                    }
-                    sleep(Duration::from_millis(100)).await;
-                }
-            });
+        let load = Arc::new(WorkerLoad::default());
+        for worker in 0..100 {
+            tokio::spawn(send_heartbeats(site.api[0], worker, load.clone()));
         }
         let began = Instant::now();
-        while answered.load(Ordering::Relaxed) < 100 {
+        while load.served.load(Ordering::Relaxed) < 100 {
             assert!(
                 began.elapsed() < LONG,
-                "{answered:?} of 100 workers were answered"
+                "{:?} of 100 workers got a response",
+                load.served
             );
             sleep(Duration::from_millis(50)).await;
         }
-        assert!(asked_to_close.load(Ordering::Relaxed) > 0, "many had to close");
+        assert!(load.closes.load(Ordering::Relaxed) > 0, "many had to close");
         let (status, v) = site.insist("POST", 0, "/v2/runs", Some(site.job(2, 3))).await;
         assert!([200, 201].contains(&status), "{v}");
         assert_eq!(send_request("GET", site.api[0], "/up", None).await.0, 200);
         site.until(0, "job-000002", "done").await;
         assert!(site.cloud.doubles.lock().is_empty());
-        over.store(true, Ordering::Relaxed);
+        load.stopped.store(true, Ordering::Relaxed);
     });
 }
 
 #[test]
-fn a_connection_whose_other_side_is_gone_is_closed() {
+fn a_connection_whose_peer_has_lost_power_is_closed() {
     // A machine that loses power closes nothing, before a request or within one.
     // Hundreds of them a day would use up the sockets.
     on_loopback(async {
@@ -120,17 +127,17 @@
             request: Duration::from_millis(200),
         };
         tokio::spawn(bitternfold::api::serve(listener, controller, timeouts));
-        for said in [
+        for request in [
             "",
             "GET /up HT",
             "POST /v1/report HTTP/1.1\r\nhost: x\r\ncontent-length: 500\r\n\r\n{\"rack\":",
             "GET /up HTTP/1.1\r\nhost: x\r\n\r\n",
         ] {
             let mut stream = TcpStream::connect(addr).await.expect("a connection");
-            stream.write_all(said.as_bytes()).await.expect("sent");
-            let mut answer = Vec::new();
-            let end = tokio::time::timeout(LONG, stream.read_to_end(&mut answer)).await;
-            assert!(end.is_ok(), "{said:?} keeps its socket");
+            stream.write_all(request.as_bytes()).await.expect("sent");
+            let mut response = Vec::new();
+            let end = tokio::time::timeout(LONG, stream.read_to_end(&mut response)).await;
+            assert!(end.is_ok(), "{request:?} keeps its socket");
         }
     });
 }
@@ -168,7 +175,7 @@
 #[test]
 fn what_was_decided_before_a_pause_is_not_handed_over_after() {
     // A controller may be paused between its decision and the sending of it; by then
-    // another leads. The permit is asked for once the connection stands.
+    // another leads. The permit is checked once the connection is established.
     on_loopback(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address").to_string();
@@ -197,7 +204,7 @@
 
 #[test]
 fn a_flood_of_questions_is_refused_at_once_and_work_goes_on() {
-    // Questions about unknown jobs need the state service. Without a bound they
+    // Polls of unknown jobs need the state service. Without a bound they
     // queue for its budget, and what the leader needs queues behind them.
     on_loopback(async {
         let site = Site::with(Duration::from_millis(300), |text| {
@@ -217,13 +224,13 @@
         }
         let (status, v) = site.insist("POST", 1, "/v2/runs", Some(site.job(2, 3))).await;
         assert!([200, 201].contains(&status), "{v}");
-        let answers = flood.join_all().await;
-        let asked = site.state.reads() - before;
+        let responses = flood.join_all().await;
+        let reads = site.state.reads() - before;
         // Three budgets of 0.6 of 40, a second's worth each at once, and the rest as time allows.
-        let most = 3.0 * 24.0 * (2.0 + began.elapsed().as_secs_f64());
-        assert!((asked as f64) < most, "{asked} reads of {most}");
+        let max_reads = 3.0 * 24.0 * (2.0 + began.elapsed().as_secs_f64());
+        assert!((reads as f64) < max_reads, "{reads} reads of {max_reads}");
         // With the number of the request (its controller is that modulo 3) and why it failed.
-        let unexpected: Vec<_> = answers
+        let unexpected: Vec<_> = responses
             .iter()
             .filter(|(_, status)| !matches!(status, Ok(404 | 503)))
             .collect();
@@ -231,10 +238,10 @@
             unexpected.is_empty(),
             "{} of {}: {unexpected:?}",
             unexpected.len(),
-            answers.len()
+            responses.len()
         );
         assert!(
-            answers.iter().any(|(_, status)| matches!(status, Ok(503))),
+            responses.iter().any(|(_, status)| matches!(status, Ok(503))),
             "what can't be known soon is refused at once"
         );
         site.until(2, "job-000002", "done").await;
@@ -244,7 +251,7 @@
 #[test]
 fn a_takeover_of_many_machines_goes_on_while_leaders_come_and_go() {
     // All controllers end at once, come back within a fraction of a second, and
-    // end one after the other while the next is asking its machines.
+    // end one after the other while the next sends commands to its machines.
     on_loopback(async {
         let mut site = Site::with(Duration::from_secs(2), |text| {
             format!("{text}\n[cluster.machine_limits]\nfd_limit = 256\n")
@@ -270,9 +277,9 @@
         for n in 0..6 {
             site.until(n % 3, &format!("job-{n:06}"), "done").await;
         }
-        let most = site.cloud.concurrent_commands.lock().max;
+        let max_concurrent = site.cloud.concurrent_commands.lock().max;
         // A quarter of what is left beside the controller's own; two leaders may overlap.
-        assert!(most <= 2 * 58, "{most} commands at once");
+        assert!(max_concurrent <= 2 * 58, "{max_concurrent} commands at once");
         assert!(
             site.cloud.doubles.lock().is_empty(),
             "{:?}",
@@ -284,7 +291,7 @@
 #[test]
 fn nothing_that_was_said_happens_twice() {
     // Late copies of every kind of request that was carried out: transactions
-    // (elections among them), commands, reports, submissions, cancellations.
+    // (elections among them), commands, heartbeats, submissions, cancellations.
     on_loopback(async {
         let mut site = Site::start(Duration::from_millis(300)).await;
         for n in 0..4 {
@@ -292,7 +299,7 @@
                 .await;
         }
         site.insist("POST", 1, "/v2/runs/job-000003/cancel", None).await;
-        // A term ends between, so that there are copies of an earlier leader's words, too.
+        // A term ends between, so that there are copies of an earlier leader's requests, too.
         site.state.end_leases();
         site.kill(0);
         sleep(Duration::from_millis(200)).await;
@@ -313,11 +320,11 @@
             all
         };
         let stored = finals(&site);
-        assert_eq!(site.state.repeat_all(), 0, "a transaction's guards hold once");
+        assert_eq!(site.state.repeat_all(), 0, "a transaction's conditions hold once");
         site.cloud.repeat_commands();
         for (i, body) in site.cloud.reported().into_iter().enumerate().step_by(7) {
-            let report = serde_json::from_slice(&body).expect("json");
-            send_request("POST", site.api[i % 3], "/v1/report", Some(report)).await;
+            let heartbeat = serde_json::from_slice(&body).expect("json");
+            send_request("POST", site.api[i % 3], "/v1/report", Some(heartbeat)).await;
         }
         for (n, end) in ends.iter().enumerate() {
             for at in 0..3 {
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -47,7 +47,7 @@
         assert_eq!(site.insist("POST", 1, "/v2/runs", Some(huge)).await.0, 413);
         let v = site.until(2, "job-000001", "done").await;
         assert_eq!(v["done"], 5);
-        // Over is over, for a cancellation too.
+        // A final state stays, also under a cancellation.
         let (status, v) = site.insist("POST", 1, "/v2/runs/job-000001/cancel", None).await;
         assert_eq!((status, &v["standing"]), (200, &json!("done")));
         assert!(site.cloud.doubles.lock().is_empty());
@@ -87,7 +87,7 @@
         site.state.end_leases();
         let (_, v) = site.insist("POST", 2, "/v2/runs", Some(site.job(9, 3))).await;
         assert_eq!(v["name_id"], "job-000009");
-        // An outage: nothing can be known, and that is said at once.
+        // In an outage no state can be read: 503 without delay.
         site.state.outage(true);
         sleep(Duration::from_millis(3500)).await;
         let began = Instant::now();
@@ -95,7 +95,7 @@
         assert_eq!(status, 503);
         assert!(
             began.elapsed() < Duration::from_secs(4),
-            "answered while its user still waits"
+            "a response within the client's timeout"
         );
         site.state.outage(false);
         for n in [0, 1, 2, 3, 9] {
@@ -112,9 +112,9 @@
 
 #[test]
 fn every_accepted_job_stays_known_at_every_controller() {
-    // One controller is refused by the state service alone, the leader is ended
-    // and back at once in the middle of an election, a job's inbox mark is lost:
-    // after all of it every accepted job is answered everywhere, and done.
+    // The state service refuses one controller, the leader is killed and restarted in
+    // the middle of an election, a job's inbox entry is lost: after all of it every
+    // controller knows every accepted job, and it is done.
     on_loopback(async {
         let mut site = Site::start(Duration::from_millis(500)).await;
         for n in 0..3 {
@@ -128,7 +128,7 @@
             assert!(began.elapsed() < LONG, "nobody else is elected");
             sleep(Duration::from_millis(50)).await;
         }
-        // It can't read who leads, yet it serves its users, by the others' word.
+        // It can't read who leads, yet it serves its users: others say who does.
         let (status, _) = site
             .insist("POST", leader, "/v2/runs", Some(site.job(3, 4)))
             .await;
@@ -139,22 +139,22 @@
                 .await;
             assert_eq!(status, 200, "{v}");
         }
-        // The next leader ends and is back within a fraction of a second, while
-        // its lease ends, too.
+        // The next leader is killed and restarted within a fraction of a second, and
+        // its lease expires meanwhile.
         let next = site.leader().expect("a leader");
         site.kill(next);
         site.state.end_leases();
         sleep(Duration::from_millis(100)).await;
         site.boot(next);
         site.state.refuse(leader, false);
-        // A job that was accepted, though no mark of it is left.
+        // A job that was accepted, though its inbox entry is lost.
         let spec: bitternfold::wire::JobSpec = serde_json::from_value(site.job(7, 2)).expect("a job");
         let lost = json!({"spec": spec, "at": bitternfold::clock::unix_time_ms()});
         site.state.plant("jobs/job-000007", lost);
         let began = Instant::now();
-        // Nobody asks about it: it is found nevertheless.
+        // No request names it: it is found nevertheless.
         while !site.state.has("final/job-000007") {
-            assert!(began.elapsed() < LONG, "a job without a mark is forgotten");
+            assert!(began.elapsed() < LONG, "a job without an inbox entry is lost");
             sleep(Duration::from_millis(100)).await;
         }
         for n in [0, 1, 2, 3, 7] {
@@ -173,9 +173,9 @@
 
 #[test]
 fn jobs_with_unreadable_or_changed_records_go_on_once_these_can_be_read() {
-    // A record that can't be read is not a job nobody submitted: 503, and its
-    // job goes on once it can. A record that another has written meanwhile is
-    // read again, and the job's end is stored all the same.
+    // A record that can't be read is no unknown job: 503, and its job goes on once
+    // it can. A record that another has written meanwhile is read again, and the
+    // job's final state is stored all the same.
     on_loopback(async {
         let site = Site::start(Duration::from_millis(1500)).await;
         site.insist("POST", 0, "/v2/runs", Some(site.job(1, 3))).await;
--- a/tests/questions.rs
+++ b/tests/status_requests.rs
@@ -1,5 +1,5 @@
-//! Many polls of a job, counted: what they cost the state service at followers and
-//! with the leader away, and that the leader's work goes on.
+//! Many polls of a job: how many reads of the state service they cost at followers and
+//! without a leader, and that the leader's work goes on.
 
 #[path = "support/site.rs"]
 mod site;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn final_states_are_told_from_memory_whoever_leads_and_whatever_is_down() {
+fn final_states_are_served_from_memory_whoever_leads_and_whatever_is_down() {
     // Users poll again and again jobs that have ended. A controller that has
     // returned a terminal state once needs neither the leader nor the state service.
     on_loopback(async {
@@ -79,7 +79,7 @@
         assert!((reads as f64) < max_reads, "{reads} reads of {max_reads}");
         assert!(
             responses.iter().all(|(status, _)| [200, 503].contains(status)),
-            "known, or not now: {responses:?}"
+            "200 or 503 only: {responses:?}"
         );
         let (status, view) = site
             .insist("POST", followers[0], "/v2/runs", Some(site.job(2, 2)))
--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -59,12 +59,12 @@
     path: &str,
     body: Option<Value>,
 ) -> Result<(u16, Value), FailedRequest> {
-    let began = Instant::now();
+    let start = Instant::now();
     exchange(method, addr, path, body)
         .await
         .map_err(|failure| FailedRequest {
             failure,
-            after: began.elapsed(),
+            after: start.elapsed(),
         })
 }
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests share: settings, jobs and machines of a made-up site.
+//! What several tests share: settings, jobs and machines of a site for tests.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -129,7 +129,7 @@
     }
 }
 
-/// A report of an idle machine that has seen a token of the term.
+/// A heartbeat of an idle machine that has seen a token of the term.
 pub fn heartbeat(
     machine: &str,
     machine_type: &str,
@@ -152,12 +152,12 @@
     }
 }
 
-/// What a machine would report of its slots: all run.
+/// The tasks of a machine's slots, as its heartbeat would list them: all run.
 pub fn running(m: &ClusterModel, id: &MachineId) -> Vec<ReportedTask> {
     all_in_state(m, id, TaskState::Running)
 }
 
-/// What a machine would report of its slots: all wait for their image.
+/// The tasks of a machine's slots, as its heartbeat would list them: all fetch their image.
 pub fn fetching(m: &ClusterModel, id: &MachineId) -> Vec<ReportedTask> {
     all_in_state(m, id, TaskState::Fetching)
 }
--- a/tests/support/site.rs
+++ b/tests/support/site.rs
@@ -14,12 +14,12 @@
 use crate::standins::{send_request, Cloud, State};
 use crate::support;
 
-/// A bound is far above what anything here takes; reaching it is a failure.
+/// Far above what anything here takes; a test that waits so long has failed.
 pub const LONG: Duration = Duration::from_secs(60);
 
 /// An address of loopback that no other server of any test uses. On a common one, a
-/// port that falls free while a controller is down may be taken by a stand-in,
-/// which then answers in its place.
+/// port that becomes free while a controller is down may be taken by a stand-in,
+/// which then responds in its place.
 fn free_address() -> SocketAddr {
     static TAKEN: AtomicU8 = AtomicU8::new(1);
     let process = std::process::id();
@@ -49,6 +49,7 @@
 }
 
 impl Site {
+    /// A site with default settings, whose tasks run for `run`.
     pub async fn start(run: Duration) -> Self {
         Self::with(run, |text| text).await
     }
@@ -160,11 +161,12 @@
         self.stops[i].is_some()
     }
 
-    /// Ends a controller without a word.
+    /// Kills a controller.
     pub fn kill(&mut self, i: usize) {
         self.stops[i] = None;
     }
 
+    /// A job of tasks with 2 CPUs.
     pub fn job(&self, n: u32, tasks: u32) -> Value {
         let mut v = serde_json::to_value(support::job(n, tasks, 2.0)).expect("json");
         v["expected_s"] = json!(1.0);
@@ -178,25 +180,26 @@
         v
     }
 
-    /// Repeats a request until it is answered by something else than 503.
+    /// Repeats a request until its response has another status than 503.
     pub async fn insist(&self, method: &str, at: usize, path: &str, body: Option<Value>) -> (u16, Value) {
         let began = Instant::now();
         loop {
-            let r = send_request(method, self.api[at], path, body.clone()).await;
-            if r.0 != 503 && r.0 != 0 {
-                return r;
+            let (status, body) = send_request(method, self.api[at], path, body.clone()).await;
+            if status != 503 && status != 0 {
+                return (status, body);
             }
-            assert!(began.elapsed() < LONG, "{method} {path} is never answered");
+            assert!(began.elapsed() < LONG, "{method} {path} gets no response but 503");
             sleep(Duration::from_millis(100)).await;
         }
     }
 
-    pub async fn until(&self, at: usize, job: &str, standing: &str) -> Value {
+    /// Polls a job at a controller until it has this state; the response's body.
+    pub async fn until(&self, at: usize, job: &str, state: &str) -> Value {
         let began = Instant::now();
         loop {
             let (status, v) = self.insist("GET", at, &format!("/v2/runs/{job}"), None).await;
             assert_eq!(status, 200, "{job}: {v}");
-            if v["standing"] == standing {
+            if v["standing"] == state {
                 return v;
             }
             assert!(began.elapsed() < LONG, "{job} is still {v}");
@@ -205,6 +208,7 @@
     }
 }
 
+/// Runs a test in a runtime of its own.
 pub fn on_loopback<F: std::future::Future>(f: F) -> F::Output {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -25,6 +25,23 @@
     New,
 }
 
+/// When the leader is replaced, among the three controllers.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum LeaderPlace {
+    First,
+    Last,
+}
+
+impl LeaderPlace {
+    fn other(self) -> Self {
+        match self {
+            Self::First => Self::Last,
+            Self::Last => Self::First,
+        }
+    }
+}
+
+/// Runs a command that has to succeed.
 fn run(command: &mut Command) {
     let output = command.output().expect("it can be run");
     let errors = String::from_utf8_lossy(&output.stderr);
@@ -105,7 +122,7 @@
         self.processes[i] = Some(process.expect("it starts"));
     }
 
-    /// Ends a controller without a word, as a platform does.
+    /// Kills a controller (SIGKILL).
     fn kill(&mut self, i: usize) {
         if let Some(mut process) = self.processes[i].take() {
             process.kill().expect("it can be killed");
@@ -133,7 +150,7 @@
         }
     }
 
-    /// All these jobs get done, whichever controller is asked.
+    /// Waits until every controller reports these jobs done.
     async fn until_done(&self, jobs: std::ops::RangeInclusive<u32>) {
         for n in jobs {
             for at in 0..3 {
@@ -142,17 +159,22 @@
         }
     }
 
-    fn order(&self, leader_first: bool) -> Vec<usize> {
+    /// The order in which controllers are replaced.
+    fn order(&self, place: LeaderPlace) -> Vec<usize> {
         let leader = self.site.leader().expect("a leader");
         let mut order: Vec<usize> = (0..3).filter(|i| *i != leader).collect();
-        order.insert(if leader_first { 0 } else { 2 }, leader);
+        let index = match place {
+            LeaderPlace::First => 0,
+            LeaderPlace::Last => 2,
+        };
+        order.insert(index, leader);
         order
     }
 }
 
 /// Replaces all controllers by the new version, lets jobs wait for others, and
 /// goes back again.
-async fn upgrade_and_back(leader_first: bool) {
+async fn upgrade_and_back(place: LeaderPlace) {
     let mut cluster = Cluster::start().await;
     cluster.site.until_some_leader().await;
     for n in 1..=3 {
@@ -160,8 +182,8 @@
     }
     cluster.site.cloud.run_slowly(&job_name(4));
     cluster.accept(0, cluster.site.job(4, 1)).await;
-    for (turn, i) in cluster.order(leader_first).into_iter().enumerate() {
-        // One ends before its turn and comes back as it was.
+    for (turn, i) in cluster.order(place).into_iter().enumerate() {
+        // One is restarted before its turn, in its old version.
         if turn == 1 {
             cluster.replace(i, Version::Production).await;
         }
@@ -170,7 +192,7 @@
         cluster.accept((i + 1) % 3, cluster.site.job(n, 4)).await;
     }
     cluster.until_done(1..=3).await;
-    // What is new: jobs wait for those that the other version accepted.
+    // The new feature: jobs depend on those that the other version accepted.
     cluster
         .accept(0, cluster.site.job_awaiting(20, 2, &[1, 10]))
         .await;
@@ -188,7 +210,7 @@
         cluster.site.until(at, &job_name(22), "cancelled").await;
     }
     // And back, now that no such job is left.
-    for (turn, i) in cluster.order(!leader_first).into_iter().enumerate() {
+    for (turn, i) in cluster.order(place.other()).into_iter().enumerate() {
         cluster.replace(i, Version::Production).await;
         let n = 30 + turn as u32;
         cluster.accept((i + 1) % 3, cluster.site.job(n, 4)).await;
@@ -206,10 +228,10 @@
 
 #[test]
 fn controllers_are_replaced_one_by_one_the_leader_first() {
-    on_loopback(upgrade_and_back(true));
+    on_loopback(upgrade_and_back(LeaderPlace::First));
 }
 
 #[test]
 fn controllers_are_replaced_one_by_one_the_leader_last() {
-    on_loopback(upgrade_and_back(false));
+    on_loopback(upgrade_and_back(LeaderPlace::Last));
 }
