--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use bitternfold::core::evidence::permission::{SendRefusal, StartRefusal};
-use bitternfold::core::state::machine::MachinePhase;
+use bitternfold::core::state::machine::{Machine, MachinePhase};
 use bitternfold::core::ClusterModel;
 use bitternfold::wire::{Command, CommandBatch, JobId, MachineId, TaskId};
 use site::{job_name, on_loopback, Site, LONG};
@@ -97,6 +97,12 @@
 }
 
 impl DecidedStart {
+    /// The machine that the start was decided for.
+    fn machine_mut(&mut self) -> &mut Machine {
+        let machines = self.model.set_up().machines;
+        machines.get_mut(&self.machine).expect("there")
+    }
+
     fn new() -> Self {
         let now = support::start();
         let mut model = support::model(7);
@@ -179,23 +185,17 @@
     decided.assert_refused(StartRefusal::NotPlaced);
 
     let mut decided = DecidedStart::new();
-    let machine = decided
-        .model
-        .set_up()
-        .machines
-        .get_mut(&decided.machine)
-        .expect("there");
-    machine.phase = MachinePhase::Releasing;
+    decided.machine_mut().phase = MachinePhase::Releasing;
     decided.assert_refused(StartRefusal::NotPlaced);
 
     let mut decided = DecidedStart::new();
-    let machine = decided
-        .model
-        .set_up()
-        .machines
-        .get_mut(&decided.machine)
-        .expect("there");
-    machine.slots.get_mut(&decided.task).expect("placed").attempt += 1;
+    let task = decided.task;
+    decided
+        .machine_mut()
+        .slots
+        .get_mut(&task)
+        .expect("placed")
+        .attempt += 1;
     decided.assert_refused(StartRefusal::NotPlaced);
 }
 
