--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -211,6 +211,10 @@
             text.replace("rps = 200.0\nwrite_rps", "rps = 40.0\nwrite_rps")
         })
         .await;
+        // A controller that has not opened its port yet would refuse connections.
+        for at in 0..3 {
+            site.insist("GET", at, "/up", None).await;
+        }
         site.insist("POST", 0, "/v2/runs", Some(site.job(1, 3))).await;
         let mut flood = tokio::task::JoinSet::new();
         let before = site.state.reads();
