--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -223,7 +223,7 @@
     }
 
     /// The machine types on offer.
-    pub async fn machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
+    pub async fn list_machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
         let request = CloudRequest::get("/machine_types");
         let listed: MachineTypeList = self.call(request, always).await?;
         Ok(listed.types)
@@ -257,7 +257,7 @@
 
     /// All machines that the cloud lists, page by page. The list lags behind rentals
     /// and releases.
-    pub async fn machines(&self) -> Result<Vec<ListedMachine>, CloudError> {
+    pub async fn list_machines(&self) -> Result<Vec<ListedMachine>, CloudError> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
             let since = all
--- a/src/controller/job_lookup.rs
+++ b/src/controller/job_lookup.rs
@@ -29,12 +29,12 @@
     /// Reads a job from the state service; a terminal state is kept. The unfinished jobs
     /// are read first: a job moves from there to the finished ones, never back.
     pub async fn lookup(&self, id: JobId) -> Result<StoredJob, StoreError> {
-        if let KeyRead::Found(item) = self.store.get_soon(&record::job_key(id)).await? {
+        if let KeyRead::Found(item) = self.store.get_for_user(&record::job_key(id)).await? {
             let version = item.version;
             let record = parse_value(item)?;
             return Ok(StoredJob::Unfinished(Box::new(record), version));
         }
-        if let KeyRead::Found(item) = self.store.get_soon(&record::final_key(id)).await? {
+        if let KeyRead::Found(item) = self.store.get_for_user(&record::final_key(id)).await? {
             let record: FinalRecord = parse_value(item)?;
             let status = terminal_status(id, &record);
             self.terminal_states().keep(id, record);
--- a/src/leader/active_leader/dependency_lookup.rs
+++ b/src/leader/active_leader/dependency_lookup.rs
@@ -53,7 +53,7 @@
             StoredJob::Finished(_) => self.resolve_after_lookup(id),
             StoredJob::NeverAccepted => {
                 info!(job = %id, "a job that others depend on is not stored; it is looked up again");
-                return Err(StoreError::NotFound {
+                return Err(StoreError::KeyNotFound {
                     key: record::job_key(id),
                 });
             }
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -73,7 +73,7 @@
                         }
                     }
                 }
-                Err(StoreError::TooOld { .. }) => return,
+                Err(StoreError::RevisionTooOld { .. }) => return,
                 Err(_) => sleep(RETRY_PAUSE).await,
             }
         }
--- a/src/leader/active_leader/lease_renewal.rs
+++ b/src/leader/active_leader/lease_renewal.rs
@@ -107,7 +107,7 @@
                     self.renewals.finish(number, RenewalOutcome::Renewed);
                     lifetime / RENEWAL_INTERVAL_DIVISOR
                 }
-                Err(StoreError::NoLease { .. }) => {
+                Err(StoreError::LeaseNotFound { .. }) => {
                     info!(term = self.term, "the leader's lease has expired");
                     return self.end();
                 }
--- a/src/leader/active_leader/machine_list.rs
+++ b/src/leader/active_leader/machine_list.rs
@@ -18,7 +18,7 @@
     pub(super) async fn list_machines(self: Arc<Self>) {
         loop {
             let mut pages = 1;
-            if let Ok(machines) = self.controller.cloud().machines().await {
+            if let Ok(machines) = self.controller.cloud().list_machines().await {
                 pages += (machines.len() / PAGE_SIZE) as u32;
                 self.model.lock().apply_machine_list(&machines, Instant::now());
                 self.request_round();
--- a/src/leader/active_leader/machine_types.rs
+++ b/src/leader/active_leader/machine_types.rs
@@ -23,7 +23,7 @@
     /// Reads the machine types from time to time, for as long as the term lasts.
     pub(super) async fn refresh_machine_types(self: Arc<Self>) {
         loop {
-            let pause = match self.controller.cloud().machine_types().await {
+            let pause = match self.controller.cloud().list_machine_types().await {
                 Ok(types) if !types.is_empty() => {
                     self.apply_machine_types(types).await;
                     REFRESH_INTERVAL
--- a/src/leader/election.rs
+++ b/src/leader/election.rs
@@ -75,7 +75,7 @@
     loop {
         match controller.store().watch(LEADER, since, WATCH_TIMEOUT).await {
             Ok(watched) if watched.events.is_empty() => since = since.max(watched.revision),
-            Ok(_) | Err(StoreError::TooOld { .. }) => return,
+            Ok(_) | Err(StoreError::RevisionTooOld { .. }) => return,
             Err(error) => {
                 // The leader may well go on leading. Its key is read afresh as
                 // soon as that works.
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -106,7 +106,7 @@
     },
     /// The lease does not exist, or exists no more.
     #[error("no such lease: {operation}")]
-    NoLease {
+    LeaseNotFound {
         /// The request.
         operation: Operation,
     },
@@ -118,7 +118,7 @@
     },
     /// The revision to watch from is no longer kept.
     #[error("revision too old: {operation}")]
-    TooOld {
+    RevisionTooOld {
         /// The request.
         operation: Operation,
     },
@@ -148,7 +148,7 @@
     },
     /// A key that has to exist does not.
     #[error("{key} does not exist")]
-    NotFound {
+    KeyNotFound {
         /// The key.
         key: String,
     },
--- a/src/store/leases.rs
+++ b/src/store/leases.rs
@@ -41,7 +41,7 @@
         let response = self.call(request, operation).await?;
         match response.status {
             200 => Ok(()),
-            404 => Err(StoreError::NoLease {
+            404 => Err(StoreError::LeaseNotFound {
                 operation: operation(),
             }),
             status => Err(StoreError::refused(operation(), status)),
--- a/src/store/reads.rs
+++ b/src/store/reads.rs
@@ -57,7 +57,7 @@
     /// up for longer than `MAX_BUDGET_WAIT`, as in a flood of polls, it fails with
     /// [`StoreError::Unavailable`] at once, so that the leader's own requests don't
     /// queue behind it.
-    pub async fn get_soon(&self, key: &str) -> Result<KeyRead, StoreError> {
+    pub async fn get_for_user(&self, key: &str) -> Result<KeyRead, StoreError> {
         if !self.requests.acquire_within(1.0, MAX_BUDGET_WAIT).await {
             let operation = Operation::Get { key: key.to_owned() };
             return Err(StoreError::unavailable(operation, Failure::BudgetExhausted));
@@ -138,7 +138,7 @@
         let response = self.call(request, operation).await?;
         match response.status {
             200 => parse(&response, operation),
-            410 => Err(StoreError::TooOld {
+            410 => Err(StoreError::RevisionTooOld {
                 operation: operation(),
             }),
             status => Err(StoreError::refused(operation(), status)),
--- a/src/store/transactions.rs
+++ b/src/store/transactions.rs
@@ -56,7 +56,7 @@
             409 => Err(StoreError::Conflict {
                 failed_keys: parse::<TransactionResult>(&response, operation)?.failed,
             }),
-            400 if contains(&response.body, NO_SUCH_LEASE) => Err(StoreError::NoLease {
+            400 if contains(&response.body, NO_SUCH_LEASE) => Err(StoreError::LeaseNotFound {
                 operation: operation(),
             }),
             status => Err(StoreError::refused(operation(), status)),
