--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,6 +1,5 @@
-//! Client of the cloud that machines are rented from. It stays under the cloud's
-//! rate limit. Of a request without a response it is unknown whether the cloud
-//! executed it, or still will.
+//! Client of the cloud that machines are rented from. It stays below the cloud's rate
+//! limit. If a request gets no response, the cloud may have executed it, or may still.
 
 use std::time::Duration;
 
@@ -15,16 +14,16 @@
     ListedMachine, MachineId, MachineNames, MachinePage, MachineType, MachineTypeList, RentalRequest,
 };
 
-/// What the client saw of a request that failed.
+/// How a request failed, as the client saw it.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub enum FailureCause {
     /// No response.
     #[error("{0}")]
     Http(#[source] Box<HttpError>),
     /// A response with this HTTP status.
     #[error("status {0}")]
     Status(u16),
-    /// A response of success whose body can't be read.
+    /// A successful response whose body can't be parsed.
     #[error("malformed response: {0}")]
     MalformedResponse(#[source] serde_json::Error),
 }
@@ -33,48 +32,48 @@
 /// conclude about its execution.
 #[derive(Debug, thiserror::Error)]
 pub enum CloudError {
-    /// The cloud has no machine of this kind now: nothing was rented.
-    #[error("no capacity: {path}")]
+    /// The cloud has no machine of the requested kind now: nothing was rented.
+    #[error("cloud has no capacity: {path}")]
     NoCapacity {
         /// Path of the request.
         path: String,
     },
-    /// The caller refused to send when the request was due: it was not executed.
-    #[error("withheld: {path}")]
+    /// The caller no longer permitted the request when it was due: it was not sent.
+    #[error("request withheld: {path}")]
     Withheld {
         /// Path of the request.
         path: String,
     },
-    /// Refused for now: it was not executed.
+    /// Not sent, or refused for now: the request was not executed.
     #[error("cloud unavailable: {path}: {source}")]
     Unavailable {
         /// Path of the request.
         path: String,
-        /// What the client saw.
-        source: Failure,
+        /// How it failed.
+        source: FailureCause,
     },
-    /// No usable response: it may have been executed, or may still be.
+    /// No usable response: the request may have been executed, or may still be.
     #[error("cloud did not answer: {path}: {source}")]
     Unanswered {
         /// Path of the request.
         path: String,
-        /// What the client saw.
-        source: Failure,
+        /// How it failed.
+        source: FailureCause,
     },
-    /// Rejected for good: the same request would be rejected again.
-    #[error("rejected with status {status}: {path}")]
+    /// Rejected permanently: the same request would be rejected again.
+    #[error("cloud rejected the request with status {status}: {path}")]
     Rejected {
         /// Path of the request.
         path: String,
         /// HTTP status of the response.
         status: u16,
     },
-    /// The request can't be put into JSON, so it was not sent.
-    #[error("can't be serialized: {path}: {source}")]
+    /// The request can't be serialized as JSON, so it was not sent.
+    #[error("request can't be serialized: {path}: {source}")]
     Unserializable {
         /// Path of the request.
         path: String,
-        /// What failed.
+        /// The serializer's error.
         source: serde_json::Error,
     },
 }
@@ -88,12 +87,12 @@
         }
     }
 
-    /// No response. Of a request that was never sent it is known that it was not
+    /// Error of a request without a response. One that was never sent was certainly not
     /// executed.
     fn no_response(path: &str, source: HttpError) -> Self {
         let path = path.to_owned();
         let unsent = matches!(source, HttpError::Unsent { .. });
-        let source = Failure::Http(Box::new(source));
+        let source = FailureCause::Http(Box::new(source));
         if unsent {
             Self::Unavailable { path, source }
         } else {
@@ -101,10 +100,11 @@
         }
     }
 
-    /// A response with a status other than 200.
-    fn refused(path: &str, status: u16, body: &[u8]) -> Self {
+    /// Error of a response with a status other than 200. After a 5xx other than 503 the
+    /// request may have been executed.
+    fn from_status(path: &str, status: u16, body: &[u8]) -> Self {
         let path = path.to_owned();
-        let source = Failure::Status(status);
+        let source = FailureCause::Status(status);
         match status {
             503 if says_no_capacity(body) => Self::NoCapacity { path },
             429 | 503 => Self::Unavailable { path, source },
@@ -114,7 +114,7 @@
     }
 }
 
-/// What the body of a 503 has if there is no machine of the wanted kind.
+/// Text in the body of a 503 response if there is no machine of the requested kind.
 const NO_CAPACITY: &[u8] = b"no capacity";
 
 fn says_no_capacity(body: &[u8]) -> bool {
@@ -127,18 +127,19 @@
 pub struct Cloud {
     http: HttpClient,
     address: String,
-    requests: RateLimiter,
+    request_budget: RateLimiter,
 }
 
-/// How long a request may take once it is sent.
+/// Timeout of a request, from the moment of sending.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
-/// Share of the cloud's rate limit that is used; bursts may take a second's worth.
+/// Share of the cloud's rate limit that the client uses on average; a burst may use the
+/// limit of one whole second.
 const RATE_SHARE: f64 = 0.85;
-/// Machines read with one request of a listing.
+/// Machines per request of a listing.
 const PAGE_SIZE: usize = 500;
 
-/// For requests that change nothing, and so are always allowed.
-fn always() -> bool {
+/// Permits requests that change nothing.
+fn always_permitted() -> bool {
     true
 }
 
@@ -173,17 +174,17 @@
 }
 
 impl Cloud {
-    /// A client of the cloud at `address` (`host:port`), which takes at most
+    /// Creates a client of the cloud at `address` (`host:port`), whose rate limit is
     /// `max_rps` requests per second.
     pub fn new(http: HttpClient, address: String, max_rps: f64) -> Self {
         Self {
             http,
             address,
-            requests: RateLimiter::new(max_rps * RATE_SHARE, max_rps),
+            request_budget: RateLimiter::new(max_rps * RATE_SHARE, max_rps),
         }
     }
 
-    /// [`Cloud::send`], and reads the response's body.
+    /// Sends a request like [`Cloud::send`], and parses the body of the response.
     async fn call<T: DeserializeOwned>(
         &self,
         request: CloudRequest<'_>,
@@ -193,19 +194,19 @@
         let body = self.send(request, may_send).await?;
         serde_json::from_slice(&body).map_err(|e| CloudError::Unanswered {
             path: path.to_owned(),
-            source: Failure::MalformedResponse(e),
+            source: FailureCause::MalformedResponse(e),
         })
     }
 
-    /// Sends a request once the budget allows it, if `may_send` is true at that
-    /// moment; the body of a successful response.
+    /// Sends a request once the budget allows it, if `may_send` returns true at that
+    /// moment. Returns the body of a successful response.
     async fn send(
         &self,
         request: CloudRequest<'_>,
         may_send: impl FnOnce() -> bool,
     ) -> Result<Bytes, CloudError> {
         let CloudRequest { method, path, body } = request;
-        self.requests.acquire(1.0).await;
+        self.request_budget.acquire(1.0).await;
         if !may_send() {
             return Err(CloudError::Withheld {
                 path: path.to_owned(),
@@ -218,19 +219,19 @@
             .map_err(|e| CloudError::no_response(path, e))?;
         match response.status {
             200 => Ok(response.body),
-            status => Err(CloudError::refused(path, status, &response.body)),
+            status => Err(CloudError::from_status(path, status, &response.body)),
         }
     }
 
-    /// The machine types on offer.
+    /// Fetches the machine types that the cloud offers.
     pub async fn list_machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
         let request = CloudRequest::get("/machine_types");
-        let listed: MachineTypeList = self.call(request, always).await?;
+        let listed: MachineTypeList = self.call(request, always_permitted).await?;
         Ok(listed.types)
     }
 
-    /// Rents machines, if `may_send` is true when the request is due; the machines
-    /// that were rented, which may be fewer than wanted.
+    /// Rents machines, if `may_send` returns true when the request is due. Returns the
+    /// rented machines, which may be fewer than requested.
     pub async fn rent(
         &self,
         rental: &RentalRequest,
@@ -241,8 +242,8 @@
         Ok(rented.machines)
     }
 
-    /// Releases machines, if `may_send` is true when the request is due. Once this
-    /// succeeds nothing runs on them any more.
+    /// Releases machines, if `may_send` returns true when the request is due. Once this
+    /// succeeds, nothing runs on them any more.
     pub async fn release(
         &self,
         machines: &[MachineId],
@@ -255,8 +256,8 @@
         self.send(request, may_send).await.map(drop)
     }
 
-    /// All machines that the cloud lists, page by page. The list lags behind rentals
-    /// and releases.
+    /// Fetches all machines that the cloud lists, page by page. The list lags behind
+    /// rentals and releases.
     pub async fn list_machines(&self) -> Result<Vec<ListedMachine>, CloudError> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
@@ -265,7 +266,7 @@
                 .map(|machine| format!("since={}&", machine.id))
                 .unwrap_or_default();
             let path = format!("/hosts?{since}limit={PAGE_SIZE}");
-            let page: MachinePage = self.call(CloudRequest::get(&path), always).await?;
+            let page: MachinePage = self.call(CloudRequest::get(&path), always_permitted).await?;
             let is_last = page.machines.is_empty() || !page.has_more;
             all.extend(page.machines);
             if is_last {
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 clients: pooled connections for the services that are called often
-//! ([`HttpClient`]), a connection for one request otherwise ([`post_once`]).
+//! HTTP/1.1 clients: [`HttpClient`] keeps pooled connections to the services that are
+//! called often; [`post_once`] opens a connection for a single request.
 //!
-//! Every request has a deadline. A request that is given up closes its connection,
-//! so that a late response can't be taken for that of another request.
+//! Every request has a timeout. A request that times out or is dropped closes its
+//! connection, so that a late response can't be taken for that of another request.
 
 use std::error::Error;
 use std::io;
@@ -18,8 +18,7 @@
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use tokio::net::TcpStream;
 
-/// Why a request got no response. The two cases differ in what may have become of
-/// the request.
+/// Why a request got no response. The variants tell whether it may have been executed.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
     /// The request was never sent, so it was not executed.
@@ -57,41 +56,41 @@
     }
 }
 
-/// The step of an exchange that failed.
+/// The step of a request that failed.
 #[derive(Debug, thiserror::Error)]
 pub enum TransportError {
-    /// The request can't be built, as of a malformed path.
+    /// The request can't be built, for example because the path is malformed.
     #[error("malformed request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The connection was not accepted.
+    /// The connection could not be opened.
     #[error("can't connect: {0}")]
     Connect(#[from] io::Error),
-    /// The connection broke, or what came is not HTTP/1.1.
+    /// The connection broke, or the response is not HTTP/1.1.
     #[error("{0}")]
     Connection(#[from] hyper::Error),
-    /// The same on a pooled connection, or no such connection could be opened.
+    /// The same on a pooled connection, or a pooled connection could not be opened.
     #[error("{0}")]
     Pool(#[from] hyper_util::client::legacy::Error),
-    /// The body broke off, or exceeds the limit.
+    /// The body of the response is incomplete, or exceeds [`MAX_RESPONSE_BYTES`].
     #[error("response body: {0}")]
     Body(#[source] Box<dyn Error + Send + Sync>),
-    /// Not done in time.
-    #[error("not done within {0:?}")]
+    /// The timeout expired.
+    #[error("timed out after {0:?}")]
     TimedOut(Duration),
 }
 
-/// Why [`post_once`] has no response; `R` is the caller's reason not to send.
+/// Why [`post_once`] returns no response; `R` is the caller's reason not to send.
 #[derive(Debug, thiserror::Error)]
 pub enum PostError<R> {
-    /// The caller refused to send once the connection stood; nothing was sent.
-    #[error("withheld: {0}")]
+    /// The caller's `permit` refused once the connection was open; nothing was sent.
+    #[error("request withheld: {0}")]
     Withheld(R),
-    /// The exchange failed.
+    /// Connecting, sending or receiving failed.
     #[error(transparent)]
     Http(#[from] HttpError),
 }
 
-/// A response, read as a whole.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct Response {
     /// HTTP status.
@@ -112,9 +111,9 @@
     }
 }
 
-/// Largest body of a response that is read, in bytes.
+/// Largest accepted body of a response, in bytes.
 pub const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
-/// How long opening a connection may take.
+/// Timeout of opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long an unused connection stays in the pool.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
@@ -136,8 +135,8 @@
         .map_err(|e| HttpError::unsent(address, e))
 }
 
-/// Client for the few services that are called often, over pooled connections.
-/// Clones share the pool.
+/// Client with pooled connections, for the few services that are called often. Clones
+/// share the pool.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -158,8 +157,8 @@
 }
 
 impl HttpClient {
-    /// Sends a request to `address` (`host:port`) and waits for the whole response,
-    /// at most `timeout`.
+    /// Sends a request to `address` (`host:port`) and waits at most `timeout` for the
+    /// complete response.
     pub async fn call(
         &self,
         method: Method,
@@ -194,12 +193,12 @@
     Ok(stream)
 }
 
-/// Posts over a connection of its own, which is closed right after: for servers so
-/// many that a pooled connection to each would take too many sockets.
+/// Sends a POST request over a new connection, which is closed afterwards. For servers
+/// so numerous that a pooled connection to each would take too many sockets.
 ///
-/// `permit` is called once the connection stands and the request is about to be
-/// handed over. A decision made before a pause of the process must not be sent
-/// after it, so this is where it is checked again.
+/// `permit` is called once the connection is open, right before the request is sent. It
+/// checks again a decision that was made earlier, as a decision made before a pause of
+/// the process must not be sent after it.
 pub async fn post_once<R>(
     address: &str,
     path: &str,
@@ -221,7 +220,7 @@
                 .map_err(|e| HttpError::unanswered(address, e))?;
             Response::read(response, address).await
         };
-        // The connection is driven here and ends with the exchange.
+        // The connection is polled here, not in a task, so that it ends with the request.
         tokio::pin!(response);
         let outcome = tokio::select! {
             biased;
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -1,5 +1,5 @@
-//! The client's connection, budgets and reachability; the requests are in the
-//! sibling modules.
+//! The client's HTTP connections, rate limits and reachability; the requests are in
+//! the sibling modules.
 
 use std::time::{Duration, Instant};
 
@@ -13,31 +13,32 @@
 use crate::http::{HttpClient, Response};
 use crate::settings::StateLimits;
 
-/// The limits of the state service hold for all controllers together. All but a
-/// few requests are the leader's, so each controller keeps to this share of the
-/// requests per second.
+/// Share of the state service's limit on requests per second that each controller
+/// uses. The limit holds for all controllers together, but all except a few requests
+/// are the leader's.
 const REQUEST_SHARE: f64 = 0.6;
-/// The same of the changes per second.
+/// Share of the limit on puts and deletes per second, likewise.
 const CHANGE_SHARE: f64 = 0.7;
 
-/// The state service counts as unreachable after failing for so long.
+/// The state service counts as unreachable once requests have failed for this long.
 const UNREACHABLE_AFTER: Duration = Duration::from_secs(4);
 
-/// How long an ordinary request may take.
+/// Timeout of an ordinary request.
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Client of the state service. It keeps this controller's share of the state
-/// service's limits on requests and changes per second, whoever calls it.
+/// Client of the state service. All its callers share this controller's budgets of
+/// requests and changes per second.
 #[derive(Debug)]
 pub struct Store {
     http: HttpClient,
     address: String,
-    /// Budget of requests.
-    pub(super) requests: RateLimiter,
-    /// Budget of puts and deletes.
-    pub(super) changes: RateLimiter,
+    /// Requests per second.
+    pub(super) request_budget: RateLimiter,
+    /// Puts and deletes per second.
+    pub(super) change_budget: RateLimiter,
     pub(super) limits: StateLimits,
-    /// Since when all requests have failed; `None` if the latest one succeeded.
+    /// When the first of the latest failed requests failed; `None` if the latest request
+    /// succeeded.
     failing_since: Mutex<Option<Instant>>,
 }
 
@@ -50,8 +51,8 @@
     pub timeout: Duration,
 }
 
-/// Reads the body of a successful response.
-pub(super) fn parse<T: DeserializeOwned>(
+/// Parses the body of a response.
+pub(super) fn parse_body<T: DeserializeOwned>(
     response: &Response,
     operation: impl FnOnce() -> Operation,
 ) -> Result<T, StoreError> {
@@ -59,7 +60,7 @@
 }
 
 impl Store {
-    /// A client of the state service at `address` (`host:port`) that keeps its
+    /// Creates a client of the state service at `address` (`host:port`) that uses its
     /// share of `limits`.
     pub fn new(http: HttpClient, address: String, limits: &StateLimits) -> Self {
         let request_rate = limits.rps * REQUEST_SHARE;
@@ -67,8 +68,8 @@
         Self {
             http,
             address,
-            requests: RateLimiter::new(request_rate, request_rate),
-            changes: RateLimiter::new(change_rate, change_rate),
+            request_budget: RateLimiter::new(request_rate, request_rate),
+            change_budget: RateLimiter::new(change_rate, change_rate),
             limits: limits.clone(),
             failing_since: Mutex::new(None),
         }
@@ -82,11 +83,12 @@
             .is_none_or(|since| since.elapsed() < UNREACHABLE_AFTER)
     }
 
-    /// How many changes the budget allows within `period`, one at least.
+    /// Number of changes that the budget allows within `period`, at least 1.
     pub fn max_changes_within(&self, period: Duration) -> f64 {
-        (self.changes.rate() * period.as_secs_f64()).max(1.0)
+        (self.change_budget.rate() * period.as_secs_f64()).max(1.0)
     }
 
+    /// Records the result of a request: it failed if it got no response or status 503.
     fn record_reachability(&self, succeeded: bool) {
         let mut failing_since = self.failing_since.lock();
         if succeeded {
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Sends a request outside the budget, which the caller has to respect.
+    /// Sends a request without taking it from the budgets, which is up to the caller.
     pub(super) async fn call(
         &self,
         request: StoreRequest<'_>,
@@ -116,18 +118,20 @@
         response.map_err(|e| StoreError::no_response(operation(), e))
     }
 
-    /// Goes down to the announced rates after a refusal for the rate. They begin to
-    /// hold without notice, so that a refusal is the only sign of it.
+    /// Lowers the budgets to the announced limits after a refusal for the rate. These
+    /// limits take effect without notice; a refusal is the only sign of it.
     fn lower_rates(&self) {
         let now = Instant::now();
         let request_rate = self.limits.min_rps() * REQUEST_SHARE;
         let change_rate = self.limits.min_write_rps() * CHANGE_SHARE;
         let lowered = [
-            self.requests.lower_rate(request_rate, now),
-            self.changes.lower_rate(change_rate, now),
+            self.request_budget.lower_rate(request_rate, now),
+            self.change_budget.lower_rate(change_rate, now),
         ];
         if lowered.contains(&true) {
-            info!("the state service refuses for its rate, lowering to the announced limits");
+            info!(
+                "state service refused a request for its rate, lowering the budgets to the announced limits"
+            );
         }
     }
 }
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -4,41 +4,41 @@
 
 use crate::http::HttpError;
 
-/// A request to the state service, as named in errors.
+/// A request to the state service, as it is named in errors.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Operation {
-    /// The read of a key.
+    /// Read of a key.
     Get {
         /// The key.
         key: String,
     },
-    /// The read of all keys with a prefix.
+    /// Read of all keys with a prefix.
     List {
         /// The prefix.
         prefix: String,
     },
-    /// The wait for a change of a key with a prefix.
+    /// Watch for changes of the keys with a prefix.
     Watch {
         /// The prefix.
         prefix: String,
     },
-    /// A transaction.
+    /// Execution of a transaction.
     Transact {
-        /// The key that it changes first; none if it changes nothing.
+        /// Key of its first change; `None` if it changes nothing.
         first_key: Option<String>,
-        /// Puts and deletes in it.
+        /// Number of puts and deletes.
         changes: usize,
     },
-    /// The grant of a lease.
+    /// Grant of a lease.
     GrantLease,
-    /// The renewal of a lease.
+    /// Renewal of a lease.
     RenewLease {
-        /// The lease's number.
+        /// Id of the lease.
         lease: u64,
     },
-    /// The revocation of a lease.
+    /// Revocation of a lease.
     RevokeLease {
-        /// The lease's number.
+        /// Id of the lease.
         lease: u64,
     },
 }
@@ -61,20 +61,20 @@
     }
 }
 
-/// What the client saw of a request that failed.
+/// How a request failed, as the client saw it.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub enum FailureCause {
     /// No response.
     #[error("{0}")]
     Http(#[source] Box<HttpError>),
     /// A response with this HTTP status.
     #[error("status {0}")]
     Status(u16),
-    /// A response of success whose body can't be read.
+    /// A response whose body can't be parsed.
     #[error("malformed response: {0}")]
     MalformedResponse(#[source] serde_json::Error),
-    /// This client's own budget of requests has no room soon enough.
-    #[error("the budget of requests is used up")]
+    /// The client's own request budget is used up for longer than the caller waits.
+    #[error("request budget exhausted")]
     BudgetExhausted,
 }
 
@@ -82,72 +82,72 @@
 /// caller may conclude about its execution.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Refused for now: it was not executed.
+    /// Not sent, or refused for now: the request was not executed.
     #[error("state service unavailable: {operation}: {source}")]
     Unavailable {
         /// The request.
         operation: Operation,
-        /// What the client saw.
-        source: Failure,
+        /// How it failed.
+        source: FailureCause,
     },
-    /// No usable response: it may have been executed, or may still be.
+    /// No usable response: the request may have been executed, or may still be.
     #[error("state service did not answer: {operation}: {source}")]
     Unanswered {
         /// The request.
         operation: Operation,
-        /// What the client saw.
-        source: Failure,
+        /// How it failed.
+        source: FailureCause,
     },
     /// Conditions of a transaction did not hold: it was not executed.
-    #[error("conditions failed: {failed_keys:?}")]
+    #[error("conditions of the transaction failed for keys {failed_keys:?}")]
     Conflict {
         /// The keys whose conditions did not hold.
         failed_keys: Vec<String>,
     },
-    /// The lease does not exist, or exists no more.
+    /// The lease does not exist, or has ended.
     #[error("no such lease: {operation}")]
     LeaseNotFound {
         /// The request.
         operation: Operation,
     },
-    /// Larger than the limits allow, so it was not sent.
-    #[error("larger than the state service's limits allow: {operation}")]
+    /// The request exceeds the limits on sizes, so it was not sent.
+    #[error("request exceeds the state service's limits on sizes: {operation}")]
     TooLarge {
         /// The request.
         operation: Operation,
     },
-    /// The revision to watch from is no longer kept.
-    #[error("revision too old: {operation}")]
+    /// The state service no longer keeps the revision to watch from.
+    #[error("revision is no longer kept: {operation}")]
     RevisionTooOld {
         /// The request.
         operation: Operation,
     },
-    /// Rejected for good: the same request would be rejected again.
-    #[error("rejected with status {status}: {operation}")]
+    /// Rejected permanently: the same request would be rejected again.
+    #[error("state service rejected the request with status {status}: {operation}")]
     Rejected {
         /// The request.
         operation: Operation,
         /// HTTP status of the response.
         status: u16,
     },
-    /// The request can't be put into JSON, so it was not sent.
-    #[error("can't be serialized: {operation}: {source}")]
+    /// The request can't be serialized as JSON, so it was not sent.
+    #[error("request can't be serialized: {operation}: {source}")]
     Unserializable {
         /// The request.
         operation: Operation,
-        /// What failed.
+        /// The serializer's error.
         source: serde_json::Error,
     },
-    /// A stored value is not what its key is for.
-    #[error("the value of {key} can't be read")]
+    /// A stored value doesn't have the content that its key is for.
+    #[error("value of key {key} can't be read")]
     UnreadableValue {
         /// The key.
         key: String,
-        /// What failed, if the value is not even of the right form.
+        /// The parser's error; `None` if the caller found the value invalid itself.
         source: Option<serde_json::Error>,
     },
     /// A key that has to exist does not.
-    #[error("{key} does not exist")]
+    #[error("key {key} does not exist")]
     KeyNotFound {
         /// The key.
         key: String,
@@ -155,15 +155,15 @@
 }
 
 impl StoreError {
-    pub(super) fn unavailable(operation: Operation, source: Failure) -> Self {
+    pub(super) fn unavailable(operation: Operation, source: FailureCause) -> Self {
         Self::Unavailable { operation, source }
     }
 
-    /// No response. Of a request that was never sent it is known that it was not
+    /// Error of a request without a response. One that was never sent was certainly not
     /// executed.
     pub(super) fn no_response(operation: Operation, source: HttpError) -> Self {
         let unsent = matches!(source, HttpError::Unsent { .. });
-        let source = Failure::Http(Box::new(source));
+        let source = FailureCause::Http(Box::new(source));
         if unsent {
             Self::Unavailable { operation, source }
         } else {
@@ -171,18 +171,18 @@
         }
     }
 
-    /// A response of success whose body can't be read.
+    /// Error of a response whose body can't be parsed.
     pub(super) fn malformed(operation: Operation, source: serde_json::Error) -> Self {
         Self::Unanswered {
             operation,
-            source: Failure::MalformedResponse(source),
+            source: FailureCause::MalformedResponse(source),
         }
     }
 
-    /// A response with a status that means no success and nothing particular to
-    /// the request.
-    pub(super) fn refused(operation: Operation, status: u16) -> Self {
-        let source = Failure::Status(status);
+    /// Error of a response whose status is not success and has no meaning of its own for
+    /// the request. After a 5xx other than 503 the request may have been executed.
+    pub(super) fn from_status(operation: Operation, status: u16) -> Self {
+        let source = FailureCause::Status(status);
         match status {
             429 | 503 => Self::Unavailable { operation, source },
             500..=599 => Self::Unanswered { operation, source },
--- a/src/store/leases.rs
+++ b/src/store/leases.rs
@@ -1,19 +1,19 @@
-//! Leases: keys attached to one are deleted when it expires or is revoked.
+//! Leases: the keys attached to a lease are deleted when it expires or is revoked.
 
 use std::time::{Duration, Instant};
 
 use hyper::Method;
 
-use super::client::{parse, Store, StoreRequest, REQUEST_TIMEOUT};
+use super::client::{parse_body, Store, StoreRequest, REQUEST_TIMEOUT};
 use super::error::{Operation, StoreError};
 use crate::wire::LeaseGrant;
 
 impl Store {
-    /// Grants a lease that expires `life` after its last renewal; its number.
-    pub async fn grant_lease(&self, life: Duration) -> Result<u64, StoreError> {
-        self.requests.acquire(1.0).await;
+    /// Grants a lease that expires `ttl` after its last renewal; returns its id.
+    pub async fn grant_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
+        self.request_budget.acquire(1.0).await;
         let operation = || Operation::GrantLease;
-        let body = format!("{{\"life_ms\":{}}}", life.as_millis()).into_bytes();
+        let body = format!("{{\"life_ms\":{}}}", ttl.as_millis()).into_bytes();
         let request = StoreRequest {
             method: Method::POST,
             path: "/holds",
@@ -22,15 +22,15 @@
         };
         let response = self.call(request, operation).await?;
         match response.status {
-            200 => Ok(parse::<LeaseGrant>(&response, operation)?.lease),
-            status => Err(StoreError::refused(operation(), status)),
+            200 => Ok(parse_body::<LeaseGrant>(&response, operation)?.lease),
+            status => Err(StoreError::from_status(operation(), status)),
         }
     }
 
-    /// Renews a lease. It counts against the budget but never waits for it, as it
-    /// must not queue behind other requests.
+    /// Renews a lease. The renewal counts against the request budget but never waits for
+    /// it, as it must not queue behind other requests.
     pub async fn renew_lease(&self, lease: u64, timeout: Duration) -> Result<(), StoreError> {
-        self.requests.take(1.0, Instant::now());
+        self.request_budget.take(1.0, Instant::now());
         let operation = || Operation::RenewLease { lease };
         let request = StoreRequest {
             method: Method::POST,
@@ -44,12 +44,12 @@
             404 => Err(StoreError::LeaseNotFound {
                 operation: operation(),
             }),
-            status => Err(StoreError::refused(operation(), status)),
+            status => Err(StoreError::from_status(operation(), status)),
         }
     }
 
-    /// Ends a lease at once; succeeds as well if it has ended before. Outside the
-    /// budget.
+    /// Revokes a lease; succeeds also if it has ended already. The request is not taken
+    /// from the budget.
     pub async fn revoke_lease(&self, lease: u64) -> Result<(), StoreError> {
         let operation = || Operation::RevokeLease { lease };
         let request = StoreRequest {
@@ -61,7 +61,7 @@
         let response = self.call(request, operation).await?;
         match response.status {
             200 | 404 => Ok(()),
-            status => Err(StoreError::refused(operation(), status)),
+            status => Err(StoreError::from_status(operation(), status)),
         }
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -2,11 +2,11 @@
 //! leases and watches.
 //!
 //! * [`Store`] (`client`) is the client; `reads`, `transactions` and `leases` hold
-//!   its requests. Every request but the renewal and the revocation of a lease waits
-//!   for this controller's share of the service's limits ([`rate_limiter`]).
+//!   its requests. Every request except the renewal and the revocation of a lease waits
+//!   until this controller's share of the service's rate limits allows it
+//!   ([`rate_limiter`]).
 //! * [`error`] says which request failed, how, and whether it may have been executed.
-//! * [`writer`] is the group commit of one leader term. Only the leader of that term
-//!   writes through it.
+//! * [`writer`] is the group commit of one leader term, used by the leader only.
 
 mod client;
 pub mod error;
--- a/src/store/reads.rs
+++ b/src/store/reads.rs
@@ -5,20 +5,21 @@
 use hyper::Method;
 use serde::de::DeserializeOwned;
 
-use super::client::{parse, Store, StoreRequest, REQUEST_TIMEOUT};
-use super::error::{Failure, Operation, StoreError};
+use super::client::{parse_body, Store, StoreRequest, REQUEST_TIMEOUT};
+use super::error::{FailureCause, Operation, StoreError};
 use crate::wire::{KeyPage, KeyValue, TransactionResult, WatchResponse};
 
-/// How long a user's read may wait for the budget.
+/// How long a user's read may wait for the request budget.
 const MAX_BUDGET_WAIT: Duration = Duration::from_millis(250);
-/// How long a user's read may take once it is sent.
+/// Timeout of a user's read, from the moment of sending.
 const USER_READ_TIMEOUT: Duration = Duration::from_millis(900);
-/// Keys read with one request of a listing.
+/// Keys per request of a listing.
 const PAGE_SIZE: usize = 500;
-/// How much longer than the state service holds a watch its response may take.
+/// Time that the response of a watch may take beyond the time that the state service
+/// holds it open.
 const WATCH_MARGIN: Duration = Duration::from_secs(3);
 
-/// What a read of one key found.
+/// Result of the read of one key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KeyRead {
     /// The key exists.
@@ -30,14 +31,13 @@
     },
 }
 
-/// Reads the value of a key; [`StoreError::UnreadableValue`] if it is not what the
-/// key is for.
+/// Parses the value of a key; [`StoreError::UnreadableValue`] if it is not of type `T`.
 pub fn parse_value<T: DeserializeOwned>(item: KeyValue) -> Result<T, StoreError> {
     let KeyValue { key, value, .. } = item;
     serde_json::from_value(value).map_err(|e| StoreError::UnreadableValue { key, source: Some(e) })
 }
 
-/// All keys with a prefix, as of one or more pages read one after the other.
+/// All keys with a prefix, read in one or more pages one after the other.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Listing {
     /// The keys with their values, in key order.
@@ -47,20 +47,20 @@
 }
 
 impl Store {
-    /// Reads a key, once the budget allows it.
+    /// Reads a key once the request budget allows it.
     pub async fn get(&self, key: &str) -> Result<KeyRead, StoreError> {
-        self.requests.acquire(1.0).await;
+        self.request_budget.acquire(1.0).await;
         self.read_key(key, REQUEST_TIMEOUT).await
     }
 
-    /// [`Store::get`] for a user who waits for the response: if the budget is used
-    /// up for longer than `MAX_BUDGET_WAIT`, as in a flood of polls, it fails with
+    /// [`Store::get`] for a user who waits for the response. If the request budget is
+    /// used up for longer than `MAX_BUDGET_WAIT`, as in a flood of polls, it fails with
     /// [`StoreError::Unavailable`] at once, so that the leader's own requests don't
-    /// queue behind it.
+    /// queue behind users' reads.
     pub async fn get_for_user(&self, key: &str) -> Result<KeyRead, StoreError> {
-        if !self.requests.acquire_within(1.0, MAX_BUDGET_WAIT).await {
+        if !self.request_budget.acquire_within(1.0, MAX_BUDGET_WAIT).await {
             let operation = Operation::Get { key: key.to_owned() };
-            return Err(StoreError::unavailable(operation, Failure::BudgetExhausted));
+            return Err(StoreError::unavailable(operation, FailureCause::BudgetExhausted));
         }
         self.read_key(key, USER_READ_TIMEOUT).await
     }
@@ -75,16 +75,16 @@
         };
         let response = self.call(request, operation).await?;
         match response.status {
-            200 => Ok(KeyRead::Found(parse(&response, operation)?)),
+            200 => Ok(KeyRead::Found(parse_body(&response, operation)?)),
             404 => Ok(KeyRead::Missing {
-                revision: parse::<TransactionResult>(&response, operation)?.revision,
+                revision: parse_body::<TransactionResult>(&response, operation)?.revision,
             }),
-            status => Err(StoreError::refused(operation(), status)),
+            status => Err(StoreError::from_status(operation(), status)),
         }
     }
 
     /// Reads all keys with a prefix, page by page. Each page is current when it is
-    /// read; the whole is no snapshot.
+    /// read; the listing as a whole is not a snapshot.
     pub async fn list(&self, prefix: &str) -> Result<Listing, StoreError> {
         let mut items: Vec<KeyValue> = Vec::new();
         loop {
@@ -101,7 +101,7 @@
     }
 
     async fn read_page(&self, prefix: &str, after: Option<&KeyValue>) -> Result<KeyPage, StoreError> {
-        self.requests.acquire(1.0).await;
+        self.request_budget.acquire(1.0).await;
         let operation = || Operation::List {
             prefix: prefix.to_owned(),
         };
@@ -116,15 +116,15 @@
         };
         let response = self.call(request, operation).await?;
         if response.status != 200 {
-            return Err(StoreError::refused(operation(), response.status));
+            return Err(StoreError::from_status(operation(), response.status));
         }
-        parse(&response, operation)
+        parse_body(&response, operation)
     }
 
     /// Waits up to `hold` for changes of keys with the prefix after the revision
-    /// `since`. The response has no events if there were none.
+    /// `since` (a long poll). The response has no events if there were none.
     pub async fn watch(&self, prefix: &str, since: u64, hold: Duration) -> Result<WatchResponse, StoreError> {
-        self.requests.acquire(1.0).await;
+        self.request_budget.acquire(1.0).await;
         let operation = || Operation::Watch {
             prefix: prefix.to_owned(),
         };
@@ -137,11 +137,11 @@
         };
         let response = self.call(request, operation).await?;
         match response.status {
-            200 => parse(&response, operation),
+            200 => parse_body(&response, operation),
             410 => Err(StoreError::RevisionTooOld {
                 operation: operation(),
             }),
-            status => Err(StoreError::refused(operation(), status)),
+            status => Err(StoreError::from_status(operation(), status)),
         }
     }
 }
--- a/src/store/transactions.rs
+++ b/src/store/transactions.rs
@@ -1,14 +1,15 @@
-//! Transactions: changes that are made together, if all conditions hold.
+//! Transactions: changes that are made atomically if all conditions hold.
 
 use std::time::Duration;
 
 use hyper::Method;
 
-use super::client::{parse, Store, StoreRequest};
+use super::client::{parse_body, Store, StoreRequest};
 use super::error::{Operation, StoreError};
 use crate::wire::{Change, Transaction, TransactionResult};
 
-/// What the body of a 400 has if the transaction names a lease that does not exist.
+/// Text in the body of a 400 response if the transaction names a lease that does not
+/// exist.
 const NO_SUCH_LEASE: &[u8] = b"no such";
 
 fn operation_of(transaction: &Transaction) -> Operation {
@@ -19,14 +20,15 @@
 }
 
 impl Store {
-    /// Executes an urgent transaction, which may use the whole budget; its revision.
+    /// Executes an urgent transaction, which may use the whole change budget. Returns its
+    /// revision.
     pub async fn transact(&self, transaction: &Transaction, timeout: Duration) -> Result<u64, StoreError> {
         self.transact_above_reserve(transaction, timeout, 0.0).await
     }
 
-    /// Executes a transaction that leaves `reserve`, a share of the budget of
-    /// changes (0 to 1), to urgent ones; its revision. `timeout` counts from the
-    /// moment of sending, after the wait for the budget.
+    /// Executes a transaction once the budgets allow it and leave `reserve`, a share of
+    /// the change budget's burst (0 to 1), to urgent ones. Returns its revision.
+    /// `timeout` counts from the moment of sending, after the wait for the budgets.
     pub async fn transact_above_reserve(
         &self,
         transaction: &Transaction,
@@ -35,10 +37,10 @@
     ) -> Result<u64, StoreError> {
         let operation = || operation_of(transaction);
         self.check_size(transaction)?;
-        self.requests.acquire(1.0).await;
+        self.request_budget.acquire(1.0).await;
         if !transaction.changes.is_empty() {
             let changes = transaction.changes.len() as f64;
-            self.changes.acquire_above_reserve(changes, reserve).await;
+            self.change_budget.acquire_above_reserve(changes, reserve).await;
         }
         let body = serde_json::to_vec(transaction).map_err(|source| StoreError::Unserializable {
             operation: operation(),
@@ -52,19 +54,19 @@
         };
         let response = self.call(request, operation).await?;
         match response.status {
-            200 => Ok(parse::<TransactionResult>(&response, operation)?.revision),
+            200 => Ok(parse_body::<TransactionResult>(&response, operation)?.revision),
             409 => Err(StoreError::Conflict {
-                failed_keys: parse::<TransactionResult>(&response, operation)?.failed,
+                failed_keys: parse_body::<TransactionResult>(&response, operation)?.failed,
             }),
             400 if contains(&response.body, NO_SUCH_LEASE) => Err(StoreError::LeaseNotFound {
                 operation: operation(),
             }),
-            status => Err(StoreError::refused(operation(), status)),
+            status => Err(StoreError::from_status(operation(), status)),
         }
     }
 
-    /// Checks that a transaction keeps within the limits on sizes that hold now and
-    /// those that are announced. Every transaction passes here.
+    /// Checks a transaction against the limits on sizes that hold now and the announced
+    /// ones. Every transaction is checked here.
     fn check_size(&self, transaction: &Transaction) -> Result<(), StoreError> {
         let max_bytes = self.limits.value_bytes();
         let is_too_large = |change: &Change| match change {
--- a/src/store/writer/batch.rs
+++ b/src/store/writer/batch.rs
@@ -1,4 +1,4 @@
-//! Queued writes, and which of them go together in one transaction.
+//! Queued writes, batches of them, and the size limits of a batch's transaction.
 
 use serde_json::Value;
 use tokio::sync::oneshot;
@@ -6,38 +6,39 @@
 use super::CommitError;
 use crate::core::storage::atomic_write::AtomicWrite;
 
-/// Bytes of keys and values in one transaction, below the protocol's 64 KiB.
-const MAX_BYTES: usize = 48 * 1024;
-/// The protocol takes so many conditions for each change that it takes.
-const CONDITIONS_PER_CHANGE: usize = 4;
-/// Estimated bytes of a deletion beside its key.
+/// Limit on the estimated bytes of keys and values in one transaction, below the
+/// protocol's 64 KiB.
+const MAX_TRANSACTION_BYTES: usize = 48 * 1024;
+/// The protocol allows this many conditions for each change that it allows.
+const MAX_CONDITIONS_PER_CHANGE: usize = 4;
+/// Estimated bytes of a deletion, without its key.
 const DELETION_BYTES: usize = 16;
 /// Estimated bytes of a number, a boolean or null.
 const SCALAR_BYTES: usize = 20;
 
-type Outcome = Result<(), CommitError>;
+type CommitResult = Result<(), CommitError>;
 
-/// A write whose caller waits for its outcome.
+/// A write, and the channel on which its caller waits for the outcome.
 #[derive(Debug)]
 pub(super) struct QueuedWrite {
     pub(super) write: AtomicWrite,
-    reply: oneshot::Sender<Outcome>,
+    reply: oneshot::Sender<CommitResult>,
 }
 
 impl QueuedWrite {
-    /// A write, and where its outcome arrives.
-    pub(super) fn new(write: AtomicWrite) -> (Self, oneshot::Receiver<Outcome>) {
+    /// Creates a queued write, and the receiver of its outcome.
+    pub(super) fn new(write: AtomicWrite) -> (Self, oneshot::Receiver<CommitResult>) {
         let (reply, outcome) = oneshot::channel();
         (Self { write, reply }, outcome)
     }
 
-    /// Returns the outcome to the caller. A caller that has given up is no failure.
-    pub(super) fn finish(self, outcome: Outcome) {
+    /// Reports the outcome to the caller, unless it has stopped waiting.
+    pub(super) fn finish(self, outcome: CommitResult) {
         let _ = self.reply.send(outcome);
     }
 }
 
-/// Writes that go in one transaction, all urgent or none.
+/// Writes that are sent in one transaction. Either all of them are urgent, or none.
 #[derive(Debug, Default)]
 pub(super) struct Batch {
     writes: Vec<QueuedWrite>,
@@ -52,7 +53,7 @@
         self.writes.len()
     }
 
-    /// Whether users wait for it.
+    /// Whether its writes are urgent; false for an empty batch.
     pub(super) fn is_urgent(&self) -> bool {
         self.writes.first().is_some_and(|queued| queued.write.urgent)
     }
@@ -65,23 +66,23 @@
         self.writes.iter().map(|queued| &queued.write)
     }
 
-    /// The keys that its writes name, some maybe more than once.
+    /// The keys that its writes change or require to be absent; may contain duplicates.
     pub(super) fn keys(&self) -> impl Iterator<Item = &String> {
         self.writes().flat_map(AtomicWrite::keys)
     }
 
-    /// Keys and their new values (`None`: to be deleted).
+    /// The changed keys and their new values; `None` deletes the key.
     pub(super) fn changes(&self) -> impl Iterator<Item = &(String, Option<Value>)> {
         self.writes().flat_map(|write| &write.changes)
     }
 
-    /// Splits the later half off.
+    /// Removes the later half of the writes, and returns it.
     pub(super) fn split_off_half(&mut self) -> Batch {
         let writes = self.writes.split_off(self.writes.len() / 2);
         Batch { writes }
     }
 
-    /// Lets all its writes fail.
+    /// Fails all its writes with `error`.
     pub(super) fn fail(self, error: &CommitError) {
         for queued in self.writes {
             queued.finish(Err(error.clone()));
@@ -98,25 +99,25 @@
     }
 }
 
-/// What a transaction holds, in the units of its limits.
+/// Size of a transaction, in the units of the limits.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TransactionSize {
     changes: usize,
     conditions: usize,
-    /// Of keys and values, estimated.
+    /// Estimated bytes of keys and values.
     bytes: usize,
 }
 
 impl TransactionSize {
-    /// A transaction of the leader's condition alone.
+    /// A transaction that contains only the condition on the leader's key.
     pub(super) const EMPTY: Self = Self {
         changes: 0,
         conditions: 1,
         bytes: 0,
     };
 
-    /// With one write more.
-    pub(super) fn with(self, write: &AtomicWrite) -> Self {
+    /// The size after one more write is added.
+    pub(super) fn with_write(self, write: &AtomicWrite) -> Self {
         let bytes: usize = write
             .changes
             .iter()
@@ -129,20 +130,20 @@
         }
     }
 
-    /// Whether a transaction of one write may have this size. One that is larger
-    /// than the limits on changes and bytes is sent all the same: the state service
-    /// decides.
+    /// Whether a single write of this size may be sent. Only the limit on conditions
+    /// applies: a write that exceeds the limits on changes or bytes can't be split, so
+    /// it is sent anyway, and is refused if it is too large.
     pub(super) fn fits_alone(self, max_changes: usize) -> bool {
-        self.conditions <= max_changes * CONDITIONS_PER_CHANGE
+        self.conditions <= max_changes * MAX_CONDITIONS_PER_CHANGE
     }
 
-    /// Whether a transaction of several writes may have this size.
+    /// Whether several writes of this total size may be sent together.
     pub(super) fn fits(self, max_changes: usize) -> bool {
-        self.changes <= max_changes && self.fits_alone(max_changes) && self.bytes <= MAX_BYTES
+        self.changes <= max_changes && self.fits_alone(max_changes) && self.bytes <= MAX_TRANSACTION_BYTES
     }
 }
 
-/// About how long a value is as JSON; `None` is a deletion.
+/// Estimated length of a value as JSON, in bytes; `None` is a deletion.
 fn estimated_bytes(value: Option<&Value>) -> usize {
     match value {
         None => DELETION_BYTES,
--- a/src/store/writer/mod.rs
+++ b/src/store/writer/mod.rs
@@ -1,15 +1,15 @@
-//! Group commit of one leader term: what the leader writes goes to the state service
-//! in as few transactions as the limits allow.
+//! Group commit of one leader term: combines the leader's writes into as few
+//! transactions of the state service as its limits allow.
 //!
-//! * [`Writer`] takes the writes of one term and ends with it. Only the leader of the
+//! * [`Writer`] accepts the writes of one term and ends with it. Only the leader of the
 //!   term uses it.
-//! * `state` holds the queue, the known versions of keys and what is in flight; all
-//!   of it is behind one lock.
-//! * `batch` decides which queued writes fit into one transaction, `transaction`
-//!   turns them into it.
-//! * `send` executes a batch, and splits one that is refused for its size.
-//! * `resolve` finds out what became of a transaction that was not answered, or whose
-//!   conditions did not hold.
+//! * `state` holds the queue, the known versions of keys and the keys in flight, all
+//!   behind one lock, and selects the writes of the next batch.
+//! * `batch` holds a batch of writes and the size limits, `transaction` builds the
+//!   transaction that executes it.
+//! * `send` sends a batch until its outcome is known, and splits one that is refused.
+//! * `resolve` handles a transaction whose conditions did not hold: it tells an earlier
+//!   attempt that was executed without an answer from a change by another writer.
 
 mod batch;
 mod resolve;
@@ -34,36 +34,37 @@
     /// The term has ended. The write may have been executed if it was in flight.
     #[error("no longer the leader")]
     Deposed,
-    /// The state service won't take it, for its size or otherwise. An earlier copy
-    /// of it that was not answered may have been executed all the same.
+    /// The write was refused, for its size or another reason that a retry doesn't
+    /// change. An earlier attempt that was not answered may still have been executed.
     #[error("refused by the state service")]
     Refused,
-    /// These keys of it were changed by somebody else; it was not executed.
+    /// These keys of the write were changed by another writer; it was not executed.
     #[error("keys changed by another: {0:?}")]
     Conflict(Vec<String>),
 }
 
-/// Share of the budget of changes that writes which no user waits for leave to those
-/// that are urgent.
+/// Share of the change budget's burst that writes which are not urgent leave to urgent
+/// ones, for which users wait.
 pub const URGENT_RESERVE: f64 = 0.3;
 
-/// Group commit of one term: writes queue while earlier ones are in flight, then go
-/// together in as few transactions as the limits allow. Every transaction has the
-/// leader's key and each key it changes among its conditions, so that a late copy of
-/// it can't be executed.
+/// Group commit of one term: writes are queued while earlier ones are in flight, then
+/// combined into as few transactions as the limits allow. Every transaction is
+/// conditional on the versions of the leader's key and of each key that it changes, so
+/// that a delayed copy of it can't be executed later.
 #[derive(Debug)]
 pub struct Writer {
     store: Arc<Store>,
     term: u64,
     leader_key: &'static str,
     state: Mutex<WriterState>,
-    /// Something may be due: a write was queued, a transaction ended, or the term.
+    /// Wakes [`Writer::run`]: a write was queued, a transaction has finished, or the term
+    /// has ended.
     wake: Notify,
 }
 
 impl Writer {
-    /// A writer of the term in which `leader_key` has the version `term`. A
-    /// transaction gets at most `max_changes` puts and deletes.
+    /// Creates the writer of the term in which `leader_key` has the version `term`.
+    /// Writes are combined up to `max_changes` puts and deletes per transaction.
     pub fn new(store: Arc<Store>, leader_key: &'static str, term: u64, max_changes: usize) -> Arc<Self> {
         Arc::new(Self {
             store,
@@ -75,7 +76,7 @@
     }
 
     /// Sets the version that a key has in the state service, 0 if it does not exist.
-    /// The next write of the key has it as its condition.
+    /// The next write of the key is conditional on it.
     pub fn set_known_version(&self, key: &str, version: u64) {
         self.state.lock().set_version(key, version);
     }
@@ -93,14 +94,14 @@
         self.wake.notify_one();
     }
 
-    /// Puts and deletes of urgent writes that are queued, not yet in flight.
+    /// Number of puts and deletes in urgent writes that are queued and not in flight.
     pub fn queued_urgent_changes(&self) -> usize {
         self.state.lock().queued_urgent_changes()
     }
 
     /// Commits a write; returns once it is stored or has failed. Writes of the same
-    /// key are executed in the order of these calls, except that an urgent one goes
-    /// before those in the queue that are not.
+    /// key are executed in the order of these calls, except that an urgent one overtakes
+    /// queued ones that are not urgent.
     pub async fn commit(&self, write: AtomicWrite) -> Result<(), CommitError> {
         let (queued, outcome) = QueuedWrite::new(write);
         {
@@ -114,7 +115,7 @@
         outcome.await.unwrap_or(Err(CommitError::Deposed))
     }
 
-    /// Sends what is queued until the term ends.
+    /// Sends queued writes until the term ends.
     pub async fn run(self: Arc<Self>) {
         loop {
             self.wake.notified().await;
@@ -123,10 +124,10 @@
             }
             while let Some(batch) = self.next_batch() {
                 let writer = self.clone();
-                // Not a task of this loop: a transaction in flight when the loop is
-                // aborted runs on, so that those who wait for it learn its outcome.
+                // A task of its own: if this loop is aborted, the transactions in flight
+                // still finish, and their callers learn the outcome.
                 tokio::spawn(async move {
-                    writer.send(batch).await;
+                    writer.send_batch(batch).await;
                     writer.wake.notify_one();
                 });
             }
@@ -137,7 +138,7 @@
         self.state.lock().take_batch()
     }
 
-    /// Holds as long as this controller leads in this term.
+    /// The condition that this controller still leads in this term.
     fn leader_condition(&self) -> Condition {
         Condition {
             key: self.leader_key.to_owned(),
--- a/src/store/writer/resolve.rs
+++ b/src/store/writer/resolve.rs
@@ -1,4 +1,4 @@
-//! What became of a transaction whose conditions did not hold.
+//! Handling of transactions whose conditions did not hold.
 
 use std::collections::HashMap;
 
@@ -7,30 +7,31 @@
 use tracing::info;
 
 use super::batch::Batch;
-use super::send::{EarlierCopy, UNAVAILABLE_PAUSE};
+use super::send::{EarlierAttempt, UNAVAILABLE_PAUSE};
 use super::{CommitError, Writer};
 use crate::store::KeyRead;
 
-/// What the state service has of a key.
+/// Version and value of a key in the state service.
 struct StoredValue {
     /// 0 if the key does not exist.
     version: u64,
+    /// Null if the key does not exist.
     value: Value,
 }
 
 impl Writer {
-    /// Some keys were not as expected: either an earlier copy of this very
-    /// transaction, which was not answered, has been executed, or somebody else has
-    /// written the keys. Reads the keys to find out. Writes whose keys were changed
-    /// by somebody else fail; the rest, which is to be sent again, is returned.
+    /// Handles a transaction whose conditions on `failed_keys` did not hold: either an
+    /// earlier attempt, which was not answered, has been executed, or another writer has
+    /// changed the keys. Reads the keys to find out which. Writes whose keys were
+    /// changed by another writer fail; the others are returned, to be sent again.
     pub(super) async fn resolve_conflict(
         &self,
         batch: Batch,
         failed_keys: &[String],
-        earlier_copy: EarlierCopy,
+        earlier_attempt: EarlierAttempt,
     ) -> Batch {
         let mut keys = failed_keys.to_vec();
-        if earlier_copy == EarlierCopy::Possible {
+        if earlier_attempt == EarlierAttempt::MaybeExecuted {
             keys.extend(batch.changes().map(|(key, _)| key.clone()));
         }
         keys.sort();
@@ -38,8 +39,8 @@
         let Some(stored) = self.read_stored(&keys).await else {
             return batch;
         };
-        if earlier_copy == EarlierCopy::Possible {
-            if let Some(revision) = revision_of_copy(&batch, &stored) {
+        if earlier_attempt == EarlierAttempt::MaybeExecuted {
+            if let Some(revision) = revision_of_earlier_attempt(&batch, &stored) {
                 self.state.lock().record_stored(batch, revision);
                 return Batch::default();
             }
@@ -53,17 +54,17 @@
         fail_conflicting(batch, failed_keys)
     }
 
-    /// Reads keys, each until that succeeds; `None` if the term ends first.
+    /// Reads keys, retrying each until that succeeds; `None` if the term ends first.
     async fn read_stored(&self, keys: &[String]) -> Option<HashMap<String, StoredValue>> {
         let mut stored = HashMap::new();
         for key in keys {
-            let found = self.read_until_answered(key).await?;
+            let found = self.read_with_retries(key).await?;
             stored.insert(key.clone(), found);
         }
         Some(stored)
     }
 
-    async fn read_until_answered(&self, key: &str) -> Option<StoredValue> {
+    async fn read_with_retries(&self, key: &str) -> Option<StoredValue> {
         loop {
             if self.has_ended() {
                 return None;
@@ -87,9 +88,10 @@
     }
 }
 
-/// The revision at which a copy of the batch was executed, if the keys that it changes
-/// are all as it leaves them, and were all written at one revision.
-fn revision_of_copy(batch: &Batch, stored: &HashMap<String, StoredValue>) -> Option<u64> {
+/// The revision at which an earlier attempt of the batch was executed: all keys that it
+/// changes are as it leaves them, and all that exist were written at one revision.
+/// `None` if that is not so, or if the batch only deletes.
+fn revision_of_earlier_attempt(batch: &Batch, stored: &HashMap<String, StoredValue>) -> Option<u64> {
     let mut revision = None;
     let is_executed = batch.changes().all(|(key, new_value)| {
         let Some(StoredValue { version, value }) = stored.get(key) else {
@@ -105,7 +107,7 @@
     revision.filter(|_| is_executed)
 }
 
-/// Lets the writes fail that name one of the keys; the others.
+/// Fails the writes that name one of the keys, and returns the others.
 fn fail_conflicting(batch: Batch, failed_keys: &[String]) -> Batch {
     let mut rest = Batch::default();
     for queued in batch {
@@ -114,7 +116,7 @@
         if conflicting.is_empty() {
             rest.push(queued);
         } else {
-            info!(keys = ?conflicting, "write conflicts with keys changed by another");
+            info!(keys = ?conflicting, "write failed: another writer has changed its keys");
             queued.finish(Err(CommitError::Conflict(conflicting)));
         }
     }
--- a/src/store/writer/send.rs
+++ b/src/store/writer/send.rs
@@ -1,4 +1,4 @@
-//! Execution of a batch: sent until its outcome is known or the term ends.
+//! Sends a batch until its outcome is known or the term ends.
 
 use std::time::Duration;
 
@@ -9,28 +9,29 @@
 use super::{CommitError, Writer, URGENT_RESERVE};
 use crate::store::StoreError;
 
-/// How long a transaction may take once it is sent.
+/// Timeout of a transaction, from the moment of sending.
 const TRANSACTION_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Pause after a transaction that was not answered.
+/// Pause before a transaction that was not answered is sent again.
 const UNANSWERED_PAUSE: Duration = Duration::from_millis(50);
-/// Pause while the state service is unavailable.
+/// Pause before a request is sent again while the state service is unavailable.
 pub(super) const UNAVAILABLE_PAUSE: Duration = Duration::from_millis(150);
 
-/// Whether an earlier copy of a transaction, one that was not answered, may have been
-/// executed.
+/// Whether an earlier attempt of a transaction may have been executed. It may if it was
+/// not answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum EarlierCopy {
-    Impossible,
-    Possible,
+pub(super) enum EarlierAttempt {
+    NotExecuted,
+    MaybeExecuted,
 }
 
 impl Writer {
-    /// Executes a batch, and returns the outcome to the callers.
-    pub(super) async fn send(&self, mut batch: Batch) {
+    /// Sends a batch until its outcome is known or the term ends, and reports the outcome
+    /// to the callers of [`Writer::commit`].
+    pub(super) async fn send_batch(&self, mut batch: Batch) {
         let mut keys: Vec<String> = batch.keys().cloned().collect();
-        let mut earlier_copy = EarlierCopy::Impossible;
+        let mut earlier_attempt = EarlierAttempt::NotExecuted;
         while !batch.is_empty() && !self.has_ended() {
-            let transaction = self.transaction(&batch);
+            let transaction = self.build_transaction(&batch);
             let reserve = if batch.is_urgent() { 0.0 } else { URGENT_RESERVE };
             let sending = self
                 .store
@@ -41,28 +42,33 @@
                     self.state.lock().record_stored(stored, revision);
                 }
                 Err(StoreError::Conflict { failed_keys }) if self.is_deposed_by(&failed_keys) => {
-                    info!(term = self.term, "transaction refused: another controller leads");
+                    info!(
+                        term = self.term,
+                        "transaction refused: another controller leads, the term ends"
+                    );
                     self.end();
                 }
                 Err(StoreError::Conflict { failed_keys }) => {
-                    batch = self.resolve_conflict(batch, &failed_keys, earlier_copy).await;
-                    earlier_copy = EarlierCopy::Impossible;
+                    batch = self.resolve_conflict(batch, &failed_keys, earlier_attempt).await;
+                    // The earlier attempt has the same conditions, so it fails as well if it is
+                    // still on its way.
+                    earlier_attempt = EarlierAttempt::NotExecuted;
                 }
                 Err(StoreError::Unanswered { .. }) => {
-                    earlier_copy = EarlierCopy::Possible;
+                    earlier_attempt = EarlierAttempt::MaybeExecuted;
                     debug!("transaction not answered, retrying");
                     sleep(UNANSWERED_PAUSE).await;
                 }
                 Err(StoreError::Unavailable { .. }) => sleep(UNAVAILABLE_PAUSE).await,
                 Err(error) if batch.len() > 1 => {
-                    // The limits may be lower than was announced. Nothing of it was
-                    // executed, so it is sent again in smaller parts.
-                    info!(%error, writes = batch.len(), "transaction refused, splitting it");
-                    self.shrink(&mut batch, transaction.changes.len());
+                    // The limits may be lower than announced. This attempt was not
+                    // executed, so its writes are sent again in smaller transactions.
+                    info!(%error, writes = batch.len(), "transaction refused, retrying in smaller ones");
+                    self.split_batch(&mut batch, transaction.changes.len());
                     keys = batch.keys().cloned().collect();
                 }
                 Err(error) => {
-                    info!(%error, "transaction refused, its write fails");
+                    info!(%error, "transaction of a single write refused, the write fails");
                     std::mem::take(&mut batch).fail(&CommitError::Refused);
                 }
             }
@@ -71,13 +77,14 @@
         self.state.lock().finish_transaction(&keys);
     }
 
+    /// Whether the condition on the leader's key failed, so another controller leads.
     fn is_deposed_by(&self, failed_keys: &[String]) -> bool {
         failed_keys.iter().any(|key| key == self.leader_key)
     }
 
-    /// Puts the later half of a batch back into the queue. Later transactions get at
-    /// most half as many changes as the one that was refused.
-    fn shrink(&self, batch: &mut Batch, refused_changes: usize) {
+    /// Puts the later half of a batch back into the queue, and limits later transactions
+    /// to half as many changes as the refused one had.
+    fn split_batch(&self, batch: &mut Batch, refused_changes: usize) {
         self.state.lock().lower_max_changes(refused_changes / 2);
         let later = batch.split_off_half();
         self.state.lock().put_back(later);
--- a/src/store/writer/state.rs
+++ b/src/store/writer/state.rs
@@ -1,4 +1,4 @@
-//! The queue of writes, what is in flight, and the versions of keys.
+//! The queue of writes, the keys in flight, and the known versions of keys.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -6,23 +6,24 @@
 use super::CommitError;
 use crate::core::storage::record::FINALS;
 
-/// Transactions in flight at once.
-const MAX_IN_FLIGHT: usize = 4;
-/// Changes that a transaction may always have: those of a final state.
+/// Limit on the transactions in flight at once.
+const MAX_TRANSACTIONS_IN_FLIGHT: usize = 4;
+/// Lower bound of `max_changes`: a final state takes this many changes in one transaction.
 const MIN_MAX_CHANGES: usize = 2;
 
 /// State of a writer, behind its lock.
 #[derive(Debug)]
 pub(super) struct WriterState {
-    /// Known versions of keys; a key that isn't there is taken not to exist.
+    /// Known versions of keys; a key without an entry is assumed not to exist.
     versions: HashMap<String, u64>,
-    /// Urgent writes first, each kind in the order of arrival.
+    /// Urgent writes first, then the others, both in the order of arrival;
+    /// [`Self::put_back`] inserts before all of them.
     queue: VecDeque<QueuedWrite>,
-    /// Keys that transactions in flight name.
+    /// Keys of the writes in flight. Other writes of these keys wait.
     keys_in_flight: HashSet<String>,
     transactions_in_flight: usize,
     term_ended: bool,
-    /// Most puts and deletes in a transaction.
+    /// Writes are combined up to this many puts and deletes per transaction.
     max_changes: usize,
 }
 
@@ -56,7 +57,7 @@
         self.term_ended
     }
 
-    /// Ends the term; queued writes fail.
+    /// Ends the term and fails the queued writes.
     pub(super) fn end(&mut self) {
         self.term_ended = true;
         for queued in self.queue.drain(..) {
@@ -74,7 +75,7 @@
             .sum()
     }
 
-    /// Queues a write behind what is as urgent, before what is not.
+    /// Queues an urgent write behind the urgent ones at the head, any other at the end.
     pub(super) fn enqueue(&mut self, queued: QueuedWrite) {
         let position = if queued.write.urgent {
             self.queued_urgent().count()
@@ -84,10 +85,10 @@
         self.queue.insert(position, queued);
     }
 
-    /// Takes writes that may go together now, and counts them as in flight. Writes
-    /// that name the same key stay in order.
+    /// Takes writes from the queue that may be sent in one transaction now, and counts
+    /// them as in flight. Writes that share a key keep their order.
     pub(super) fn take_batch(&mut self) -> Option<Batch> {
-        if self.transactions_in_flight >= MAX_IN_FLIGHT || self.term_ended {
+        if self.transactions_in_flight >= MAX_TRANSACTIONS_IN_FLIGHT || self.term_ended {
             return None;
         }
         let batch = self.collect_batch();
@@ -102,22 +103,23 @@
     fn collect_batch(&mut self) -> Batch {
         let mut batch = Batch::default();
         let mut size = TransactionSize::EMPTY;
-        // Keys of the batch and of writes that were passed over: what names one of
-        // them has to wait for its turn.
+        // Keys of the batch and of writes that were passed over. Later writes that name
+        // one of them stay in the queue, so that writes of a key keep their order.
         let mut reserved_keys = HashSet::new();
         let mut position = 0;
         while position < self.queue.len() {
             let write = &self.queue[position].write;
-            let extended = size.with(write);
+            let extended = size.with_write(write);
             let fits = if batch.is_empty() {
                 extended.fits_alone(self.max_changes)
             } else {
-                // What isn't urgent must not make urgent writes wait for the reserve.
+                // Other writes have to wait while only the reserve is left; urgent ones
+                // must not wait with them.
                 batch.is_urgent() == write.urgent && extended.fits(self.max_changes)
             };
-            let goes = fits && !write.names(&self.keys_in_flight) && !write.names(&reserved_keys);
+            let is_sendable = fits && !write.names(&self.keys_in_flight) && !write.names(&reserved_keys);
             reserved_keys.extend(write.keys().cloned());
-            if !goes {
+            if !is_sendable {
                 position += 1;
                 continue;
             }
@@ -131,7 +133,7 @@
         batch
     }
 
-    /// Puts part of a batch in flight back to the head of the queue.
+    /// Moves part of a batch in flight back to the head of the queue.
     pub(super) fn put_back(&mut self, batch: Batch) {
         self.release_keys(batch.keys());
         for queued in batch.into_iter().rev() {
@@ -139,7 +141,7 @@
         }
     }
 
-    /// A transaction has ended, whatever its outcome; it named these keys.
+    /// Ends a transaction, whatever its outcome, and releases its keys to other writes.
     pub(super) fn finish_transaction(&mut self, keys: &[String]) {
         self.release_keys(keys.iter());
         self.transactions_in_flight -= 1;
@@ -151,17 +153,18 @@
         }
     }
 
-    /// Lets later transactions have at most so many changes, though never fewer than
-    /// a final state has.
+    /// Limits later transactions to `changes` puts and deletes, but never below
+    /// [`MIN_MAX_CHANGES`]. Never raises the limit.
     pub(super) fn lower_max_changes(&mut self, changes: usize) {
         self.max_changes = self.max_changes.min(changes.max(MIN_MAX_CHANGES));
     }
 
-    /// A batch was stored at a revision: notes the versions, and returns success to the callers.
+    /// Records that a batch was stored at `revision`: updates the known versions, and
+    /// reports success to the callers.
     pub(super) fn record_stored(&mut self, batch: Batch, revision: u64) {
         for mut queued in batch {
             for (key, value) in std::mem::take(&mut queued.write.changes) {
-                // Final records are written once; their versions aren't kept.
+                // Final records are written only once, so their versions aren't kept.
                 if value.is_some() && !key.starts_with(FINALS) {
                     self.versions.insert(key, revision);
                 } else {
--- a/src/store/writer/transaction.rs
+++ b/src/store/writer/transaction.rs
@@ -1,4 +1,4 @@
-//! The transaction of a batch.
+//! Builds the transaction that executes a batch.
 
 use serde_json::Value;
 
@@ -9,8 +9,9 @@
 use crate::wire::{Change, Condition, Transaction};
 
 impl Writer {
-    /// The transaction that executes a batch, with the versions known now.
-    pub(super) fn transaction(&self, batch: &Batch) -> Transaction {
+    /// Builds the transaction that executes a batch, conditional on the leader's key and
+    /// on the versions known now.
+    pub(super) fn build_transaction(&self, batch: &Batch) -> Transaction {
         let state = self.state.lock();
         let mut transaction = Transaction {
             conditions: vec![self.leader_condition()],
@@ -23,6 +24,7 @@
     }
 }
 
+/// Adds the conditions and changes of one write.
 fn add_write(transaction: &mut Transaction, write: &AtomicWrite, state: &WriterState) {
     for (key, value) in &write.changes {
         let version = if write.absent.contains(key) {
@@ -34,7 +36,9 @@
             key: key.clone(),
             version,
         });
-        transaction.changes.extend(change(key, value.as_ref(), version));
+        transaction
+            .changes
+            .extend(build_change(key, value.as_ref(), version));
     }
     let unchanged = |key: &&String| write.changes.iter().all(|(changed, _)| changed != *key);
     for key in write.absent.iter().filter(unchanged) {
@@ -45,8 +49,9 @@
     }
 }
 
-/// The change of a key to a value; none for the deletion of a key that does not exist.
-fn change(key: &str, value: Option<&Value>, version: u64) -> Option<Change> {
+/// The put or delete of a key; `None` for the deletion of a key that does not exist
+/// (version 0).
+fn build_change(key: &str, value: Option<&Value>, version: u64) -> Option<Change> {
     match value {
         Some(value) => Some(Change::Put {
             put: key.to_owned(),
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -1,4 +1,4 @@
-//! Client of the workers' agents: sends commands straight to a worker's address.
+//! Client of the workers' agents: sends commands directly to a worker's address.
 
 use std::time::Duration;
 
@@ -7,27 +7,26 @@
 use crate::sockets::SocketBudget;
 use crate::wire::{CommandBatch, Heartbeat};
 
-/// What became of a batch of commands.
+/// Outcome of sending a batch of commands.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CommandOutcome {
-    /// The worker executed the batch; its state after that.
+    /// The worker executed the batch, and returned its state after that.
     Executed(Heartbeat),
-    /// The worker executed nothing, as the fencing token or the incarnation is not
-    /// the one it expects; its state.
+    /// The worker executed nothing, as the fencing token or the incarnation is not the
+    /// expected one, and returned its state.
     Refused(Heartbeat),
-    /// There is no response, or none that can be read: the batch may have been
-    /// executed, or may still be.
+    /// There is no usable response: the batch may have been executed, or may still be.
     Unanswered,
-    /// The batch was never sent.
+    /// The batch was not sent, as it was no longer permitted.
     Withheld(SendRefusal),
 }
 
-/// How long a batch may take, from the connection's begin to the whole response.
+/// Timeout of a batch, from the start of connecting to the complete response.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Sends commands to the worker at `address` (`host:port`). Waits for a socket of
-/// the share for commands and connects; only then `permit` is asked whether they
-/// may still be sent, however long that took.
+/// the share for commands, connects, and only then calls `permit` to check whether the
+/// commands may still be sent, as waiting and connecting can take long.
 pub async fn send_commands(
     sockets: &SocketBudget,
     address: &str,
