--- a/src/leader/active_leader/redirection.rs
+++ b/src/leader/active_leader/redirection.rs
@@ -12,14 +12,14 @@
     /// Notes a heartbeat that came through `via`; returns the controller that
     /// its worker is to report to instead, if any.
     pub(super) fn redirect(&self, machine: &MachineId, via: &str, now: Instant) -> Option<String> {
-        if !self.redirects.lock().heartbeat_arrived(machine, via, now) {
+        if !self.redirects.lock().record_heartbeat(machine, via, now) {
             return None;
         }
         let target = self.assigned_controller(machine, now);
         if target == via {
             return None;
         }
-        self.redirects.lock().redirected(machine, &target, now);
+        self.redirects.lock().record_redirect(machine, &target, now);
         Some(target)
     }
 
@@ -31,7 +31,7 @@
         self.controller
             .connected()
             .into_iter()
-            .filter(|host| redirects.may_reach(machine, host, now))
+            .filter(|host| redirects.may_redirect_to(machine, host, now))
             .max_by_key(|host| rendezvous_weight(machine, host))
             .unwrap_or_else(|| self.controller.host().to_owned())
     }
--- a/src/leader/redirects.rs
+++ b/src/leader/redirects.rs
@@ -39,7 +39,7 @@
     /// Notes that a heartbeat came through a controller. Returns whether the
     /// worker may be redirected now: its heartbeat before this one came through
     /// the same controller, and no redirect has been sent since.
-    pub fn heartbeat_arrived(&mut self, machine: &MachineId, via: &str, now: Instant) -> bool {
+    pub fn record_heartbeat(&mut self, machine: &MachineId, via: &str, now: Instant) -> bool {
         let before = self.latest.insert(machine.clone(), via.to_owned());
         if let Some(redirect) = self.pending.remove(machine) {
             let age = now.saturating_duration_since(redirect.sent_at);
@@ -70,7 +70,7 @@
 
     /// Whether a worker may be redirected to a controller: it has not left it, nor
     /// failed to reach it, of late.
-    pub fn may_reach(&self, machine: &MachineId, host: &str, now: Instant) -> bool {
+    pub fn may_redirect_to(&self, machine: &MachineId, host: &str, now: Instant) -> bool {
         let failed = self.unreachable.get(machine).and_then(|hosts| hosts.get(host));
         failed.is_none_or(|at| now.saturating_duration_since(*at) > AVOIDANCE_PERIOD)
     }
--- a/tests/redirects.rs
+++ b/tests/redirects.rs
@@ -16,17 +16,17 @@
     let mut history = RedirectHistory::default();
     let worker = MachineId::from("i-1");
     assert!(
-        !history.heartbeat_arrived(&worker, "heron-1", now),
+        !history.record_heartbeat(&worker, "heron-1", now),
         "first contact"
     );
-    assert!(history.heartbeat_arrived(&worker, "heron-1", now + secs(3)));
-    history.redirected(&worker, "heron-0", now + secs(3));
+    assert!(history.record_heartbeat(&worker, "heron-1", now + secs(3)));
+    history.record_redirect(&worker, "heron-0", now + secs(3));
     // It can't reach that one, and is back: answered first, and not sent there again.
-    assert!(!history.heartbeat_arrived(&worker, "heron-1", now + secs(9)));
-    assert!(!history.may_reach(&worker, "heron-0", now + secs(9)));
-    assert!(history.heartbeat_arrived(&worker, "heron-1", now + secs(12)));
+    assert!(!history.record_heartbeat(&worker, "heron-1", now + secs(9)));
+    assert!(!history.may_redirect_to(&worker, "heron-0", now + secs(9)));
+    assert!(history.record_heartbeat(&worker, "heron-1", now + secs(12)));
     assert!(
-        history.may_reach(&worker, "heron-0", now + secs(60)),
+        history.may_redirect_to(&worker, "heron-0", now + secs(60)),
         "tried again"
     );
 }
@@ -36,18 +36,18 @@
     let now = start();
     let mut history = RedirectHistory::default();
     let worker = MachineId::from("i-1");
-    history.heartbeat_arrived(&worker, "heron-0", now);
-    assert!(!history.heartbeat_arrived(&worker, "heron-1", now + secs(8)));
-    assert!(!history.may_reach(&worker, "heron-0", now + secs(8)));
-    assert!(history.may_reach(&worker, "heron-2", now + secs(8)));
+    history.record_heartbeat(&worker, "heron-0", now);
+    assert!(!history.record_heartbeat(&worker, "heron-1", now + secs(8)));
+    assert!(!history.may_redirect_to(&worker, "heron-0", now + secs(8)));
+    assert!(history.may_redirect_to(&worker, "heron-2", now + secs(8)));
     // One that follows a redirect has not left on its own.
-    history.heartbeat_arrived(&worker, "heron-1", now + secs(11));
-    history.redirected(&worker, "heron-2", now + secs(11));
-    assert!(!history.heartbeat_arrived(&worker, "heron-2", now + secs(12)));
-    assert!(history.may_reach(&worker, "heron-1", now + secs(12)));
+    history.record_heartbeat(&worker, "heron-1", now + secs(11));
+    history.record_redirect(&worker, "heron-2", now + secs(11));
+    assert!(!history.record_heartbeat(&worker, "heron-2", now + secs(12)));
+    assert!(history.may_redirect_to(&worker, "heron-1", now + secs(12)));
     // Machines that no longer exist are forgotten, or the history would grow for ever.
     history.retain(|_| false);
-    assert!(history.may_reach(&worker, "heron-0", now + secs(12)));
+    assert!(history.may_redirect_to(&worker, "heron-0", now + secs(12)));
 }
 
 proptest! {
@@ -64,10 +64,10 @@
         let mut answered = false;
         for (via, target, pause) in path {
             now += secs(pause);
-            let may_redirect = history.heartbeat_arrived(&worker, hosts[via], now);
-            if may_redirect && via != target && history.may_reach(&worker, hosts[target], now) {
+            let may_redirect = history.record_heartbeat(&worker, hosts[via], now);
+            if may_redirect && via != target && history.may_redirect_to(&worker, hosts[target], now) {
                 prop_assert!(answered, "redirected though its last heartbeat was not answered");
-                history.redirected(&worker, hosts[target], now);
+                history.record_redirect(&worker, hosts[target], now);
                 answered = false;
             } else {
                 answered = true;
