--- a/src/leader/active_leader/cancellation.rs
+++ b/src/leader/active_leader/cancellation.rs
@@ -1,5 +1,5 @@
-//! Cancellations: taken by the model first, stored, and only then confirmed to
-//! the client.
+//! Cancellations of jobs: applied to the model, then stored, and only then confirmed
+//! to the user.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,34 +15,34 @@
 use crate::store::writer::CommitError;
 use crate::wire::JobId;
 
-use super::job_intake::Intake;
+use super::job_intake::IntakeOutcome;
 use super::submission::STORE_TIMEOUT;
 use super::ActiveLeader;
 
-/// Pause between two looks at a job that is about to be stored as done.
-const COMPLETION_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How often such a job is looked at.
-const MAX_COMPLETION_POLLS: u32 = 100;
+/// Pause between two checks whether a completed job has been stored as done.
+const FINAL_STATE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Most such checks for one cancellation.
+const MAX_FINAL_STATE_POLLS: u32 = 100;
 /// Pause before a cancellation that was not stored is tried again.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
-/// What a cancellation comes to in the model.
+/// What the state of the job in the model requires of a cancellation.
 enum CancellationStep {
-    /// The job is not unfinished here.
-    NotUnfinished,
-    /// All its tasks are done; it is about to be stored as done.
+    /// The model doesn't have the job: it has ended or was never accepted.
+    NotInModel,
+    /// All tasks of the job are done; it is about to be stored as done.
     Completing,
     /// An earlier cancellation is stored.
     AlreadyStored,
-    /// The model has taken the cancellation; this record is to be stored.
+    /// The cancellation is applied to the model; this record is to be stored.
     Store(Box<JobRecord>),
 }
 
-/// How the storing of a cancellation ended.
+/// Outcome of storing a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum CancellationWrite {
+enum CancellationOutcome {
     Stored,
-    /// The term ended before it was known to be stored.
+    /// The term ended before the cancellation was known to be stored.
     TermEnded,
 }
 
@@ -52,10 +52,10 @@
         if !self.may_act() {
             return ApiResponse::unavailable("leadership is in doubt");
         }
-        if self.load_job(id).await == Intake::Unreadable {
+        if self.load_job(id).await == IntakeOutcome::Unreadable {
             return ApiResponse::unavailable("the job's state can't be read now");
         }
-        // It goes on if it takes longer than its user waits.
+        // The cancellation goes on if it takes longer than the user waits.
         let active_leader = self.clone();
         let cancellation = tokio::spawn(async move { active_leader.cancel_loaded(id).await });
         match timeout(STORE_TIMEOUT, cancellation).await {
@@ -64,12 +64,13 @@
         }
     }
 
-    /// Cancels a job that was looked up: it is in the model or not unfinished.
+    /// Cancels a job after [`Self::load_job`]: the model has it, or it has ended or was
+    /// never accepted.
     async fn cancel_loaded(self: Arc<Self>, id: JobId) -> ApiResponse {
-        self.wait_for_completion(id).await;
+        self.wait_for_final_state(id).await;
         let step = self.begin_cancellation(id);
         match &step {
-            CancellationStep::NotUnfinished => {
+            CancellationStep::NotInModel => {
                 return match self.controller.terminal_states().status(id) {
                     Some(status) => ApiResponse::json(200, &status),
                     None => ApiResponse::error(404, "no such job"),
@@ -80,10 +81,10 @@
         }
         self.request_round();
         if let CancellationStep::Store(record) = step {
-            if self.store_cancellation(id, &record).await == CancellationWrite::TermEnded {
+            if self.store_cancellation(id, &record).await == CancellationOutcome::TermEnded {
                 return ApiResponse::unavailable("the cancellation can't be stored now");
             }
-            info!(job = %id, "cancelled");
+            info!(job = %id, "cancellation stored");
             self.model.lock().cancel_stored(id);
             self.request_round();
         }
@@ -91,28 +92,29 @@
             .unwrap_or_else(|| ApiResponse::unavailable("the job's state can't be told now"))
     }
 
-    /// Waits, within bounds, while the job's last task is done and the job is
-    /// about to be stored as done.
-    async fn wait_for_completion(&self, id: JobId) {
-        for _ in 0..MAX_COMPLETION_POLLS {
-            let completing = self
+    /// If all tasks of the job are done, waits until it is stored as done, for at most
+    /// [`MAX_FINAL_STATE_POLLS`] checks.
+    async fn wait_for_final_state(&self, id: JobId) {
+        for _ in 0..MAX_FINAL_STATE_POLLS {
+            let is_completing = self
                 .model
                 .lock()
                 .jobs()
                 .get(&id)
                 .is_some_and(|job| job.is_complete() && !job.cancelled);
-            if !completing {
+            if !is_completing {
                 break;
             }
-            sleep(COMPLETION_POLL_INTERVAL).await;
+            sleep(FINAL_STATE_POLL_INTERVAL).await;
         }
     }
 
-    /// Cancels the job in the model, if it is unfinished there.
+    /// Cancels the job in the model, unless it is completing or an earlier cancellation
+    /// is stored.
     fn begin_cancellation(&self, id: JobId) -> CancellationStep {
         let mut model = self.model.lock();
         match model.jobs().get(&id) {
-            None => CancellationStep::NotUnfinished,
+            None => CancellationStep::NotInModel,
             Some(job) if job.is_complete() && !job.cancelled => CancellationStep::Completing,
             Some(job) if job.cancellation_is_stored() => CancellationStep::AlreadyStored,
             Some(_) => {
@@ -123,11 +125,11 @@
         }
     }
 
-    /// Stores a cancellation that the model has taken already: its tasks are
-    /// being stopped, so there is no way back but the end of the term. A key
-    /// that was not as expected is read again, or the job would be neither run
-    /// nor cancelled for as long as this term lasts.
-    async fn store_cancellation(&self, id: JobId, record: &JobRecord) -> CancellationWrite {
+    /// Stores a cancellation that is already applied to the model. The job's tasks are
+    /// being stopped, so only the end of the term can undo it. After a conflict or a
+    /// refusal the record is read and the write repeated; otherwise the job would
+    /// neither run nor be cancelled for the rest of the term.
+    async fn store_cancellation(&self, id: JobId, record: &JobRecord) -> CancellationOutcome {
         let key = record::job_key(id);
         let value = serde_json::to_value(record).unwrap_or(Value::Null);
         loop {
@@ -137,8 +139,8 @@
                 urgent: true,
             };
             match self.writer.commit(write).await {
-                Ok(()) => return CancellationWrite::Stored,
-                Err(CommitError::Deposed) => return CancellationWrite::TermEnded,
+                Ok(()) => return CancellationOutcome::Stored,
+                Err(CommitError::Deposed) => return CancellationOutcome::TermEnded,
                 Err(CommitError::Conflict(_) | CommitError::Refused) => {
                     if let Some(outcome) = self.check_stored_cancellation(id, &key).await {
                         return outcome;
@@ -149,11 +151,12 @@
         }
     }
 
-    /// Reads a job whose cancellation met a changed key or was refused, which
-    /// only the read tells apart. `None`: the write is to be tried again.
-    async fn check_stored_cancellation(&self, id: JobId, key: &str) -> Option<CancellationWrite> {
+    /// Reads a job after the write of its cancellation failed: only the read shows
+    /// whether the cancellation is stored nevertheless. `None`: the write is to be
+    /// repeated.
+    async fn check_stored_cancellation(&self, id: JobId, key: &str) -> Option<CancellationOutcome> {
         match self.controller.lookup(id).await {
-            Ok(StoredJob::Unfinished(record, _)) if record.cancelled => Some(CancellationWrite::Stored),
+            Ok(StoredJob::Unfinished(record, _)) if record.cancelled => Some(CancellationOutcome::Stored),
             Ok(StoredJob::Unfinished(_, version)) => {
                 self.writer.set_known_version(key, version);
                 None
@@ -161,10 +164,10 @@
             Ok(StoredJob::Finished(_) | StoredJob::NeverAccepted) => {
                 info!(
                     job = %id,
-                    "a job cancelled by this leader is not unfinished in the state service"
+                    "a job cancelled by this leader has no unfinished record any more; the term ends"
                 );
                 self.end();
-                Some(CancellationWrite::TermEnded)
+                Some(CancellationOutcome::TermEnded)
             }
             Err(_) => None,
         }
--- a/src/leader/active_leader/command_dispatch.rs
+++ b/src/leader/active_leader/command_dispatch.rs
@@ -1,5 +1,5 @@
-//! Commands to workers: sent if the model still permits them at the hand-over,
-//! and their outcome entered into the model.
+//! Sends commands to workers, if the model still permits them once the connection is
+//! made, and reports their outcomes to the model.
 
 use std::time::Instant;
 
@@ -11,8 +11,8 @@
 use super::ActiveLeader;
 
 impl ActiveLeader {
-    /// Sends a command that a round decided. The permission is asked for again
-    /// when it is handed over, as it may have waited for a socket.
+    /// Sends commands that a round decided. Whether they may still be sent is checked
+    /// just before that, as they may have waited for a socket.
     pub(super) async fn send_command(&self, due: &DueCommand) {
         let permit = || {
             let may_act = self.may_act();
@@ -44,7 +44,7 @@
                 token = due.batch.token,
                 worker_token = heartbeat.token,
                 incarnation = heartbeat.incarnation,
-                "command refused"
+                "worker refused commands: unexpected token or incarnation"
             );
         }
         CommandOutcome::Withheld(reason) => {
@@ -52,7 +52,7 @@
                 machine = %due.machine,
                 token = due.batch.token,
                 %reason,
-                "command withheld"
+                "commands withheld: they may not be sent any more"
             );
         }
         CommandOutcome::Executed(_) | CommandOutcome::Unanswered => {}
--- a/src/leader/active_leader/dependency_lookup.rs
+++ b/src/leader/active_leader/dependency_lookup.rs
@@ -1,5 +1,5 @@
-//! Looks up how jobs ended that others depend on and that the model doesn't
-//! know: after a takeover, and where a job names one that ended long ago.
+//! Resolves dependencies on jobs that the model doesn't know, by reading how they
+//! ended: after a takeover, and if a job depends on one that ended long ago.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,16 +16,17 @@
 use super::moment::Moment;
 use super::ActiveLeader;
 
-/// Share of the state service's requests that lookups may take, so that they
-/// delay neither starts nor users.
+/// Share of the state service's request rate that lookups may use, so that they
+/// delay neither starts nor users' requests.
 const LOOKUP_SHARE: f64 = 0.2;
-/// Pause before lookups that failed are tried again.
+/// Pause before lookups that failed are repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Longest time between two passes if nothing requests one.
+/// Longest wait for a request before unresolved jobs are looked up anyway.
 const MAX_LOOKUP_INTERVAL: Duration = Duration::from_secs(1);
 
 impl ActiveLeader {
-    /// Looks up unresolved jobs, one after the other, as long as the term lasts.
+    /// Looks up the jobs of unresolved dependencies, one after the other, until the
+    /// term ends.
     pub(super) async fn look_up_dependencies(self: Arc<Self>) {
         let request_rate = self.controller.deployment().cluster.state.rps;
         let spacing = Duration::from_secs_f64(1.0 / (request_rate * LOOKUP_SHARE));
@@ -49,7 +50,7 @@
 
     async fn look_up_dependency(&self, id: JobId) -> Result<(), StoreError> {
         match self.controller.lookup(id).await? {
-            StoredJob::Unfinished(record, version) => self.admit(*record, version),
+            StoredJob::Unfinished(record, version) => self.add_stored_job(*record, version),
             StoredJob::Finished(_) => self.resolve_after_lookup(id),
             StoredJob::NeverAccepted => {
                 info!(job = %id, "a job that others depend on is not stored; it is looked up again");
@@ -66,16 +67,16 @@
     pub(super) fn resolve_from_memory(&self) {
         let now = Moment::now();
         let mut model = self.model.lock();
-        let finals = self.controller.terminal_states();
+        let terminal_states = self.controller.terminal_states();
         let unresolved: Vec<JobId> = model.dependencies().unresolved().iter().copied().collect();
         let mut resolved = 0;
         for id in &unresolved {
-            if let Some(record) = finals.record(*id).filter(|record| is_complete(record)) {
+            if let Some(record) = terminal_states.record(*id).filter(|record| is_sufficient(record)) {
                 model.resolve_dependency(*id, outcome_of(record, now));
                 resolved += 1;
             }
         }
-        drop((finals, model));
+        drop((terminal_states, model));
         if resolved < unresolved.len() {
             self.lookup_requested.notify_one();
         }
@@ -84,8 +85,8 @@
         }
     }
 
-    /// Resolves a dependency whose final record has just been read, also if that
-    /// holds no time: the state service knows no more.
+    /// Resolves a dependency whose final record has just been read, even if the record
+    /// has no end time: the state service has no other.
     fn resolve_after_lookup(&self, id: JobId) {
         let now = Moment::now();
         let mut model = self.model.lock();
@@ -97,9 +98,9 @@
     }
 }
 
-/// Whether a record in memory says all that the stored one does. One that was
-/// learned from a relayed response holds no time; the stored one may.
-fn is_complete(record: &FinalRecord) -> bool {
+/// Whether a final record in memory resolves a dependency without a lookup. A record
+/// learned from another controller's response has no end time; the stored one may.
+fn is_sufficient(record: &FinalRecord) -> bool {
     record.state == JobState::Cancelled || record.ended_at.is_some()
 }
 
@@ -108,7 +109,7 @@
     if record.state == JobState::Cancelled {
         return DependencyOutcome::Cancelled;
     }
-    // Earlier versions store no time; what they ended is older than any job
-    // that could depend on it.
+    // Earlier versions of this program store no end time. Jobs that ended under them
+    // are older than any job that could depend on them.
     DependencyOutcome::Done(record.ended_at.and_then(|ended_at| now.instant_of(ended_at)))
 }
--- a/src/leader/active_leader/fleet_actions.rs
+++ b/src/leader/active_leader/fleet_actions.rs
@@ -1,4 +1,4 @@
-//! The size of the fleet: machines rented and released as the model decides.
+//! Rents and releases machines as the model decides.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,17 +12,17 @@
 
 use super::ActiveLeader;
 
-/// Time between two decisions on the fleet.
+/// Pause before each decision on the fleet.
 const FLEET_INTERVAL: Duration = Duration::from_millis(1000);
-/// How often a rental that may not have been carried out is sent again.
+/// How often a rental that may not have been executed is sent again.
 const MAX_RENTAL_RETRIES: u32 = 3;
 /// Pause before such a rental is sent again.
 const RENTAL_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 impl ActiveLeader {
-    /// Decides on the fleet from time to time, for as long as the term lasts.
-    /// Resigns if no worker takes commands from here though other controllers
-    /// are connected.
+    /// Decides periodically which machines to rent and release, until the term ends.
+    /// Ends the term if this controller is partitioned from the workers while other
+    /// controllers are reachable.
     pub(super) async fn manage_fleet(self: Arc<Self>) {
         loop {
             sleep(FLEET_INTERVAL).await;
@@ -30,10 +30,10 @@
             if !self.may_act() {
                 continue;
             }
-            if self.is_partitioned_from_workers() {
+            if self.should_resign() {
                 info!(
                     term = self.term,
-                    "resigning: no worker takes commands from this controller"
+                    "resigning: more workers ignore this controller's commands than answer them"
                 );
                 return self.end();
             }
@@ -45,9 +45,9 @@
         }
     }
 
-    /// Whether another controller could lead in place of this one, which no
-    /// worker takes commands from.
-    fn is_partitioned_from_workers(&self) -> bool {
+    /// Whether this controller is partitioned from the workers and another one could
+    /// lead instead.
+    fn should_resign(&self) -> bool {
         self.controller.any_peer_reachable() && self.model.lock().is_partitioned_from_workers(Instant::now())
     }
 
@@ -59,8 +59,8 @@
         self.request_round();
     }
 
-    /// Rents machines. A request that may or may not have been carried out is
-    /// repeated under the same name, which the cloud carries out once.
+    /// Rents machines. A request that may or may not have been executed is repeated
+    /// under the same name, so that the cloud executes it once.
     async fn rent(&self, rental: &RentalRequest) {
         let mut retries = 0;
         loop {
@@ -70,7 +70,7 @@
             }
             match self.controller.cloud().rent(rental, || self.may_act()).await {
                 Ok(machines) => {
-                    info!(request = rental.request, got = machines.len(), "rented");
+                    info!(request = rental.request, got = machines.len(), "machines rented");
                     return self.model.lock().rental_done(rental, &machines, Instant::now());
                 }
                 Err(error) if error.is_retryable() && retries < MAX_RENTAL_RETRIES => {
@@ -78,7 +78,7 @@
                     sleep(RENTAL_RETRY_PAUSE).await;
                 }
                 Err(error) => {
-                    info!(request = rental.request, %error, "not rented");
+                    info!(request = rental.request, %error, "rental failed");
                     let failure = match error {
                         CloudError::NoCapacity { .. } => RentalFailure::NoCapacity,
                         _ => RentalFailure::Other,
@@ -90,12 +90,17 @@
         }
     }
 
-    /// Releases machines; those that were not released stay and are tried again.
+    /// Releases machines. Those whose release is not confirmed stay in the model, and may
+    /// be released again.
     async fn release(&self, machines: &[MachineId]) {
         let outcome = match self.controller.cloud().release(machines, || self.may_act()).await {
             Ok(()) => ReleaseOutcome::Confirmed,
             Err(error) => {
-                info!(machines = machines.len(), %error, "not released yet");
+                info!(
+                    machines = machines.len(),
+                    %error,
+                    "release not confirmed; the machines may be released again"
+                );
                 ReleaseOutcome::Failed
             }
         };
--- a/src/leader/active_leader/heartbeat_handling.rs
+++ b/src/leader/active_leader/heartbeat_handling.rs
@@ -1,5 +1,5 @@
-//! Heartbeats of workers: applied to the model, and responded to with a fencing
-//! token and commands, or with a redirect.
+//! Heartbeats of workers: applied to the model, and answered with a fencing token and
+//! commands, or with a redirect.
 
 use std::time::Instant;
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// What the model made of a heartbeat.
+/// Outcome of a heartbeat in the model, and what is to be sent in response.
 struct HandledHeartbeat {
     outcome: HeartbeatOutcome,
     /// `None`: the worker has accepted a token of a newer leader.
@@ -57,7 +57,7 @@
 }
 
 impl ActiveLeader {
-    /// Responds to a heartbeat that reached the controller `via`.
+    /// Responds to a heartbeat that came through the controller `via`.
     pub fn heartbeat(&self, body: &[u8], via: &str) -> ApiResponse {
         self.handle_heartbeat(body, via).unwrap_or_else(ApiResponse::from)
     }
@@ -77,9 +77,9 @@
             self.end_for_newer_leader(&heartbeat);
             return Err(HeartbeatRejection::NewerLeader);
         };
-        // A late copy says nothing of which controller the worker reports to now.
+        // An outdated heartbeat doesn't show which controller the worker uses now.
         if handled.outcome == HeartbeatOutcome::Applied {
-            if let Some(host) = self.redirect(&heartbeat.machine, via, now) {
+            if let Some(host) = self.choose_redirect(&heartbeat.machine, via, now) {
                 return Ok(ApiResponse::redirect(&host));
             }
         }
@@ -119,11 +119,11 @@
     }
 
     fn end_for_newer_leader(&self, heartbeat: &Heartbeat) {
-        // Only an elected leader gives out such tokens.
+        // Only an elected leader gives out a token of its term, so this term is over.
         info!(
             term = self.term,
             token = heartbeat.token,
-            "a worker has accepted a token of a newer leader"
+            "a worker has accepted a token of a newer leader; the term ends"
         );
         self.end();
     }
@@ -138,15 +138,15 @@
                 incarnation = heartbeat.incarnation,
                 sequence = heartbeat.sequence,
                 token = heartbeat.token,
-                "invariant violated: a task runs that is not known"
+                "invariant violated: a worker runs a task attempt that the model does not know on its machine"
             );
         }
     }
 }
 
-/// Whether an outdated heartbeat is of the agent incarnation that the machine
-/// runs as far as is known: the response to a command has overtaken it then, or
-/// it is a late copy whose response reaches nobody. Its lease may be renewed.
+/// Whether an outdated heartbeat is from the worker's latest known incarnation, and
+/// that has not ended. Then either the response to a command has overtaken it, or it
+/// is a late copy whose response reaches nobody: the lease may be renewed.
 fn is_of_live_incarnation(heartbeat: &Heartbeat, machine: Option<&Machine>) -> bool {
     machine.is_some_and(|machine| {
         machine.newest_message.incarnation == heartbeat.incarnation
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -1,5 +1,5 @@
-//! Jobs that other controllers stored: found by their marks in the inbox, and
-//! admitted to the model.
+//! Jobs that other controllers stored: found by their inbox marks, and added to the
+//! model.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,55 +21,55 @@
 /// How long the state service may hold one watch of the inbox.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Whether all that was asked for is known here now.
+/// Outcome of looking up jobs that may be missing in the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Intake {
+pub(super) enum IntakeOutcome {
     /// The job is in the model, has ended, or was never accepted.
     Settled,
-    /// Its record could not be read; it has to be tried again.
+    /// The job's record could not be read; the read has to be repeated.
     Unreadable,
 }
 
-impl Intake {
+impl IntakeOutcome {
+    /// Combines two outcomes: settled if both are.
     fn and(self, other: Self) -> Self {
         match self {
-            Intake::Settled => other,
-            Intake::Unreadable => Intake::Unreadable,
+            IntakeOutcome::Settled => other,
+            IntakeOutcome::Unreadable => IntakeOutcome::Unreadable,
         }
     }
 }
 
 impl ActiveLeader {
-    /// Admits the jobs that other controllers put into the inbox, as long as the
-    /// term lasts.
+    /// Adds the jobs that other controllers put into the inbox, until the term ends.
     pub(super) async fn watch_inbox(self: Arc<Self>) {
         loop {
             if let Ok(inbox) = self.controller.store().list(record::INBOX).await {
-                self.admit_and_watch(inbox).await;
+                self.process_inbox(inbox).await;
             }
             sleep(RETRY_PAUSE).await;
         }
     }
 
-    /// Admits what is listed and what is put after that, until something could
-    /// not be read or the watch has fallen behind: the inbox is to be listed
-    /// again then.
-    async fn admit_and_watch(self: &Arc<Self>, inbox: Listing) {
+    /// Adds the listed jobs and those whose marks are put after that. Returns once the
+    /// inbox has to be listed again: a job could not be read, or the changes since the
+    /// last watch are no longer kept.
+    async fn process_inbox(self: &Arc<Self>, inbox: Listing) {
         let mut since = inbox.revision;
-        let mut intake = Intake::Settled;
+        let mut intake = IntakeOutcome::Settled;
         for item in inbox.items {
-            let admitted = self.admit_from_inbox(&item.key, item.version).await;
-            intake = intake.and(admitted);
+            let outcome = self.add_from_inbox(&item.key, item.version).await;
+            intake = intake.and(outcome);
         }
-        while intake == Intake::Settled {
+        while intake == IntakeOutcome::Settled {
             let watch = self.controller.store().watch(record::INBOX, since, WATCH_TIMEOUT);
             match watch.await {
                 Ok(watched) => {
                     since = since.max(watched.revision);
                     for event in watched.events {
                         if let Some(key) = event.put {
-                            let admitted = self.admit_from_inbox(&key, event.version).await;
-                            intake = intake.and(admitted);
+                            let outcome = self.add_from_inbox(&key, event.version).await;
+                            intake = intake.and(outcome);
                         }
                     }
                 }
@@ -79,13 +79,13 @@
         }
     }
 
-    /// Admits the job of an inbox mark, then deletes the mark.
-    async fn admit_from_inbox(self: &Arc<Self>, key: &str, version: u64) -> Intake {
+    /// Adds the job of an inbox mark, then deletes the mark.
+    async fn add_from_inbox(self: &Arc<Self>, key: &str, version: u64) -> IntakeOutcome {
         let Ok(id) = key.trim_start_matches(record::INBOX).parse::<JobId>() else {
-            return Intake::Settled;
+            return IntakeOutcome::Settled;
         };
-        if self.load_job(id).await == Intake::Unreadable {
-            return Intake::Unreadable;
+        if self.load_job(id).await == IntakeOutcome::Unreadable {
+            return IntakeOutcome::Unreadable;
         }
         self.writer.set_known_version(key, version);
         let deletion = AtomicWrite {
@@ -94,41 +94,42 @@
             urgent: false,
         };
         let active_leader = self.clone();
-        // A mark that is left is found again: its job is known then.
+        // If the deletion fails, the mark is found again when the inbox is listed;
+        // its job is known by then.
         tokio::spawn(async move {
             let _ = active_leader.writer.commit(deletion).await;
         });
-        Intake::Settled
+        IntakeOutcome::Settled
     }
 
-    /// Reads a job that is not known here, and admits it if it is unfinished.
-    pub(super) async fn load_job(&self, id: JobId) -> Intake {
+    /// Reads a job that is not known here, and adds it to the model if it is unfinished.
+    pub(super) async fn load_job(&self, id: JobId) -> IntakeOutcome {
         if self.is_known(id) {
-            return Intake::Settled;
+            return IntakeOutcome::Settled;
         }
         match self.controller.lookup(id).await {
             Ok(StoredJob::Unfinished(record, version)) => {
-                self.admit(*record, version);
-                Intake::Settled
+                self.add_stored_job(*record, version);
+                IntakeOutcome::Settled
             }
-            Ok(StoredJob::Finished(_) | StoredJob::NeverAccepted) => Intake::Settled,
-            Err(_) => Intake::Unreadable,
+            Ok(StoredJob::Finished(_) | StoredJob::NeverAccepted) => IntakeOutcome::Settled,
+            Err(_) => IntakeOutcome::Unreadable,
         }
     }
 
-    /// Adds a stored job to the model, unless it is known by now. `version` is
-    /// that of its record.
-    pub(super) fn admit(&self, record: JobRecord, version: u64) {
+    /// Adds a stored job to the model, unless it has become known since it was read.
+    /// `version` is that of the key of its record.
+    pub(super) fn add_stored_job(&self, record: JobRecord, version: u64) {
         let id = record.spec.id;
         let now = Moment::now();
         let submitted_at = now.instant_of(record.at).unwrap_or(now.steady);
         let mut model = self.model.lock();
-        // Between the read and now it may have become known or finished.
+        // The job may have become known, or may have ended, since it was read.
         if model.jobs().contains_key(&id) || self.controller.terminal_states().status(id).is_some() {
             return;
         }
         self.writer.set_known_version(&record::job_key(id), version);
-        info!(job = %id, "admitted a job that another controller stored");
+        info!(job = %id, "added a job that another controller stored");
         model.add_job(record, submitted_at);
         drop(model);
         self.resolve_from_memory();
--- a/src/leader/active_leader/job_status.rs
+++ b/src/leader/active_leader/job_status.rs
@@ -1,4 +1,4 @@
-//! The status of jobs: from memory where that can't be outdated, else as stored.
+//! Polls of jobs: answered from memory if that can't be outdated, else as stored.
 
 use crate::controller::job_lookup::StoredJob;
 use crate::response::ApiResponse;
@@ -16,7 +16,8 @@
             .await
     }
 
-    /// The response for a job that is in memory; `None`: it is not.
+    /// The response about a job from memory; `None` if it is not in memory, or its
+    /// status there is in doubt until a write is known to be stored.
     pub(super) fn status_in_memory(&self, id: JobId) -> Option<ApiResponse> {
         if !self.may_act() {
             return Some(ApiResponse::unavailable("leadership is in doubt"));
@@ -26,8 +27,8 @@
         Some(ApiResponse::json(200, &status))
     }
 
-    /// The response for a job that is in memory, if it can't be older than what
-    /// another leader has confirmed to a client since. Final states never are.
+    /// The response about a job from memory, after a check that no other leader can have
+    /// confirmed a newer status to a user. Final states need no check: they never change.
     pub(super) async fn confirmed_status(&self, id: JobId) -> Option<ApiResponse> {
         if let Some(status) = self.controller.terminal_states().status(id) {
             return Some(ApiResponse::json(200, &status));
@@ -39,15 +40,15 @@
         Some(response)
     }
 
-    /// The response for a job as it is stored, or `if_never_accepted`. An
-    /// unfinished one that was unknown here is admitted.
+    /// The response about a job as it is stored, or `if_never_accepted`. An unfinished
+    /// job that was unknown here is added to the model.
     pub(super) async fn stored_status_or(&self, id: JobId, if_never_accepted: ApiResponse) -> ApiResponse {
         match self.controller.lookup(id).await {
             Ok(StoredJob::NeverAccepted) => if_never_accepted,
             Ok(found) => {
                 let response = self.controller.response_about(id, &found).await;
                 if let StoredJob::Unfinished(record, version) = found {
-                    self.admit(*record, version);
+                    self.add_stored_job(*record, version);
                 }
                 response
             }
--- a/src/leader/active_leader/lease_renewal.rs
+++ b/src/leader/active_leader/lease_renewal.rs
@@ -14,16 +14,16 @@
 
 use super::ActiveLeader;
 
-/// Share of the state service's requests that may go into renewals that a
-/// confirmation waits for.
+/// Share of the state service's request rate that may be used for renewals sent
+/// early because a confirmation waits for one.
 const CONFIRMATION_SHARE: f64 = 0.1;
-/// How long a response may wait to be confirmed.
+/// How long a response may wait for the confirmation of leadership.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_millis(500);
-/// Fraction of the lease that one renewal may take.
+/// The timeout of a renewal is the lifetime of the lease divided by this.
 const RENEWAL_TIMEOUT_DIVISOR: u32 = 3;
-/// Fraction of the lease between a renewal and the next one.
+/// The pause after a successful renewal is the lifetime divided by this.
 const RENEWAL_INTERVAL_DIVISOR: u32 = 5;
-/// Fraction of the lease between a failed renewal and the next attempt.
+/// The pause after a failed renewal is the lifetime divided by this.
 const RETRY_INTERVAL_DIVISOR: u32 = 15;
 
 /// How a renewal ended.
@@ -31,25 +31,25 @@
 enum RenewalOutcome {
     /// The state service has renewed the lease.
     Renewed,
-    /// It refused or did not answer; the lease may still hold.
+    /// The state service refused or did not answer; the lease may not have expired.
     Failed,
 }
 
 /// A renewal that has ended.
 #[derive(Debug, Clone, Copy)]
 struct FinishedRenewal {
-    /// Its number within the term, from 1; 0: none has ended yet.
+    /// Number of the renewal within the term, from 1; 0: none has ended yet.
     number: u64,
     outcome: RenewalOutcome,
 }
 
-/// The renewals of one term's lease, for those who wait for one.
+/// The renewals of one term's lease, for tasks that wait for one.
 #[derive(Debug)]
 pub(super) struct LeaseRenewals {
-    /// How many have begun.
+    /// How many renewals have begun.
     begun: AtomicU64,
-    latest: watch::Sender<FinishedRenewal>,
-    /// A confirmation waits for a renewal that begins from now on.
+    last_finished: watch::Sender<FinishedRenewal>,
+    /// Wakes `renew_lease`: a confirmation waits for a renewal that begins later.
     renewal_requested: Notify,
 }
 
@@ -57,7 +57,7 @@
     pub(super) fn new() -> Self {
         Self {
             begun: AtomicU64::new(0),
-            latest: watch::Sender::new(FinishedRenewal {
+            last_finished: watch::Sender::new(FinishedRenewal {
                 number: 0,
                 outcome: RenewalOutcome::Failed,
             }),
@@ -71,25 +71,26 @@
     }
 
     fn finish(&self, number: u64, outcome: RenewalOutcome) {
-        self.latest.send_replace(FinishedRenewal { number, outcome });
+        self.last_finished
+            .send_replace(FinishedRenewal { number, outcome });
     }
 
-    /// Asks for a renewal and waits for it: one that begins after this call, so
-    /// that its success holds for everything known before. `None`: none has
-    /// ended in time.
-    async fn renewed_from_now(&self) -> Option<RenewalOutcome> {
+    /// Requests a renewal and waits for one that begins after this call, so that
+    /// its success shows that this controller still led at the time of the call.
+    /// `None`: none has ended within [`CONFIRMATION_TIMEOUT`].
+    async fn wait_for_new_renewal(&self) -> Option<RenewalOutcome> {
         let begun_before = self.begun.load(Ordering::Relaxed);
-        let mut latest = self.latest.subscribe();
+        let mut last_finished = self.last_finished.subscribe();
         self.renewal_requested.notify_one();
-        let begun_later = latest.wait_for(|renewal| renewal.number > begun_before);
-        let renewal = timeout(CONFIRMATION_TIMEOUT, begun_later).await.ok()?.ok()?;
+        let new_renewal = last_finished.wait_for(|renewal| renewal.number > begun_before);
+        let renewal = timeout(CONFIRMATION_TIMEOUT, new_renewal).await.ok()?.ok()?;
         Some(renewal.outcome)
     }
 }
 
 impl ActiveLeader {
-    /// Renews the lease until the state service no longer has it, which ends the
-    /// term.
+    /// Renews the lease periodically. Ends the term once the state service no longer
+    /// has the lease.
     pub(super) async fn renew_lease(self: Arc<Self>) {
         let lifetime = self.controller.operator_settings().leader_lease;
         let request_rate = self.controller.deployment().cluster.state.rps;
@@ -108,26 +109,27 @@
                     lifetime / RENEWAL_INTERVAL_DIVISOR
                 }
                 Err(StoreError::LeaseNotFound { .. }) => {
-                    info!(term = self.term, "the leader's lease has expired");
+                    info!(term = self.term, "the leader's lease has expired; the term ends");
                     return self.end();
                 }
                 Err(error) => {
-                    debug!(%error, "renewal of the leader's lease failed");
+                    debug!(%error, "renewal of the leader's lease failed; it is tried again");
                     self.renewals.finish(number, RenewalOutcome::Failed);
                     lifetime / RETRY_INTERVAL_DIVISOR
                 }
             };
-            // Sooner if a confirmation waits, within its share of the requests.
+            // A waiting confirmation ends the pause early, but renewals are not sent
+            // more often than CONFIRMATION_SHARE allows.
             let _ = timeout(pause, self.renewals.renewal_requested.notified()).await;
             sleep(min_interval.min(pause).saturating_sub(sent.steady.elapsed())).await;
         }
     }
 
-    /// Whether this controller still led after the call: a renewal that began
-    /// later has succeeded. A process may be paused together with its clocks, and
-    /// then no time shows that its state is outdated; a user to whom another
-    /// leader has confirmed a newer state must not get an older one.
+    /// Whether this controller still led when this was called: a renewal that began
+    /// later has succeeded. The clocks can't show that, as they may be paused together
+    /// with the process. Without the confirmation, a user to whom another leader has
+    /// confirmed a newer state could get an older one from here.
     pub(super) async fn confirm_leadership(&self) -> bool {
-        self.renewals.renewed_from_now().await == Some(RenewalOutcome::Renewed)
+        self.renewals.wait_for_new_renewal().await == Some(RenewalOutcome::Renewed)
     }
 }
--- a/src/leader/active_leader/machine_list.rs
+++ b/src/leader/active_leader/machine_list.rs
@@ -1,4 +1,4 @@
-//! The cloud's list of this cluster's machines.
+//! Reads the cloud's list of this cluster's machines.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,14 +7,13 @@
 
 use super::ActiveLeader;
 
-/// Time between two reads of a list of one page.
+/// Pause before the list is read again, for each of its pages.
 const LIST_INTERVAL: Duration = Duration::from_secs(4);
-/// Machines on one page of the list.
+/// Machines on a page of the list.
 const PAGE_SIZE: usize = 500;
 
 impl ActiveLeader {
-    /// Reads the list into the model from time to time, for as long as the term
-    /// lasts.
+    /// Applies the list to the model periodically, until the term ends.
     pub(super) async fn list_machines(self: Arc<Self>) {
         loop {
             let mut pages = 1;
@@ -23,8 +22,8 @@
                 self.model.lock().apply_machine_list(&machines, Instant::now());
                 self.request_round();
             }
-            // A long list is read less often: rentals and releases share the
-            // cloud's rate with it.
+            // A long list is read less often, as it shares the cloud's rate limit with
+            // rentals and releases.
             sleep(LIST_INTERVAL * pages).await;
         }
     }
--- a/src/leader/active_leader/machine_types.rs
+++ b/src/leader/active_leader/machine_types.rs
@@ -1,5 +1,5 @@
-//! The machine types on offer: read from the cloud, kept in the model and at the
-//! controller, and stored for the next leader.
+//! Reads the machine types from the cloud, passes them to the model and the controller,
+//! and stores them for the next leader.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 
 use super::ActiveLeader;
 
-/// Time between two reads of the machine types.
+/// Pause after a read of the machine types.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(30);
-/// Pause after a read that failed or found none.
+/// Pause after a read that failed or returned no types.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 impl ActiveLeader {
-    /// Reads the machine types from time to time, for as long as the term lasts.
+    /// Reads the machine types periodically, until the term ends.
     pub(super) async fn refresh_machine_types(self: Arc<Self>) {
         loop {
             let pause = match self.controller.cloud().list_machine_types().await {
@@ -39,7 +39,7 @@
         if known == types {
             return;
         }
-        let must_store = shapes(&known) != shapes(&types);
+        let must_store = store_triggers(&known) != store_triggers(&types);
         self.model.lock().set_machine_types(types.clone());
         self.controller.set_machine_types(Arc::new(types.clone()));
         if must_store {
@@ -49,8 +49,8 @@
         self.request_round();
     }
 
-    /// Stores the types if they fit into one value. A failure is left alone: the
-    /// next leader reads them from the cloud as well.
+    /// Stores the types if they fit into one value. A write that fails is not
+    /// repeated: the next leader reads the types from the cloud as well.
     async fn store_machine_types(&self, types: &[MachineType]) {
         let value = serde_json::to_value(types).unwrap_or(Value::Null);
         if value.to_string().len() >= self.controller.config().max_value_bytes {
@@ -65,20 +65,20 @@
     }
 }
 
-/// The fields of a machine type whose change makes the types be stored again.
-/// A change of any other, such as a price, only reaches the model and the
-/// controller.
+/// The fields of a machine type that cause the types to be stored again when they
+/// change. A change of any other field, such as a price, is passed only to the model
+/// and the controller.
 #[derive(PartialEq)]
-struct TypeShape<'a> {
+struct StoreTriggers<'a> {
     name: &'a str,
     cpus: f64,
     zones: &'a [String],
 }
 
-fn shapes(types: &[MachineType]) -> Vec<TypeShape<'_>> {
+fn store_triggers(types: &[MachineType]) -> Vec<StoreTriggers<'_>> {
     types
         .iter()
-        .map(|machine_type| TypeShape {
+        .map(|machine_type| StoreTriggers {
             name: &machine_type.name,
             cpus: machine_type.cpus,
             zones: &machine_type.zones,
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -1,22 +1,23 @@
 //! One term of this controller as the leader.
 //!
 //! [`ActiveLeader`] owns the cluster model, the writer, the authority and the
-//! redirects of the term; only the modules of this folder change them. Each has a
-//! lock of its own, which is never held across an await. Where several are taken
-//! together, the model's comes first.
+//! redirect history of the term; only the modules of this folder change them. Each
+//! has a lock of its own, which is never held across an await. Where several locks
+//! are held at once, the model's is taken first.
 //!
-//! * `term`: the course of a term, from the load of the stored state to its end.
-//! * `takeover`: the load of the stored state.
+//! * `term`: the life cycle of a term, from loading the stored state to its end.
+//! * `takeover`: loads the stored state into the model.
 //! * `lease_renewal`: keeps the lease, and confirms that this controller leads.
-//! * `rounds`: scheduling rounds; `state_writes` and `command_dispatch` store and
-//!   send what they decide.
-//! * `heartbeat_handling`: heartbeats of workers; `redirection`: their redirects.
+//! * `rounds`: runs scheduling rounds; `state_writes` stores and `command_dispatch`
+//!   sends what they decide.
+//! * `heartbeat_handling`: heartbeats of workers; `redirection`: which controller
+//!   each worker is to report to.
 //! * `submission`, `job_status`, `cancellation`: requests of users.
 //! * `job_intake`, `reconciliation`: jobs that other controllers stored.
-//! * `dependency_lookup`: how jobs ended that others depend on.
-//! * `machine_types`, `machine_list`, `fleet_actions`: the cloud.
-//! * `term_leader`: this type as the controller sees it.
-//! * `moment`: stored times as times of this process.
+//! * `dependency_lookup`: reads how jobs ended that other jobs depend on.
+//! * `machine_types`, `machine_list`, `fleet_actions`: requests to the cloud.
+//! * `term_leader`: the trait through which the controller calls this type.
+//! * `moment`: converts stored times of day to instants of the steady clock.
 
 mod cancellation;
 mod command_dispatch;
@@ -66,25 +67,26 @@
     writer: Arc<Writer>,
     authority: Mutex<Authority>,
     renewals: LeaseRenewals,
-    /// The stored state has been read into the model.
+    /// The stored state has been loaded into the model.
     loaded: AtomicBool,
-    /// When the stored state was loaded, until all workers known from it have
-    /// accepted a token of this term.
+    /// When the stored state was loaded; `None` before that, and again once all
+    /// workers have accepted a token of this term.
     fencing_began: Mutex<Option<Instant>>,
-    /// The term has ended: nothing may be decided or stored any more.
+    /// The term has ended: this controller may no longer decide or store anything.
     ended: AtomicBool,
-    /// Wakes the process of the term to stop at its end.
+    /// Wakes [`ActiveLeader::lead`] when the term ends.
     end_notify: Notify,
-    /// The model has changed in a way that may need a scheduling round.
+    /// Wakes `run_rounds`: the model has changed in a way that may need a scheduling
+    /// round.
     round_requested: Notify,
-    /// Jobs that others depend on are to be looked up.
+    /// Wakes `look_up_dependencies`: dependencies are unresolved.
     lookup_requested: Notify,
     redirects: Mutex<RedirectHistory>,
 }
 
 impl ActiveLeader {
-    /// A term that was just won, with its lease granted by a request that was
-    /// sent at `lease_requested`.
+    /// Creates the leader of a term that was just won. Its lease was granted in
+    /// response to a request sent at `lease_requested`.
     pub fn new(
         controller: Arc<Controller>,
         term: u64,
@@ -119,15 +121,15 @@
         })
     }
 
-    /// Notes that the process has resumed after a pause. Missing heartbeats from
-    /// before that are no evidence against the workers.
+    /// Records that the process has resumed after a pause. Heartbeats that were
+    /// missed before `now` are no evidence that their workers have failed.
     pub fn resumed_after_pause(&self, now: Instant) {
         self.authority.lock().resumed_after_pause(now);
         self.model.lock().ignore_silence_before(now);
     }
 
     /// Whether this controller may act as the leader now: decide, store, send
-    /// commands and answer from memory.
+    /// commands and respond from memory.
     pub fn may_act(&self) -> bool {
         self.loaded.load(Ordering::Relaxed)
             && !self.ended.load(Ordering::Relaxed)
@@ -135,21 +137,22 @@
             && self.authority.lock().may_act(read_clocks())
     }
 
-    /// Whether heartbeats may still be answered, see [`Authority::may_renew_leases`].
+    /// Whether responses to heartbeats may renew workers' leases, see
+    /// [`Authority::may_renew_leases`].
     fn may_renew_leases(&self) -> bool {
         self.loaded.load(Ordering::Relaxed)
             && !self.ended.load(Ordering::Relaxed)
             && self.authority.lock().may_renew_leases(read_clocks())
     }
 
-    /// Ends the term here, for good. It may be called more than once.
+    /// Ends the term in this process for good. May be called more than once.
     pub fn end(&self) {
         self.ended.store(true, Ordering::Relaxed);
         self.writer.end();
         self.end_notify.notify_one();
     }
 
-    /// Lets a scheduling round begin soon.
+    /// Requests a scheduling round.
     fn request_round(&self) {
         self.round_requested.notify_one();
     }
--- a/src/leader/active_leader/moment.rs
+++ b/src/leader/active_leader/moment.rs
@@ -1,11 +1,10 @@
-//! The relation between the steady clock and the time of day, by which stored
-//! times become times of this process.
+//! Converts stored times of day to instants of this process's steady clock.
 
 use std::time::{Duration, Instant};
 
 use crate::clock::unix_time_ms;
 
-/// One moment by both clocks.
+/// One moment as both clocks show it: the steady clock and the time of day.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Moment {
     /// The moment on the steady clock.
@@ -21,9 +20,9 @@
         }
     }
 
-    /// The instant of a stored time of day, in milliseconds since the Unix epoch.
-    /// Times after this moment count as this moment; `None`: before the steady
-    /// clock began.
+    /// The instant of a stored time of day, given in milliseconds since the Unix epoch.
+    /// A time after this moment yields this moment; one before the steady clock
+    /// began yields `None`.
     pub(super) fn instant_of(self, stored_unix_time_ms: u64) -> Option<Instant> {
         let age = Duration::from_millis(self.unix_time_ms.saturating_sub(stored_unix_time_ms));
         self.steady.checked_sub(age)
--- a/src/leader/active_leader/reconciliation.rs
+++ b/src/leader/active_leader/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Reconciliation of the model with the jobs that are stored.
+//! Reconciles the model with the stored jobs.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -12,16 +12,17 @@
 
 use super::ActiveLeader;
 
-/// Pause between two reads of all unfinished jobs.
+/// Pause before all unfinished jobs are read again.
 const RECONCILE_INTERVAL: Duration = Duration::from_secs(15);
 
-/// Keys and versions of the job records that could not be parsed, each of which
-/// is logged once.
+/// Keys and versions of the job records that could not be parsed, so that each is
+/// logged once.
 type UnreadableRecords = HashSet<(String, u64)>;
 
 impl ActiveLeader {
-    /// Reads all unfinished jobs again from time to time: whatever inbox mark,
-    /// watch or response was lost, no accepted job stays unknown for longer.
+    /// Reads all unfinished jobs every [`RECONCILE_INTERVAL`] and adds those that the
+    /// model lacks, so that no accepted job stays unknown for longer if an inbox mark,
+    /// a watch or a response was lost.
     pub(super) async fn reconcile_jobs(self: Arc<Self>) {
         let mut unreadable = UnreadableRecords::new();
         loop {
@@ -42,10 +43,14 @@
             return;
         }
         match serde_json::from_value::<JobRecord>(item.value) {
-            Ok(record) => self.admit(record, item.version),
+            Ok(record) => self.add_stored_job(record, item.version),
             Err(error) => {
                 if unreadable.insert((item.key.clone(), item.version)) {
-                    info!(key = item.key, %error, "a job record can't be read; it is tried again");
+                    info!(
+                        key = item.key,
+                        %error,
+                        "a stored job record can't be parsed; it is read again later"
+                    );
                 }
             }
         }
--- a/src/leader/active_leader/redirection.rs
+++ b/src/leader/active_leader/redirection.rs
@@ -1,4 +1,4 @@
-//! Redirects: which controller each worker is to report to.
+//! Decides which controller each worker is to report to.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -9,9 +9,9 @@
 use super::ActiveLeader;
 
 impl ActiveLeader {
-    /// Notes a heartbeat that came through `via`; returns the controller that
-    /// its worker is to report to instead, if any.
-    pub(super) fn redirect(&self, machine: &MachineId, via: &str, now: Instant) -> Option<String> {
+    /// Records a heartbeat that came through the controller `via`. Returns the one that
+    /// the worker is to be redirected to, if any.
+    pub(super) fn choose_redirect(&self, machine: &MachineId, via: &str, now: Instant) -> Option<String> {
         if !self.redirects.lock().record_heartbeat(machine, via, now) {
             return None;
         }
@@ -23,9 +23,9 @@
         Some(target)
     }
 
-    /// The controller that a machine is to report to, by rendezvous hashing: the
-    /// same one from every leader, among those that are connected and that the
-    /// worker can reach.
+    /// The controller that a machine's worker is to report to, chosen by rendezvous
+    /// hashing among those that are connected and that it may be redirected to. From
+    /// the same controllers, every leader chooses the same one.
     fn assigned_controller(&self, machine: &MachineId, now: Instant) -> String {
         let redirects = self.redirects.lock();
         self.controller
--- a/src/leader/active_leader/rounds.rs
+++ b/src/leader/active_leader/rounds.rs
@@ -1,5 +1,5 @@
-//! Scheduling rounds: when they run, and the hand-over of what they decide to
-//! `state_writes` and `command_dispatch`.
+//! Runs scheduling rounds, and passes what they decide to `state_writes` and
+//! `command_dispatch`.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,15 +15,15 @@
 
 use super::ActiveLeader;
 
-/// Machines without other commands that are sent one in a round at the most, to
-/// learn what runs on them: a new leader has to ask them all, and the renewal
-/// of its lease must not wait behind them.
+/// Most machines that are probed in one round: sent a command to learn what runs on
+/// them. A new leader has to probe all machines, and the renewal of its lease must not
+/// wait behind the probes.
 const MAX_PROBES: usize = 64;
-/// Longest time between two rounds if nothing requests one.
+/// Longest wait for a request before a round runs anyway.
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause after a round, as a multiple of the time that the round took.
 const PAUSE_PER_ROUND_TIME: u32 = 4;
-/// Upper bound of that pause, as a multiple of the pause of the settings.
+/// Upper bound of that pause, as a multiple of the operators' `plan.pause_ms`.
 const MAX_PAUSE_FACTOR: u32 = 10;
 
 /// What one round decided.
@@ -33,8 +33,8 @@
 }
 
 impl ActiveLeader {
-    /// Runs rounds, on request and from time to time, for as long as the term
-    /// lasts; rounds are left out while this controller may not act.
+    /// Runs rounds, on request and periodically, until the term ends. Skips them while
+    /// this controller may not act.
     pub(super) async fn run_rounds(self: Arc<Self>) {
         let mut could_act = true;
         loop {
@@ -47,7 +47,7 @@
             }
             if may_act != could_act {
                 could_act = may_act;
-                self.log_authority(may_act);
+                self.log_authority_change(may_act);
             }
             // A round that took long is followed by a longer pause, so that
             // users and workers are answered meanwhile.
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Plans one round and starts to store and send what it decided. Nothing of
-    /// it is awaited here: a slow worker must not hold up the next round.
+    /// Plans one round and spawns tasks that store and send what it decided. They are
+    /// not awaited: a slow worker must not hold up the next round.
     fn run_round(self: &Arc<Self>) {
         let decisions = self.plan_round(Instant::now());
         for write in decisions.writes {
@@ -75,7 +75,7 @@
         let mut model = self.model.lock();
         let summary = model.plan(now);
         if summary != RoundSummary::default() {
-            debug!(?summary, "round");
+            debug!(?summary, "scheduling round placed or preempted tasks");
         }
         self.log_fencing_completed(&model, now);
         let writes = model.take_due_writes(now);
@@ -84,25 +84,26 @@
         RoundDecisions { writes, commands }
     }
 
-    /// Logs once how long it took after the load until all workers were fenced.
+    /// Logs once how long after the load all workers were fenced: they refuse
+    /// commands of earlier leaders from then on.
     fn log_fencing_completed(&self, model: &ClusterModel, now: Instant) {
         let mut fencing_began = self.fencing_began.lock();
         if let Some(began) = fencing_began.filter(|_| model.all_fenced()) {
             info!(
                 took_ms = (now - began).as_millis() as u64,
-                "all workers have accepted this term"
+                "all workers have accepted a token of this term"
             );
             *fencing_began = None;
         }
     }
 
-    fn log_authority(&self, may_act: bool) {
+    fn log_authority_change(&self, may_act: bool) {
         let since_renewal = self.authority.lock().since_renewal(read_clocks());
         info!(
             term = self.term,
             may_act,
             since_renewal_ms = since_renewal.as_millis() as u64,
-            "the authority to act has changed"
+            "the authority to act as the leader has changed"
         );
     }
 }
--- a/src/leader/active_leader/state_writes.rs
+++ b/src/leader/active_leader/state_writes.rs
@@ -1,5 +1,5 @@
-//! Writes of the model to the state service, and what follows once they are
-//! stored or refused.
+//! Stores the model's writes in the state service, and reports their outcomes to the
+//! model.
 
 use std::time::Instant;
 
@@ -14,24 +14,24 @@
 use super::ActiveLeader;
 
 impl ActiveLeader {
-    /// Stores a write that a round decided, then enters its outcome into the
-    /// model. An append to the write-ahead log that fails ends the term.
+    /// Stores a write that a round decided, then reports its outcome to the model. An
+    /// append to the write-ahead log that fails ends the term.
     pub(super) async fn store_write(&self, write: PendingWrite) {
         let result = self.commit_write(&write).await;
         if let Err(CommitError::Conflict(keys)) = &result {
-            info!(?keys, "a write met a changed key");
+            info!(?keys, "write not executed: another writer changed its keys");
         }
         if result.is_err() && matches!(write, PendingWrite::Append(_)) {
-            // The log belongs to this term alone: its content is in doubt now,
-            // and the next term reads it afresh.
+            // No other writer may change the log during this term. After a failed append
+            // its content is in doubt, and only the next term reads it again.
             return self.end();
         }
         let stored = result.is_ok();
         if let (true, PendingWrite::Final { id, record, .. }) = (stored, &write) {
-            // Before the job leaves the model, or a poll in between would find
-            // it in neither.
+            // Kept before the job leaves the model, as a poll in between would find it
+            // neither there nor here.
             self.controller.terminal_states().keep(*id, record.clone());
-            debug!(job = %id, state = ?record.state, "finished");
+            debug!(job = %id, state = ?record.state, "job's final state stored");
         }
         self.model.lock().write_finished(&write, stored, Instant::now());
         self.request_round();
@@ -45,9 +45,9 @@
         }
     }
 
-    /// Stores an append that was refused as a whole, one segment after the other:
-    /// the state service may take fewer changes at once than was announced.
-    /// Deletions come last, so that the log never lacks a live entry.
+    /// Stores the segments of an append one by one after it was refused as a whole: the
+    /// state service may take fewer changes at once than the settings say. Deletions
+    /// come last in an append, so that the log never lacks a live entry.
     async fn commit_in_order(&self, append: &LogAppend) -> Result<(), CommitError> {
         for (number, value) in &append.segments {
             let segment = AtomicWrite {
--- a/src/leader/active_leader/submission.rs
+++ b/src/leader/active_leader/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions of jobs: checked, stored, and only then accepted.
+//! Submissions of jobs: checked, then stored, and only then confirmed to the user.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,12 +15,13 @@
 
 use super::ActiveLeader;
 
-/// How long a user's change may take to be stored.
+/// How long a user waits until a submission or cancellation is stored. The write goes
+/// on after that.
 pub(super) const STORE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 impl ActiveLeader {
     /// Responds to a submission. A job is confirmed to its user only after it is
-    /// stored; one that is known already gets its status instead.
+    /// stored; the response for a known job is its status.
     pub async fn submit(self: &Arc<Self>, body: &[u8]) -> ApiResponse {
         let id = match self.controller.submission_id(body) {
             Ok(id) => id,
@@ -37,8 +38,8 @@
             .await;
         let record = match checked {
             Ok(record) => record,
-            // Only an unknown job is rejected: another controller may have
-            // stored it.
+            // Another controller may have stored the job: only one that is not
+            // stored is rejected.
             Err(rejection) => return self.stored_status_or(id, rejection.into()).await,
         };
         if self.is_write_queue_full() {
@@ -47,13 +48,15 @@
         self.accept_within_timeout(record).await
     }
 
-    /// Whether a job submitted now could not be stored in time.
+    /// Whether so many urgent writes are queued that a job submitted now would not be
+    /// stored within [`STORE_TIMEOUT`].
     fn is_write_queue_full(&self) -> bool {
         let storable = self.controller.store().max_changes_within(STORE_TIMEOUT);
         self.writer.queued_urgent_changes() as f64 > storable
     }
 
-    /// Stores a job; the write goes on if it takes longer than its user waits.
+    /// Stores a job and responds to its user. The write goes on if it takes longer
+    /// than the user waits.
     async fn accept_within_timeout(self: &Arc<Self>, record: JobRecord) -> ApiResponse {
         let id = record.spec.id;
         let active_leader = self.clone();
@@ -68,8 +71,8 @@
         }
     }
 
-    /// Stores a job that neither is unfinished nor has ended, then adds it to the
-    /// model.
+    /// Stores a new job, on condition that no unfinished or final record of it exists,
+    /// then adds it to the model.
     async fn accept(&self, record: JobRecord) -> Result<(), CommitError> {
         let id = record.spec.id;
         let value = serde_json::to_value(&record).unwrap_or(Value::Null);
@@ -87,7 +90,7 @@
             class = spec.class,
             tasks = spec.tasks,
             cpus = spec.cpus,
-            "accepted"
+            "job accepted"
         );
         self.model.lock().add_job(record, Instant::now());
         self.resolve_from_memory();
--- a/src/leader/active_leader/takeover.rs
+++ b/src/leader/active_leader/takeover.rs
@@ -1,4 +1,4 @@
-//! The load of the stored state into the model at the start of a term.
+//! Loads the stored state into the model at the start of a term.
 
 use std::sync::Arc;
 
@@ -13,14 +13,14 @@
 use super::ActiveLeader;
 
 impl ActiveLeader {
-    /// Loads unfinished jobs, the write-ahead log, the teams' run-time ratios and
-    /// the machine types.
+    /// Loads the unfinished jobs, the write-ahead log, the teams' run-time ratios
+    /// and the machine types.
     ///
     /// # Errors
     ///
-    /// Those of the state service, and [`StoreError::UnreadableValue`] if a segment of
-    /// the log can't be parsed. The model may hold a part then; the load is
-    /// repeated as a whole.
+    /// Those of requests to the state service, and [`StoreError::UnreadableValue`] if a
+    /// segment of the log can't be parsed. The model may hold part of the state
+    /// then; the caller repeats the whole load.
     pub(super) async fn load(&self) -> Result<(), StoreError> {
         let store = self.controller.store();
         let jobs = store.list(record::JOBS).await?.items;
@@ -33,7 +33,7 @@
             self.load_stored_job(&mut model, item, now);
         }
         for item in segments {
-            self.load_segment(&mut model, item)?;
+            self.load_log_segment(&mut model, item)?;
         }
         model.replay_log(now.steady);
         if let KeyRead::Found(item) = ratios {
@@ -52,18 +52,25 @@
                 let submitted_at = now.instant_of(record.at).unwrap_or(now.steady);
                 model.add_job(record, submitted_at);
             }
-            Err(_) => info!(key = item.key, "an unreadable job record is left alone"),
+            Err(_) => info!(
+                key = item.key,
+                "a stored job record can't be parsed; the job is not loaded"
+            ),
         }
     }
 
-    fn load_segment(&self, model: &mut ClusterModel, item: KeyValue) -> Result<(), StoreError> {
+    fn load_log_segment(&self, model: &mut ClusterModel, item: KeyValue) -> Result<(), StoreError> {
         self.writer.set_known_version(&item.key, item.version);
         let number = item.key.trim_start_matches(record::WAL).parse();
         if number.is_ok_and(|number| model.load_log_segment(number, item.value)) {
             return Ok(());
         }
-        // The tasks that it names are unknown: nothing may be placed.
-        info!(key = item.key, "a segment of the log can't be read");
+        // The segment names tasks that may be on machines. Nothing may be placed while
+        // they are unknown, so the load fails.
+        info!(
+            key = item.key,
+            "a segment of the write-ahead log can't be parsed; the load fails"
+        );
         Err(StoreError::UnreadableValue {
             key: item.key,
             source: None,
--- a/src/leader/active_leader/term.rs
+++ b/src/leader/active_leader/term.rs
@@ -1,5 +1,5 @@
-//! The course of one term: load what is stored, announce the leadership, run the
-//! term's loops, and release the lease.
+//! The life cycle of one term: load the stored state, start to serve requests, run
+//! the term's loops, and revoke the lease at the end.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -12,13 +12,13 @@
 use super::ActiveLeader;
 use crate::controller::Role;
 
-/// Pause before the stored state is read again after a read that failed.
+/// Pause before the stored state is loaded again after a load that failed.
 const LOAD_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 impl ActiveLeader {
-    /// Leads until the term has ended: by [`ActiveLeader::end`], whoever calls
-    /// it. The renewal of the lease, the writer and the loops are cancelled then;
-    /// writes, commands and users' requests under way find the term ended.
+    /// Leads until any task calls [`ActiveLeader::end`]. Then the renewal of the
+    /// lease, the writer and the loops of the term are cancelled. Writes, commands
+    /// and users' requests in progress are not: they find that the term has ended.
     pub async fn lead(self: Arc<Self>) {
         let mut tasks = JoinSet::new();
         tasks.spawn(self.clone().renew_lease());
@@ -32,29 +32,29 @@
         self.revoke_lease_in_background();
     }
 
-    /// Takes the cluster over, then runs the loops of the term.
+    /// Loads the stored state, then serves requests and runs the loops of the term.
     async fn load_and_run(self: Arc<Self>) {
         let began = Instant::now();
         self.load_with_retry().await;
-        self.announce(began);
+        self.start_serving(began);
         self.run_loops().await;
     }
 
-    /// Reads what is stored, again and again until that works or the term ends.
+    /// Loads the stored state; retries until that succeeds or the term ends.
     async fn load_with_retry(&self) {
         while !self.ended.load(Ordering::Relaxed) {
             match self.load().await {
                 Ok(()) => break,
                 Err(error) => {
-                    info!(%error, "can't read the stored state yet");
+                    info!(%error, "loading the stored state failed; it is tried again");
                     sleep(LOAD_RETRY_PAUSE).await;
                 }
             }
         }
     }
 
-    /// Lets requests of users and workers through to this term.
-    fn announce(self: &Arc<Self>, load_began: Instant) {
+    /// Makes the controller pass the requests of users and workers to this term.
+    fn start_serving(self: &Arc<Self>, load_began: Instant) {
         *self.fencing_began.lock() = Some(Instant::now());
         self.loaded.store(true, Ordering::Relaxed);
         self.controller.set_role(Role::Leading(self.clone()));
@@ -64,7 +64,7 @@
             jobs = model.jobs().len(),
             machines = model.machines().len(),
             took_ms = load_began.elapsed().as_millis() as u64,
-            "state loaded"
+            "stored state loaded; serving requests as the leader"
         );
     }
 
@@ -80,8 +80,8 @@
         while loops.join_next().await.is_some() {}
     }
 
-    /// Lets the next leader be elected before the lease expires. The next
-    /// election here does not wait for it.
+    /// Revokes the lease, so that the next leader can be elected before it would
+    /// expire. This controller's next election does not wait for that.
     fn revoke_lease_in_background(&self) {
         let controller = self.controller.clone();
         let lease = self.lease;
--- a/src/leader/active_leader/term_leader.rs
+++ b/src/leader/active_leader/term_leader.rs
@@ -1,4 +1,4 @@
-//! The active leader as its controller sees it.
+//! The trait through which the controller calls the leader of a term.
 
 use std::sync::Arc;
 use std::time::Instant;
--- a/src/leader/election.rs
+++ b/src/leader/election.rs
@@ -1,8 +1,9 @@
 //! Leader election through the state service.
 //!
-//! A candidate opens a lease and puts the leader's key attached to it, guarded
-//! by the key's version as the candidate read it (0: absent). The revision of
-//! that put is the term: it only grows, though the key is deleted and put again.
+//! A candidate requests a lease and puts the leader's key attached to it, on
+//! condition that the key still has the version that the candidate read (0: the key
+//! does not exist). The revision of that put is the term. Revisions only grow, so
+//! terms do as well, although the key is deleted and put again.
 //! The leader's authority ends, by its own clocks, one lease after its last
 //! successful renewal was sent (see [`crate::core::evidence::authority`]).
 
@@ -25,24 +26,25 @@
 const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(400);
 /// How long the state service may hold one watch of the leader's key.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a lease was not granted.
+/// Pause after a request for a lease has failed.
 const LEASE_RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// How long the put of the leader's key may take.
+/// Timeout of the transaction that puts the leader's key.
 const PUT_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Pause after a lost election.
 const LOST_ELECTION_PAUSE: Duration = Duration::from_millis(100);
-/// Pause after a term, so that another controller has the first try: this one
-/// may have given up for want of connections.
+/// Pause after a term, so that another controller can be elected first: this one
+/// may have ended its term because it lacked connections.
 const PAUSE_AFTER_TERM: Duration = Duration::from_millis(1500);
 
-/// Follows the leader's key for as long as the process runs; stands for
-/// election whenever there is no leader, and leads when elected.
+/// Watches the leader's key for as long as the process runs: follows the leader
+/// that the key names, stands for election if there is none, and leads if elected.
 pub(super) async fn run_elections(controller: Arc<Controller>) {
     loop {
         match controller.store().get(LEADER).await {
             Ok(KeyRead::Found(item)) => match parse_leader(&item) {
-                // This process has replaced the one that led, so that one is
-                // dead: its key may be overwritten at once.
+                // The key is from an earlier process on this host, which is dead
+                // as this one replaced it, or from an earlier term of this
+                // process, which has ended. It may be overwritten at once.
                 Some(leader) if leader.host == controller.host() => {
                     stand_for_election(&controller, item.version).await;
                 }
@@ -51,7 +53,7 @@
             },
             Ok(KeyRead::Missing { .. }) => stand_for_election(&controller, 0).await,
             Err(error) => {
-                debug!(%error, "can't read the leader's key");
+                debug!(%error, "reading the leader's key failed; it is read again");
                 sleep(READ_RETRY_PAUSE).await;
             }
         }
@@ -62,9 +64,10 @@
     serde_json::from_value(item.value.clone()).ok()
 }
 
-/// Follows a leader until its key changes or can't be watched.
+/// Follows a leader until its key changes, or until the changes since the last
+/// watch are no longer kept and the key has to be read again.
 async fn follow(controller: &Arc<Controller>, leader: &LeaderRecord, term: u64) {
-    info!(leader = leader.host, term, "following");
+    info!(leader = leader.host, term, "following the leader");
     controller.observe_term(term);
     controller.set_role(Role::Following {
         host: leader.host.clone(),
@@ -77,9 +80,9 @@
             Ok(watched) if watched.events.is_empty() => since = since.max(watched.revision),
             Ok(_) | Err(StoreError::RevisionTooOld { .. }) => return,
             Err(error) => {
-                // The leader may well go on leading. Its key is read afresh as
-                // soon as that works.
-                debug!(%error, "can't watch the leader's key");
+                // This doesn't show that the leader has lost its lease, so it is
+                // followed until a read shows that its key has changed.
+                debug!(%error, "watching the leader's key failed; it is read again");
                 sleep(WATCH_RETRY_PAUSE).await;
                 match controller.store().get(LEADER).await {
                     Ok(KeyRead::Found(item)) if item.version == term => since = term,
@@ -91,15 +94,15 @@
     }
 }
 
-/// Stands for election against the version of the leader's key that was read;
-/// leads until the end of the term if elected.
+/// Stands for election, on condition that the leader's key still has
+/// `version`; if elected, leads until the end of the term.
 async fn stand_for_election(controller: &Arc<Controller>, version: u64) {
     let lifetime = controller.operator_settings().leader_lease;
     let lease_requested = read_clocks();
     let lease = match controller.store().grant_lease(lifetime).await {
         Ok(lease) => lease,
         Err(error) => {
-            debug!(%error, "no lease granted");
+            debug!(%error, "no lease granted for the election; it is tried again");
             return sleep(LEASE_RETRY_PAUSE).await;
         }
     };
@@ -107,7 +110,7 @@
         let _ = controller.store().revoke_lease(lease).await;
         return sleep(LOST_ELECTION_PAUSE).await;
     };
-    info!(term, "elected");
+    info!(term, "elected as leader");
     controller.observe_term(term);
     let active_leader = ActiveLeader::new(controller.clone(), term, lease, lease_requested);
     active_leader.clone().lead().await;
@@ -116,8 +119,8 @@
     sleep(PAUSE_AFTER_TERM).await;
 }
 
-/// Puts the leader's key, attached to the lease, if its version is still the
-/// expected one. Returns the term, or `None` if the election is lost.
+/// Puts the leader's key, attached to the lease, if it still has `version`. Returns
+/// the term, or `None` if the election is lost.
 async fn put_leader_key(controller: &Controller, version: u64, lease: u64) -> Option<u64> {
     let record = LeaderRecord {
         host: controller.host().to_owned(),
@@ -138,15 +141,15 @@
         Ok(revision) => Some(revision),
         Err(StoreError::Unanswered { .. }) => read_term(controller, &record, version).await,
         Err(error) => {
-            debug!(%error, "not elected");
+            debug!(%error, "election lost: the leader's key was not put");
             None
         }
     }
 }
 
-/// The term of a put that was not answered, if it has been applied. If a late
-/// copy is applied after this read, the key is attached to a lease that ends
-/// soon.
+/// Returns the term of a put that was not answered, if the put has been executed.
+/// If it is executed only after this read, the key is attached to a lease that is
+/// not renewed, and is soon deleted with it.
 async fn read_term(controller: &Controller, record: &LeaderRecord, version: u64) -> Option<u64> {
     let Ok(KeyRead::Found(item)) = controller.store().get(LEADER).await else {
         return None;
--- a/src/leader/process.rs
+++ b/src/leader/process.rs
@@ -1,5 +1,5 @@
-//! Start of the controller process: listeners, links to the peers, and the
-//! loops that run for as long as the process does.
+//! Start of the controller process: listeners, links to the other controllers, and
+//! the loops that run until the process exits.
 
 use std::io;
 use std::net::SocketAddr;
@@ -33,7 +33,7 @@
     },
 }
 
-/// Runs one controller; returns only if it can't start.
+/// Runs one controller. Returns only if it can't start.
 ///
 /// # Errors
 ///
@@ -44,12 +44,12 @@
     operator_settings: OperatorSettings,
 ) -> Result<(), StartError> {
     let controller = Controller::new(deployment, operator_settings);
-    let api_listener = listen("api_addr", controller.deployment().api_address).await?;
-    let peer_listener = listen("back", controller.deployment().peer_address).await?;
+    let api_listener = bind_listener("api_addr", controller.deployment().api_address).await?;
+    let peer_listener = bind_listener("back", controller.deployment().peer_address).await?;
     info!(
         host = controller.host(),
         zone = controller.deployment().zone,
-        "started"
+        "controller started"
     );
     let mut tasks = JoinSet::new();
     for link in controller.links() {
@@ -63,7 +63,7 @@
     Ok(())
 }
 
-async fn listen(setting: &'static str, addr: SocketAddr) -> Result<TcpListener, StartError> {
+async fn bind_listener(setting: &'static str, addr: SocketAddr) -> Result<TcpListener, StartError> {
     TcpListener::bind(addr)
         .await
         .map_err(|source| StartError::Listen {
@@ -73,7 +73,7 @@
         })
 }
 
-/// Measures how late the process's own timer fires.
+/// Runs the timer whose delay shows pauses and overload of this process.
 async fn watch_for_stalls(controller: Arc<Controller>) {
     loop {
         sleep(TIMER_INTERVAL).await;
