--- a/src/api/connections.rs
+++ b/src/api/connections.rs
@@ -52,7 +52,7 @@
     let mut http = http1::Builder::new();
     http.timer(TokioTimer::new()).header_read_timeout(timeouts.idle);
     loop {
-        let permit = controller.sockets().acquire_incoming().await;
+        let permit = controller.sockets().acquire_incoming_socket().await;
         match listener.accept().await {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
--- a/src/api/routes.rs
+++ b/src/api/routes.rs
@@ -120,7 +120,7 @@
         .and(with(controller))
         .then(|body: Bytes, controller: Arc<Controller>| async move {
             let mut response = to_http(controller.heartbeat(&body).await);
-            if controller.sockets().is_overloaded() {
+            if controller.sockets().is_incoming_over_half_used() {
                 // The worker opens another connection for its next heartbeat;
                 // meanwhile its socket serves somebody else.
                 let close = HeaderValue::from_static("close");
--- a/src/controller/direct_submission.rs
+++ b/src/controller/direct_submission.rs
@@ -11,7 +11,7 @@
 use crate::wire::{Change, Condition, JobId, Transaction};
 
 use super::job_lookup::StoredJob;
-use super::submission::accepted;
+use super::submission::accepted_response;
 use super::Controller;
 
 /// How long the state service may take to store a job.
@@ -26,12 +26,12 @@
             Err(rejection) => return rejection.into(),
         };
         // The id comes before the body: a repeat of an accepted job is 200.
-        match self.lookup(id).await {
+        match self.lookup_job(id).await {
             Ok(StoredJob::NeverAccepted) => {}
-            Ok(found) => return self.response_about(id, &found).await,
+            Ok(found) => return self.status_response(id, &found).await,
             Err(_) => return ApiResponse::unavailable("the job's state can't be read now"),
         }
-        let types = self.known_types().await;
+        let types = self.ensure_machine_types().await;
         let record = match self.check_submission(body, &types, |_| None).await {
             Ok(record) => record,
             Err(rejection) => return rejection.into(),
@@ -47,14 +47,14 @@
         match self.store.transact(&transaction, STORE_TIMEOUT).await {
             Ok(_) => {
                 debug!(job = %id, "accepted without the leader");
-                accepted(id)
+                accepted_response(id)
             }
             // It may have been stored nevertheless, or by another controller.
-            Err(_) => match self.lookup(id).await {
+            Err(_) => match self.lookup_job(id).await {
                 Ok(StoredJob::NeverAccepted) | Err(_) => {
                     ApiResponse::unavailable("the job can't be stored now")
                 }
-                Ok(found) => self.response_about(id, &found).await,
+                Ok(found) => self.status_response(id, &found).await,
             },
         }
     }
--- a/src/controller/job_lookup.rs
+++ b/src/controller/job_lookup.rs
@@ -28,7 +28,7 @@
 impl Controller {
     /// Reads a job from the state service; a terminal state is kept. The unfinished jobs
     /// are read first: a job moves from there to the finished ones, never back.
-    pub async fn lookup(&self, id: JobId) -> Result<StoredJob, StoreError> {
+    pub async fn lookup_job(&self, id: JobId) -> Result<StoredJob, StoreError> {
         if let KeyRead::Found(item) = self.store.get_for_user(&record::job_key(id)).await? {
             let version = item.version;
             let record = parse_value(item)?;
@@ -37,7 +37,7 @@
         if let KeyRead::Found(item) = self.store.get_for_user(&record::final_key(id)).await? {
             let record: FinalRecord = parse_value(item)?;
             let status = terminal_status(id, &record);
-            self.terminal_states().keep(id, record);
+            self.terminal_states().insert(id, record);
             return Ok(StoredJob::Finished(status));
         }
         Ok(StoredJob::NeverAccepted)
@@ -66,7 +66,7 @@
             let known = self.terminal_states().status(id);
             let found = match known {
                 Some(status) => StoredJob::Finished(status),
-                None => self.lookup(id).await?,
+                None => self.lookup_job(id).await?,
             };
             match found {
                 StoredJob::Finished(status) if status.state == JobState::Cancelled => return Ok(true),
@@ -82,7 +82,7 @@
     }
 
     /// The response to a user about a job that was looked up.
-    pub async fn response_about(&self, id: JobId, found: &StoredJob) -> ApiResponse {
+    pub async fn status_response(&self, id: JobId, found: &StoredJob) -> ApiResponse {
         if let StoredJob::Finished(status) = found {
             return ApiResponse::json(200, status);
         }
--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -21,7 +21,7 @@
 
     /// The machine types, read from the state service if they are not known here. Empty
     /// if they can't be read either.
-    pub async fn known_types(&self) -> Arc<Vec<MachineType>> {
+    pub async fn ensure_machine_types(&self) -> Arc<Vec<MachineType>> {
         let known = self.machine_types();
         if !known.is_empty() {
             return known;
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -15,18 +15,18 @@
 
 impl Controller {
     /// Whether a request could be sent to any other controller now.
-    pub fn any_peer_reachable(&self) -> bool {
+    pub fn has_reachable_peer(&self) -> bool {
         self.links.iter().any(|link| link.is_alive())
     }
 
     /// Whether this controller can respond to users: it leads, or it reaches another
     /// controller or the state service.
     pub fn can_serve(&self) -> bool {
-        self.active_leader().is_some() || self.any_peer_reachable() || self.store.is_reachable()
+        self.active_leader().is_some() || self.has_reachable_peer() || self.store.is_reachable()
     }
 
     /// The names of the controllers connected to this one, itself included, in order.
-    pub fn connected(&self) -> Vec<String> {
+    pub fn connected_hosts(&self) -> Vec<String> {
         let peers = self.peers.lock();
         let mut all: Vec<String> = peers
             .iter()
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -75,7 +75,7 @@
 }
 
 /// The response to a submission that was accepted.
-pub fn accepted(id: JobId) -> ApiResponse {
+pub fn accepted_response(id: JobId) -> ApiResponse {
     let status = JobStatus {
         id,
         state: JobState::Queued,
@@ -201,7 +201,7 @@
 
     /// The kind of an unfinished job; `None` if it ended.
     async fn stored_kind(&self, dependency: JobId) -> Result<Option<JobKind>, SubmissionError> {
-        match self.lookup(dependency).await {
+        match self.lookup_job(dependency).await {
             Ok(StoredJob::Unfinished(record, _)) => Ok(Some(record.spec.kind)),
             Ok(StoredJob::Finished(_)) => Ok(None),
             Ok(StoredJob::NeverAccepted) => Err(AdmissionError::UnknownDependency(dependency).into()),
--- a/src/controller/term_leader.rs
+++ b/src/controller/term_leader.rs
@@ -10,7 +10,7 @@
 use crate::wire::JobId;
 
 /// A response that is being computed.
-pub type PendingResponse<'a> = Pin<Box<dyn Future<Output = ApiResponse> + Send + 'a>>;
+pub type ResponseFuture<'a> = Pin<Box<dyn Future<Output = ApiResponse> + Send + 'a>>;
 
 /// The leader of one term in this process. The controller hands it the requests that
 /// only a leader may answer, and notifies it of what ends its term or casts doubt on it.
@@ -32,11 +32,11 @@
     fn heartbeat(&self, body: &[u8], via: &str) -> ApiResponse;
 
     /// Responds to a submission.
-    fn submit<'a>(self: Arc<Self>, body: &'a [u8]) -> PendingResponse<'a>;
+    fn submit<'a>(self: Arc<Self>, body: &'a [u8]) -> ResponseFuture<'a>;
 
     /// Responds to a poll of a job.
-    fn poll(self: Arc<Self>, id: JobId) -> PendingResponse<'static>;
+    fn poll(self: Arc<Self>, id: JobId) -> ResponseFuture<'static>;
 
     /// Responds to a cancellation.
-    fn cancel(self: Arc<Self>, id: JobId) -> PendingResponse<'static>;
+    fn cancel(self: Arc<Self>, id: JobId) -> ResponseFuture<'static>;
 }
--- a/src/controller/terminal_states.rs
+++ b/src/controller/terminal_states.rs
@@ -20,7 +20,7 @@
 impl TerminalStates {
     /// Adds a terminal state; beyond `MAX_RECORDS`, the one added first goes. The time of
     /// the end is kept if it is known already and `record` has none.
-    pub fn keep(&mut self, id: JobId, record: FinalRecord) {
+    pub fn insert(&mut self, id: JobId, record: FinalRecord) {
         let ended_at = record.ended_at;
         match self.records.insert(id, record) {
             None => self.order.push_back(id),
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -79,19 +79,19 @@
 
     /// Responds to a poll by what is stored.
     async fn poll_direct(&self, id: JobId) -> ApiResponse {
-        match self.lookup(id).await {
-            Ok(found) => self.response_about(id, &found).await,
+        match self.lookup_job(id).await {
+            Ok(found) => self.status_response(id, &found).await,
             Err(_) => ApiResponse::unavailable("the job's state can't be read now"),
         }
     }
 
     /// Responds to a cancellation of a job that is stored as ended, or not at all.
     async fn cancel_direct(&self, id: JobId) -> ApiResponse {
-        let Ok(found) = self.lookup(id).await else {
+        let Ok(found) = self.lookup_job(id).await else {
             return ApiResponse::unavailable("no leader to cancel it now");
         };
         match self.stored_state(&found).await {
-            Ok(None | Some(JobState::Cancelled | JobState::Done)) => self.response_about(id, &found).await,
+            Ok(None | Some(JobState::Cancelled | JobState::Done)) => self.status_response(id, &found).await,
             _ => ApiResponse::unavailable("no leader to cancel it now"),
         }
     }
@@ -117,7 +117,7 @@
                 done: status.done,
                 ended_at: None,
             };
-            self.terminal_states().keep(status.id, record);
+            self.terminal_states().insert(status.id, record);
         }
     }
 }
--- a/src/leader/active_leader/cancellation.rs
+++ b/src/leader/active_leader/cancellation.rs
@@ -155,7 +155,7 @@
     /// whether the cancellation is stored nevertheless. `None`: the write is to be
     /// repeated.
     async fn check_stored_cancellation(&self, id: JobId, key: &str) -> Option<CancellationOutcome> {
-        match self.controller.lookup(id).await {
+        match self.controller.lookup_job(id).await {
             Ok(StoredJob::Unfinished(record, _)) if record.cancelled => Some(CancellationOutcome::Stored),
             Ok(StoredJob::Unfinished(_, version)) => {
                 self.writer.set_known_version(key, version);
--- a/src/leader/active_leader/dependency_lookup.rs
+++ b/src/leader/active_leader/dependency_lookup.rs
@@ -49,7 +49,7 @@
     }
 
     async fn look_up_dependency(&self, id: JobId) -> Result<(), StoreError> {
-        match self.controller.lookup(id).await? {
+        match self.controller.lookup_job(id).await? {
             StoredJob::Unfinished(record, version) => self.add_stored_job(*record, version),
             StoredJob::Finished(_) => self.resolve_after_lookup(id),
             StoredJob::NeverAccepted => {
--- a/src/leader/active_leader/fleet_actions.rs
+++ b/src/leader/active_leader/fleet_actions.rs
@@ -48,7 +48,7 @@
     /// Whether this controller is partitioned from the workers and another one could
     /// lead instead.
     fn should_resign(&self) -> bool {
-        self.controller.any_peer_reachable() && self.model.lock().is_partitioned_from_workers(Instant::now())
+        self.controller.has_reachable_peer() && self.model.lock().is_partitioned_from_workers(Instant::now())
     }
 
     async fn run_fleet_action(&self, action: FleetAction) {
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -107,7 +107,7 @@
         if self.is_known(id) {
             return IntakeOutcome::Settled;
         }
-        match self.controller.lookup(id).await {
+        match self.controller.lookup_job(id).await {
             Ok(StoredJob::Unfinished(record, version)) => {
                 self.add_stored_job(*record, version);
                 IntakeOutcome::Settled
--- a/src/leader/active_leader/job_status.rs
+++ b/src/leader/active_leader/job_status.rs
@@ -43,10 +43,10 @@
     /// The response about a job as it is stored, or `if_never_accepted`. An unfinished
     /// job that was unknown here is added to the model.
     pub(super) async fn stored_status_or(&self, id: JobId, if_never_accepted: ApiResponse) -> ApiResponse {
-        match self.controller.lookup(id).await {
+        match self.controller.lookup_job(id).await {
             Ok(StoredJob::NeverAccepted) => if_never_accepted,
             Ok(found) => {
-                let response = self.controller.response_about(id, &found).await;
+                let response = self.controller.status_response(id, &found).await;
                 if let StoredJob::Unfinished(record, version) = found {
                     self.add_stored_job(*record, version);
                 }
--- a/src/leader/active_leader/redirection.rs
+++ b/src/leader/active_leader/redirection.rs
@@ -29,7 +29,7 @@
     fn assigned_controller(&self, machine: &MachineId, now: Instant) -> String {
         let redirects = self.redirects.lock();
         self.controller
-            .connected()
+            .connected_hosts()
             .into_iter()
             .filter(|host| redirects.may_redirect_to(machine, host, now))
             .max_by_key(|host| rendezvous_weight(machine, host))
--- a/src/leader/active_leader/rounds.rs
+++ b/src/leader/active_leader/rounds.rs
@@ -79,7 +79,7 @@
         }
         self.log_fencing_completed(&model, now);
         let writes = model.take_due_writes(now);
-        let max_probes = MAX_PROBES.min(self.controller.sockets().available_commands() / 2);
+        let max_probes = MAX_PROBES.min(self.controller.sockets().available_command_sockets() / 2);
         let commands = model.take_due_commands(now, max_probes);
         RoundDecisions { writes, commands }
     }
--- a/src/leader/active_leader/state_writes.rs
+++ b/src/leader/active_leader/state_writes.rs
@@ -30,7 +30,7 @@
         if let (true, PendingWrite::Final { id, record, .. }) = (stored, &write) {
             // Kept before the job leaves the model, as a poll in between would find it
             // neither there nor here.
-            self.controller.terminal_states().keep(*id, record.clone());
+            self.controller.terminal_states().insert(*id, record.clone());
             debug!(job = %id, state = ?record.state, "job's final state stored");
         }
         self.model.lock().write_finished(&write, stored, Instant::now());
--- a/src/leader/active_leader/submission.rs
+++ b/src/leader/active_leader/submission.rs
@@ -7,7 +7,7 @@
 use tokio::time::timeout;
 use tracing::debug;
 
-use crate::controller::submission::accepted;
+use crate::controller::submission::accepted_response;
 use crate::core::storage::atomic_write::AtomicWrite;
 use crate::core::storage::record::{self, JobRecord};
 use crate::response::ApiResponse;
@@ -62,7 +62,7 @@
         let active_leader = self.clone();
         let acceptance = tokio::spawn(async move { active_leader.accept(record).await });
         match timeout(STORE_TIMEOUT, acceptance).await {
-            Ok(Ok(Ok(()))) => accepted(id),
+            Ok(Ok(Ok(()))) => accepted_response(id),
             Ok(Ok(Err(CommitError::Conflict(_) | CommitError::Refused))) => {
                 let unreadable = ApiResponse::unavailable("the job's state can't be read now");
                 self.stored_status_or(id, unreadable).await
--- a/src/leader/active_leader/term_leader.rs
+++ b/src/leader/active_leader/term_leader.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use crate::controller::term_leader::{PendingResponse, TermLeader};
+use crate::controller::term_leader::{ResponseFuture, TermLeader};
 use crate::response::ApiResponse;
 use crate::wire::JobId;
 
@@ -30,15 +30,15 @@
         ActiveLeader::heartbeat(self, body, via)
     }
 
-    fn submit<'a>(self: Arc<Self>, body: &'a [u8]) -> PendingResponse<'a> {
+    fn submit<'a>(self: Arc<Self>, body: &'a [u8]) -> ResponseFuture<'a> {
         Box::pin(async move { ActiveLeader::submit(&self, body).await })
     }
 
-    fn poll(self: Arc<Self>, id: JobId) -> PendingResponse<'static> {
+    fn poll(self: Arc<Self>, id: JobId) -> ResponseFuture<'static> {
         Box::pin(async move { ActiveLeader::poll(&self, id).await })
     }
 
-    fn cancel(self: Arc<Self>, id: JobId) -> PendingResponse<'static> {
+    fn cancel(self: Arc<Self>, id: JobId) -> ResponseFuture<'static> {
         Box::pin(async move { ActiveLeader::cancel(&self, id).await })
     }
 }
--- a/src/leader/election.rs
+++ b/src/leader/election.rs
@@ -73,7 +73,7 @@
         host: leader.host.clone(),
         term,
     });
-    controller.known_types().await;
+    controller.ensure_machine_types().await;
     let mut since = term;
     loop {
         match controller.store().watch(LEADER, since, WATCH_TIMEOUT).await {
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -44,7 +44,7 @@
         host: String,
     },
     /// A request.
-    PeerRequest {
+    Request {
         /// Its number, which no other request on this link has.
         id: u64,
         /// The request.
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -139,7 +139,7 @@
                     handler.observe_term(term);
                     handler.observe_leader(leader);
                 }
-                Frame::Hello { .. } | Frame::PeerRequest { .. } => {}
+                Frame::Hello { .. } | Frame::Request { .. } => {}
             }
         }
     }
@@ -172,14 +172,14 @@
             let request = PeerRequest::Ping {
                 term: handler.known_term(),
             };
-            encode(&Frame::PeerRequest { id: next_id, request }, &mut out)?;
+            encode(&Frame::Request { id: next_id, request }, &mut out)?;
             next_id += 1;
         }
         // All that is ready goes in one packet.
         let mut next = first;
         while let Some(QueuedRequest { request, response }) = next {
             pending.lock().insert(next_id, response);
-            encode(&Frame::PeerRequest { id: next_id, request }, &mut out)?;
+            encode(&Frame::Request { id: next_id, request }, &mut out)?;
             next_id += 1;
             next = next_for_batch(inbox, out.len());
         }
--- a/src/peer/listener.rs
+++ b/src/peer/listener.rs
@@ -62,7 +62,7 @@
     loop {
         let frame = read_frame_in_time(&mut read).await?;
         handler.peer_alive(host);
-        let Frame::PeerRequest { id, request } = frame else {
+        let Frame::Request { id, request } = frame else {
             continue;
         };
         match request {
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -55,17 +55,17 @@
     }
 
     /// Waits for a socket for another incoming connection.
-    pub async fn acquire_incoming(&self) -> OwnedSemaphorePermit {
+    pub async fn acquire_incoming_socket(&self) -> OwnedSemaphorePermit {
         acquire(&self.incoming).await
     }
 
     /// Waits for a socket for another command.
-    pub async fn acquire_command(&self) -> OwnedSemaphorePermit {
+    pub async fn acquire_command_socket(&self) -> OwnedSemaphorePermit {
         acquire(&self.commands).await
     }
 
     /// Commands that could be sent now without a wait for a socket.
-    pub fn available_commands(&self) -> usize {
+    pub fn available_command_sockets(&self) -> usize {
         self.commands.available_permits()
     }
 
@@ -76,7 +76,7 @@
 
     /// Whether more than half of the incoming share is taken. Workers are then asked to
     /// close their connection after each heartbeat, so that all are served in turn.
-    pub fn is_overloaded(&self) -> bool {
+    pub fn is_incoming_over_half_used(&self) -> bool {
         self.incoming.available_permits() * 2 < self.max_incoming
     }
 }
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -36,7 +36,7 @@
     let Ok(body) = serde_json::to_vec(commands) else {
         return CommandOutcome::Unanswered;
     };
-    let _socket = sockets.acquire_command().await;
+    let _socket = sockets.acquire_command_socket().await;
     let spend_permit = || permit().map(SendPermit::spend);
     let response = match post_once(address, "/commands", body, COMMAND_TIMEOUT, spend_permit).await {
         Ok(response) => response,
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -146,16 +146,16 @@
 fn every_use_of_sockets_has_a_share() {
     for limit in [bitternfold::sockets::MIN_SOCKETS, 256, 1024, 3312, 65_536] {
         let sockets = SocketBudget::new(limit);
-        let commands = sockets.available_commands();
-        assert!(commands >= 8 && !sockets.is_overloaded());
+        let commands = sockets.available_command_sockets();
+        assert!(commands >= 8 && !sockets.is_incoming_over_half_used());
         on_loopback(async {
             let mut permits = Vec::new();
             while let Ok(permit) =
-                tokio::time::timeout(Duration::from_millis(10), sockets.acquire_incoming()).await
+                tokio::time::timeout(Duration::from_millis(10), sockets.acquire_incoming_socket()).await
             {
                 permits.push(permit);
             }
-            assert!(sockets.is_overloaded());
+            assert!(sockets.is_incoming_over_half_used());
             assert!(permits.len() >= 16);
             // What is left is for the state service, the cloud and the others.
             assert!(
@@ -164,7 +164,7 @@
                 permits.len()
             );
             assert_eq!(
-                sockets.available_commands(),
+                sockets.available_command_sockets(),
                 commands,
                 "full of users, commands go on"
             );
