--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! * `connections` accepts connections within the budget of sockets, and closes those
 //!   that are idle or take too long ([`ConnectionTimeouts`]).
-//! * `routes` has a function for each endpoint; it calls the
-//!   [`Controller`](crate::controller::Controller), which decides every response.
-//! * `responses` turns these into HTTP.
+//! * `routes` has a function for each endpoint, which calls the
+//!   [`Controller`](crate::controller::Controller) for the response.
+//! * `responses` converts the responses to HTTP.
 
 mod connections;
 mod responses;
--- a/src/api/responses.rs
+++ b/src/api/responses.rs
@@ -1,4 +1,4 @@
-//! Responses as HTTP.
+//! Converts responses and warp's rejections to HTTP.
 
 use std::convert::Infallible;
 
@@ -9,10 +9,11 @@
 
 use crate::response::ApiResponse;
 
-/// Seconds after which a client may retry a 503 that names no time.
+/// The `retry-after` header of a 503 whose response sets none, in seconds.
 const DEFAULT_RETRY_AFTER: u16 = 1;
 
-/// The HTTP form of a controller's response.
+/// Converts a controller's response to HTTP. A status that is not valid in HTTP
+/// becomes 503.
 pub(super) fn to_http(response: ApiResponse) -> warp::http::Response<Bytes> {
     let status = StatusCode::from_u16(response.status).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let mut builder = warp::http::Response::builder()
@@ -28,8 +29,8 @@
     builder.body(Bytes::from(response.body)).unwrap_or_default()
 }
 
-/// The response to a request that no endpoint takes.
-pub(super) async fn to_rejection(rejection: Rejection) -> Result<warp::reply::Response, Infallible> {
+/// The response to a request that no endpoint accepts.
+pub(super) async fn rejection_to_http(rejection: Rejection) -> Result<warp::reply::Response, Infallible> {
     let response = if rejection.find::<PayloadTooLarge>().is_some() {
         ApiResponse::error(413, "body too large")
     } else if rejection.find::<LengthRequired>().is_some() {
--- a/src/api/routes.rs
+++ b/src/api/routes.rs
@@ -1,4 +1,4 @@
-//! The endpoints, one function each. The paths are the platform's.
+//! The HTTP endpoints, one function each. The platform prescribes their paths.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -8,14 +8,14 @@
 use warp::http::HeaderValue;
 use warp::{Filter, Rejection, Reply};
 
-use super::responses::{to_http, to_rejection};
+use super::responses::{rejection_to_http, to_http};
 use crate::controller::Controller;
 use crate::response::ApiResponse;
 use crate::wire::{JobId, BODY_LIMIT};
 
 type Response = warp::http::Response<Bytes>;
 
-/// All endpoints of a controller.
+/// The filter that serves all endpoints of a controller.
 pub fn routes(
     controller: Arc<Controller>,
 ) -> impl Filter<Extract = (impl Reply,), Error = Infallible> + Clone + Send + Sync + 'static {
@@ -29,30 +29,30 @@
         .or(cancel(&controller))
         .unify()
         .map(|response: Response| response.into_response())
-        .recover(to_rejection)
+        .recover(rejection_to_http)
         .unify()
 }
 
-/// Hands the controller to an endpoint.
-fn with(
+/// Passes the controller to an endpoint's handler.
+fn with_controller(
     controller: &Arc<Controller>,
 ) -> impl Filter<Extract = (Arc<Controller>,), Error = Infallible> + Clone + Send + Sync + 'static {
     let controller = controller.clone();
     warp::any().map(move || controller.clone())
 }
 
-/// The body of a request, at most [`BODY_LIMIT`] bytes.
+/// Extracts the body of a request; rejects one of more than [`BODY_LIMIT`] bytes.
 fn limited_body() -> impl Filter<Extract = (Bytes,), Error = Rejection> + Clone + Send + Sync + 'static {
     warp::body::content_length_limit(BODY_LIMIT).and(warp::body::bytes())
 }
 
-/// `GET /up`: whether a load balancer should send users here.
+/// `GET /up`: whether a load balancer should route users to this controller.
 fn health(
     controller: &Arc<Controller>,
 ) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
     warp::get()
         .and(warp::path!("up"))
-        .and(with(controller))
+        .and(with_controller(controller))
         .map(|controller: Arc<Controller>| {
             to_http(if controller.can_serve() {
                 ApiResponse::json(200, &json!({}))
@@ -69,7 +69,7 @@
     warp::post()
         .and(warp::path!("v2" / "runs"))
         .and(limited_body())
-        .and(with(controller))
+        .and(with_controller(controller))
         .then(
             |body: Bytes, controller: Arc<Controller>| async move { to_http(controller.submit(&body).await) },
         )
@@ -81,7 +81,7 @@
 ) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
     warp::get()
         .and(warp::path!("v2" / "runs" / String))
-        .and(with(controller))
+        .and(with_controller(controller))
         .then(|id: String, controller: Arc<Controller>| async move {
             to_http(match id.parse::<JobId>() {
                 Ok(id) => controller.poll(id).await,
@@ -96,7 +96,7 @@
 ) -> impl Filter<Extract = (Response,), Error = Rejection> + Clone + Send + Sync + 'static {
     warp::post()
         .and(warp::path!("v2" / "runs" / String / "cancel"))
-        .and(with(controller))
+        .and(with_controller(controller))
         .then(|id: String, controller: Arc<Controller>| async move {
             to_http(match id.parse::<JobId>() {
                 Ok(id) => controller.cancel(id).await,
@@ -105,7 +105,7 @@
         })
 }
 
-/// What is not the form of a job's id was never accepted as one.
+/// The response for a path segment that is no valid job id: no job with it was accepted.
 fn unknown_job() -> ApiResponse {
     ApiResponse::error(404, "no such job")
 }
@@ -117,12 +117,12 @@
     warp::post()
         .and(warp::path!("v1" / "report"))
         .and(limited_body())
-        .and(with(controller))
+        .and(with_controller(controller))
         .then(|body: Bytes, controller: Arc<Controller>| async move {
             let mut response = to_http(controller.heartbeat(&body).await);
             if controller.sockets().is_incoming_over_half_used() {
-                // The worker opens another connection for its next heartbeat;
-                // meanwhile its socket serves somebody else.
+                // The worker opens a new connection for its next heartbeat; until then
+                // another client can use the socket.
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert("connection", close);
             }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,11 +1,12 @@
-//! Readings of this process's clocks.
+//! Reads the wall clock and the monotonic ("steady") clock of this process.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use crate::core::evidence::authority::ClockReading;
 
-/// The time of day in milliseconds since the Unix epoch; 0 if the clock is set before it.
-/// It may jump: durations within this process are measured with [`Instant`].
+/// The wall-clock time in milliseconds since the Unix epoch; 0 if the clock is set before
+/// the epoch. The wall clock may jump, so measure durations within this process with
+/// [`Instant`].
 pub fn unix_time_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -13,7 +14,7 @@
         .as_millis() as u64
 }
 
-/// Reads the steady clock and the time of day, in this order.
+/// Reads the monotonic clock first, then the wall clock.
 pub fn read_clocks() -> ClockReading {
     ClockReading {
         steady: Instant::now(),
--- a/src/controller/job_lookup.rs
+++ b/src/controller/job_lookup.rs
@@ -1,8 +1,8 @@
-//! What the state service has stored of a job, and of the jobs that it depends on.
+//! Reads from the state service what is stored of a job and of the jobs that it depends on.
 //!
-//! Whoever responds about an unfinished job has to know whether a job before it was
-//! cancelled: a stored cancellation holds for all jobs after that one, long before their
-//! own records say so.
+//! A response about an unfinished job has to take into account whether a job that it
+//! depends on, directly or indirectly, was cancelled: a stored cancellation cancels all
+//! dependent jobs long before their own records say so.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -14,20 +14,21 @@
 
 use super::terminal_states::terminal_status;
 
-/// What the state service says of a job.
+/// What the state service has stored of a job.
 #[derive(Debug)]
 pub enum StoredJob {
-    /// Not finished: its record, and the version of the record's key.
+    /// Accepted, not finished: its record, and the version of the record's key.
     Unfinished(Box<JobRecord>, u64),
     /// Done or cancelled.
     Finished(JobStatus),
-    /// Never accepted.
+    /// Nothing is stored: the job was never accepted.
     NeverAccepted,
 }
 
 impl Controller {
-    /// Reads a job from the state service; a terminal state is kept. The unfinished jobs
-    /// are read first: a job moves from there to the finished ones, never back.
+    /// Reads a job from the state service and caches a terminal state. The key of the
+    /// unfinished job is read first, because a job moves from there to the key of the
+    /// finished job and never back.
     pub async fn lookup_job(&self, id: JobId) -> Result<StoredJob, StoreError> {
         if let KeyRead::Found(item) = self.store.get_for_user(&record::job_key(id)).await? {
             let version = item.version;
@@ -43,9 +44,9 @@
         Ok(StoredJob::NeverAccepted)
     }
 
-    /// The state of a job that was looked up, taking into account the jobs before it;
-    /// `None`: it was never accepted. An unfinished one counts as queued, as only the
-    /// leader knows whether it runs.
+    /// The state of a job that was looked up, taking into account the jobs that it depends
+    /// on; `None` if it was never accepted. An unfinished job that is not cancelled is
+    /// reported as queued, because only the leader knows whether it runs.
     pub async fn stored_state(&self, found: &StoredJob) -> Result<Option<JobState>, StoreError> {
         Ok(match found {
             StoredJob::NeverAccepted => None,
@@ -58,13 +59,14 @@
         })
     }
 
-    /// Whether one of the jobs, or any job before them, is cancelled.
+    /// Whether one of the jobs, or any job that they depend on directly or indirectly, is
+    /// cancelled.
     async fn any_cancelled(&self, jobs: &[JobId]) -> Result<bool, StoreError> {
-        let mut seen: HashSet<JobId> = jobs.iter().copied().collect();
-        let mut next: VecDeque<JobId> = jobs.iter().copied().collect();
-        while let Some(id) = next.pop_front() {
-            let known = self.terminal_states().status(id);
-            let found = match known {
+        let mut visited: HashSet<JobId> = jobs.iter().copied().collect();
+        let mut to_visit: VecDeque<JobId> = jobs.iter().copied().collect();
+        while let Some(id) = to_visit.pop_front() {
+            let cached = self.terminal_states().status(id);
+            let found = match cached {
                 Some(status) => StoredJob::Finished(status),
                 None => self.lookup_job(id).await?,
             };
@@ -72,8 +74,8 @@
                 StoredJob::Finished(status) if status.state == JobState::Cancelled => return Ok(true),
                 StoredJob::Unfinished(record, _) if record.cancelled => return Ok(true),
                 StoredJob::Unfinished(record, _) => {
-                    let before = record.spec.awaits.into_iter();
-                    next.extend(before.filter(|named| seen.insert(*named)));
+                    let dependencies = record.spec.awaits.into_iter();
+                    to_visit.extend(dependencies.filter(|dependency| visited.insert(*dependency)));
                 }
                 StoredJob::Finished(_) | StoredJob::NeverAccepted => {}
             }
@@ -81,7 +83,7 @@
         Ok(false)
     }
 
-    /// The response to a user about a job that was looked up.
+    /// The response to a user with the status of a job that was looked up.
     pub async fn status_response(&self, id: JobId, found: &StoredJob) -> ApiResponse {
         if let StoredJob::Finished(status) = found {
             return ApiResponse::json(200, status);
--- a/src/controller/direct_submission.rs
+++ b/src/controller/leaderless_submission.rs
@@ -1,5 +1,5 @@
-//! Storing a new job without the leader, which may be unknown or out of reach. The leader
-//! finds the job by its mark in the inbox.
+//! Accepts a job while the leader is unknown or unreachable, by storing it together with an
+//! inbox mark. The leader finds the job by that mark.
 
 use std::time::Duration;
 
@@ -14,18 +14,19 @@
 use super::submission::accepted_response;
 use super::Controller;
 
-/// How long the state service may take to store a job.
+/// Timeout of the transaction that stores a job.
 const STORE_TIMEOUT: Duration = Duration::from_millis(1200);
 
 impl Controller {
-    /// Responds to a submission by what the state service says, and stores the job there
-    /// if it is new.
-    pub(super) async fn submit_direct(&self, body: &[u8]) -> ApiResponse {
+    /// Responds to a submission from the state service: with the stored status if the job
+    /// is known there, and otherwise by checking and storing the job.
+    pub(super) async fn submit_without_leader(&self, body: &[u8]) -> ApiResponse {
         let id = match self.submission_id(body) {
             Ok(id) => id,
             Err(rejection) => return rejection.into(),
         };
-        // The id comes before the body: a repeat of an accepted job is 200.
+        // The id is looked up before the rest of the body is checked: a repeated submission
+        // of an accepted job gets 200.
         match self.lookup_job(id).await {
             Ok(StoredJob::NeverAccepted) => {}
             Ok(found) => return self.status_response(id, &found).await,
@@ -46,10 +47,10 @@
         let transaction = new_job_transaction(id, record);
         match self.store.transact(&transaction, STORE_TIMEOUT).await {
             Ok(_) => {
-                debug!(job = %id, "accepted without the leader");
+                debug!(job = %id, "job accepted without the leader");
                 accepted_response(id)
             }
-            // It may have been stored nevertheless, or by another controller.
+            // The job may have been stored nevertheless, or by another controller.
             Err(_) => match self.lookup_job(id).await {
                 Ok(StoredJob::NeverAccepted) | Err(_) => {
                     ApiResponse::unavailable("the job can't be stored now")
@@ -60,7 +61,8 @@
     }
 }
 
-/// Puts a job's record and its inbox mark if the job is neither unfinished nor finished.
+/// Puts a job's record and its inbox mark, on condition that neither a record of it nor its
+/// terminal state is stored.
 fn new_job_transaction(id: JobId, record: Value) -> Transaction {
     let absent = |key| Condition { key, version: 0 };
     let put = |key, value| Change::Put {
--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -1,4 +1,4 @@
-//! The machine types, as every controller knows them.
+//! The machine types that this controller has read from the cloud or the state service.
 
 use std::sync::Arc;
 
@@ -9,18 +9,18 @@
 use super::Controller;
 
 impl Controller {
-    /// The machine types that may be rented; empty until they are known.
+    /// The machine types that may be rented; empty until they have been read.
     pub fn machine_types(&self) -> Arc<Vec<MachineType>> {
         self.machine_types.lock().clone()
     }
 
-    /// Replaces the machine types.
+    /// Replaces the machine types that this controller knows.
     pub fn set_machine_types(&self, types: Arc<Vec<MachineType>>) {
         *self.machine_types.lock() = types;
     }
 
-    /// The machine types, read from the state service if they are not known here. Empty
-    /// if they can't be read either.
+    /// The machine types, read from the state service first if this controller doesn't know
+    /// them. Empty if they can't be read.
     pub async fn ensure_machine_types(&self) -> Arc<Vec<MachineType>> {
         let known = self.machine_types();
         if !known.is_empty() {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,19 +1,22 @@
-//! The controller process: what it knows of the cluster's leader and of the other
-//! controllers, and how a request finds whoever may respond to it.
+//! The controller process: what it knows about the leader and the other controllers, and
+//! how it responds to a request itself or forwards it to the leader.
 //!
-//! [`Controller`] owns the clients of the state service and of the cloud, the links to the
-//! other controllers and what is known of their terms. It owns nothing of the cluster's
-//! state: that belongs to the leader of the term, known here only as a
-//! [`TermLeader`](term_leader::TermLeader). Every module that serves a request shares one
-//! controller; its fields are private to this folder.
+//! [`Controller`] owns the clients of the state service and the cloud, the links to the
+//! other controllers, and the role and the highest term that are known. It owns none of the
+//! cluster's state: that belongs to the leader of the term, which it calls through the
+//! trait [`TermLeader`](term_leader::TermLeader). All modules that serve requests share one
+//! `Controller`; its fields are private to this folder.
 //!
-//! - `role` is who leads, in which term; `peers` the other controllers.
-//! - `user_requests` responds to users, with `direct_submission` where no leader can.
-//! - [`submission`] checks what users submit, [`job_lookup`] reads what is stored of a job.
-//! - [`terminal_states`] keeps the states of jobs that ended, `machine_types` the types.
+//! - `role` tracks which controller leads and the highest term, `peers` the connections to
+//!   the other controllers.
+//! - `user_requests` responds to users; without the leader, `leaderless_submission` stores
+//!   new jobs.
+//! - [`submission`] validates submissions, [`job_lookup`] reads stored jobs.
+//! - [`terminal_states`] caches the states of jobs that ended, `machine_types` the machine
+//!   types.
 
-mod direct_submission;
 pub mod job_lookup;
+mod leaderless_submission;
 mod machine_types;
 mod peers;
 mod role;
@@ -42,13 +45,13 @@
 
 pub use role::Role;
 
-/// One controller, for as long as its process runs.
+/// What a controller process keeps for as long as it runs.
 #[derive(Debug)]
 pub struct Controller {
     deployment: DeploymentSettings,
     operator_settings: OperatorSettings,
     config: Arc<SchedulerConfig>,
-    /// Drawn at the start: distinguishes this process from earlier ones on the same host.
+    /// Random; distinguishes this process from earlier ones on the same host.
     nonce: u64,
     store: Arc<Store>,
     cloud: Arc<Cloud>,
@@ -57,17 +60,18 @@
     /// One link to each other controller.
     links: Vec<Arc<PeerLink>>,
     terminal_states: Mutex<TerminalStates>,
-    /// Empty until they are known.
+    /// Empty until they have been read.
     machine_types: Mutex<Arc<Vec<MachineType>>>,
     role: Mutex<Role>,
-    /// The highest term known.
-    term: Mutex<u64>,
-    /// When each other controller last sent a frame on its link to this one.
-    peers: Mutex<HashMap<String, Instant>>,
+    /// The highest term that this controller knows.
+    known_term: Mutex<u64>,
+    /// When the latest frame of each other controller was received on its connection to
+    /// this one.
+    last_frame_from: Mutex<HashMap<String, Instant>>,
 }
 
 impl Controller {
-    /// A controller that is not running yet.
+    /// Creates a controller; its listeners, links and elections are started elsewhere.
     pub fn new(deployment: DeploymentSettings, operator_settings: OperatorSettings) -> Arc<Self> {
         let limits = deployment.cluster.state.clone();
         let http = HttpClient::default();
@@ -94,34 +98,34 @@
             terminal_states: Mutex::default(),
             machine_types: Mutex::default(),
             role: Mutex::new(Role::Unknown),
-            term: Mutex::new(0),
-            peers: Mutex::default(),
+            known_term: Mutex::new(0),
+            last_frame_from: Mutex::default(),
             deployment,
             operator_settings,
         })
     }
 
-    /// This controller's name.
+    /// This controller's name (`host_name` in the settings file).
     pub fn host(&self) -> &str {
         &self.deployment.host
     }
 
-    /// The deployment's settings.
+    /// The settings of the settings file.
     pub fn deployment(&self) -> &DeploymentSettings {
         &self.deployment
     }
 
-    /// The operators' settings.
+    /// The settings of the operators' properties file.
     pub fn operator_settings(&self) -> &OperatorSettings {
         &self.operator_settings
     }
 
-    /// What the scheduler needs of both settings.
+    /// The values of both kinds of settings that the scheduler uses.
     pub fn config(&self) -> &Arc<SchedulerConfig> {
         &self.config
     }
 
-    /// Drawn at random by this process, which distinguishes it from earlier ones on this host.
+    /// A random number that distinguishes this process from earlier ones on the same host.
     pub fn nonce(&self) -> u64 {
         self.nonce
     }
@@ -136,7 +140,7 @@
         &self.cloud
     }
 
-    /// The sockets of this process, shared out by use.
+    /// The budget of sockets of this process.
     pub fn sockets(&self) -> &SocketBudget {
         &self.sockets
     }
@@ -146,8 +150,8 @@
         &self.links
     }
 
-    /// The terminal states kept here, locked until the guard is dropped. A caller that
-    /// also locks the model does so first.
+    /// Locks the cache of terminal states until the guard is dropped. A caller that also
+    /// locks the model has to lock the model first.
     pub fn terminal_states(&self) -> MutexGuard<'_, TerminalStates> {
         self.terminal_states.lock()
     }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -1,4 +1,4 @@
-//! The other controllers: which of them are connected, what is passed on to the leader
+//! The other controllers: which of them are connected, what is forwarded to the leader
 //! among them, and how their requests are handled.
 
 use std::time::{Duration, Instant};
@@ -8,52 +8,53 @@
 
 use super::{Controller, Role};
 
-/// A controller whose link was silent for so long doesn't count as connected.
+/// A controller that has sent no frame for so long doesn't count as connected.
 const MAX_SILENCE: Duration = Duration::from_millis(2500);
-/// How long the leader may take to respond to a heartbeat that is passed on to it.
+/// Timeout of the leader's response to a forwarded heartbeat.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(2500);
 
 impl Controller {
-    /// Whether a request could be sent to any other controller now.
+    /// Whether the link to at least one other controller is alive.
     pub fn has_reachable_peer(&self) -> bool {
         self.links.iter().any(|link| link.is_alive())
     }
 
-    /// Whether this controller can respond to users: it leads, or it reaches another
-    /// controller or the state service.
+    /// Whether this controller can respond to users: it leads and may act, or it can reach
+    /// another controller or the state service.
     pub fn can_serve(&self) -> bool {
         self.active_leader().is_some() || self.has_reachable_peer() || self.store.is_reachable()
     }
 
-    /// The names of the controllers connected to this one, itself included, in order.
+    /// The names of the controllers connected to this one, and its own, sorted.
     pub fn connected_hosts(&self) -> Vec<String> {
-        let peers = self.peers.lock();
-        let mut all: Vec<String> = peers
+        let last_frame_from = self.last_frame_from.lock();
+        let mut hosts: Vec<String> = last_frame_from
             .iter()
             .filter(|(_, last_frame_at)| last_frame_at.elapsed() < MAX_SILENCE)
             .map(|(host, _)| host.clone())
             .collect();
-        all.push(self.host().to_owned());
-        all.sort();
-        all
+        hosts.push(self.host().to_owned());
+        hosts.sort();
+        hosts
     }
 
-    /// The leader's response to a request; `None` if none came within `patience`, or if
-    /// no other controller is known to lead.
+    /// Forwards a request to the leader. Returns `None` if no other controller is known to
+    /// lead, if the one that is known doesn't lead any more, or if no response came within
+    /// `response_timeout`.
     pub(super) async fn forward_to_leader(
         &self,
         request: PeerRequest,
-        patience: Duration,
+        response_timeout: Duration,
     ) -> Option<ApiResponse> {
         let Role::Following { host, .. } = self.role() else {
             return None;
         };
         let link = self.links.iter().find(|link| link.host() == host)?;
-        let response = link.request(request, patience).await?;
+        let response = link.request(request, response_timeout).await?;
         (!response.is_not_leading()).then_some(response)
     }
 
-    /// Responds to a worker's heartbeat, which is passed on if another controller leads.
+    /// Responds to a worker's heartbeat, or forwards it if another controller leads.
     pub async fn heartbeat(&self, body: &[u8]) -> ApiResponse {
         self.check_for_stall();
         match self.role() {
@@ -72,7 +73,7 @@
         Controller::host(self)
     }
 
-    fn max_pending_responses(&self) -> usize {
+    fn max_queued_responses(&self) -> usize {
         self.sockets.max_incoming()
     }
 
@@ -92,12 +93,14 @@
         Controller::observe_leader(self, leader);
     }
 
-    fn peer_alive(&self, host: &str) {
-        self.peers.lock().insert(host.to_owned(), Instant::now());
+    fn frame_received(&self, host: &str) {
+        self.last_frame_from
+            .lock()
+            .insert(host.to_owned(), Instant::now());
     }
 
     fn peer_disconnected(&self, host: &str) {
-        self.peers.lock().remove(host);
+        self.last_frame_from.lock().remove(host);
     }
 
     fn handle_heartbeat(&self, from: &str, body: &[u8]) -> ApiResponse {
--- a/src/controller/role.rs
+++ b/src/controller/role.rs
@@ -1,4 +1,4 @@
-//! Who leads, and in which term, as far as this controller knows.
+//! Which controller leads, and in which term, as far as this controller knows.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -10,60 +10,61 @@
 use super::term_leader::TermLeader;
 use super::Controller;
 
-/// Who leads, as far as is known here.
+/// The role of this controller: whether it leads, or which controller it follows.
 #[derive(Debug, Clone)]
 pub enum Role {
-    /// Nobody is known to lead.
+    /// No leader is known.
     Unknown,
     /// Another controller leads.
     Following {
-        /// Its name.
+        /// The leader's name.
         host: String,
-        /// The term that it was elected for.
+        /// The term for which the leader was elected.
         term: u64,
     },
-    /// This controller leads, or did so until a moment ago.
+    /// This controller leads, or its term has just ended and the role is not replaced yet.
     Leading(Arc<dyn TermLeader>),
 }
 
 impl Controller {
-    /// Who leads, as far as is known.
+    /// The current role; another task may replace it at any time.
     pub fn role(&self) -> Role {
         self.role.lock().clone()
     }
 
-    /// Replaces what is known of who leads.
+    /// Replaces the role, without any check of the terms.
     pub fn set_role(&self, role: Role) {
         *self.role.lock() = role;
     }
 
-    /// The highest term known.
+    /// The highest term known to this controller.
     pub fn known_term(&self) -> u64 {
-        *self.term.lock()
+        *self.known_term.lock()
     }
 
-    /// Records that a term exists. A leader of an older one steps down.
+    /// Records that a term exists. If this controller leads in an older term, it ends that
+    /// term.
     pub fn observe_term(&self, term: u64) {
         {
-            let mut known = self.term.lock();
-            if term <= *known {
+            let mut known_term = self.known_term.lock();
+            if term <= *known_term {
                 return;
             }
-            *known = term;
+            *known_term = term;
         }
         if let Role::Leading(active_leader) = self.role() {
             if active_leader.term() < term {
                 info!(
                     term = active_leader.term(),
-                    newer = term,
-                    "another leads in a newer term"
+                    newer_term = term,
+                    "a newer term exists, ending this controller's term"
                 );
                 active_leader.end();
             }
         }
     }
 
-    /// The latest leader known here.
+    /// The latest leader that this controller knows.
     pub fn known_leader(&self) -> Option<KnownLeader> {
         match self.role() {
             Role::Unknown => None,
@@ -75,19 +76,20 @@
         }
     }
 
-    /// Follows a leader that another controller named, unless a newer one or a newer term is
-    /// known here. A controller that can't read the state service still finds the leader so.
+    /// Follows the leader that another controller named, unless that is this controller, or
+    /// this controller leads, knows a leader of the same or a later term, or knows of a later
+    /// term. This is how a controller that can't read the state service finds the leader.
     pub fn observe_leader(&self, leader: Option<KnownLeader>) {
         let Some(KnownLeader { term, host }) = leader.filter(|leader| leader.host != self.host()) else {
             return;
         };
         let mut role = self.role.lock();
-        let newer = match &*role {
+        let is_newer = match &*role {
             Role::Unknown => true,
-            Role::Following { term: known, .. } => term > *known,
+            Role::Following { term: known_term, .. } => term > *known_term,
             Role::Leading(_) => false,
         };
-        if newer && term >= self.known_term() {
+        if is_newer && term >= self.known_term() {
             info!(
                 leader = host,
                 term, "following a leader that another controller named"
@@ -104,19 +106,20 @@
         }
     }
 
-    /// The timer that the stall detector watches has fired.
+    /// Records that the stall detector's timer fired.
     pub fn stall_timer_fired(&self, now: Instant) {
         self.stall_detector.timer_fired(now);
     }
 
-    /// Detects that the process was paused, and lets the leader know. Called wherever
-    /// something is about to be concluded from messages of late, or from their absence.
+    /// Checks whether the process was paused, and if so notifies the leader of the term in
+    /// this process. Has to be called before anything is concluded from recent messages or
+    /// from their absence.
     pub fn check_for_stall(&self) {
         let now = Instant::now();
         let Some(pause) = self.stall_detector.take_stall(now) else {
             return;
         };
-        info!(for_s = pause.as_secs_f64(), "this process was paused");
+        info!(pause_s = pause.as_secs_f64(), "process resumed after a pause");
         if let Role::Leading(active_leader) = self.role() {
             active_leader.resumed_after_pause(now);
         }
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -1,5 +1,4 @@
-//! What a submission has to be like to be accepted, at the leader and at any other
-//! controller alike.
+//! Checks submissions, in the same way at the leader and at every other controller.
 
 use crate::clock::unix_time_ms;
 use crate::core::scheduling::admission::{check_admission, AdmissionError};
@@ -14,40 +13,41 @@
 /// Bytes by which a cancellation may lengthen a job's record.
 const CANCELLATION_BYTES: usize = 64;
 
-/// Why a submission is not accepted. The text is what its user gets.
+/// Why a submission is rejected. The text goes to the user who submitted it.
 #[derive(Debug, thiserror::Error)]
 pub enum SubmissionError {
-    /// The body is no JSON object.
+    /// The body is not a JSON object.
     #[error("not a JSON object")]
     NotAnObject,
-    /// A field is missing, of another type or can't be read; the source names it.
+    /// A field is missing or can't be deserialized; the source error names it.
     #[error(transparent)]
     Malformed(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// Something follows the JSON object.
+    /// The JSON object is followed by other data.
     #[error(transparent)]
     TrailingData(serde_json::Error),
-    /// There is no id, or it can't be one.
+    /// The id is missing, or is not a valid job id.
     #[error("malformed id")]
     MalformedId,
     /// The value of this field is out of range.
     #[error("invalid field `{0}`")]
     InvalidField(&'static str),
-    /// The record would not fit into a value of the state service.
+    /// The job's record would exceed the state service's limit on the size of a value.
     #[error("the job's description is too long")]
     TooLong,
     /// The job can never run.
     #[error(transparent)]
     NotAdmissible(#[from] AdmissionError),
-    /// What could run the job is not known yet.
+    /// Whether any machine type can run the job is not known yet.
     #[error("the machine types are not known yet")]
     MachineTypesUnknown,
-    /// Whether a job that it depends on was accepted is not known now.
+    /// A job that it depends on can't be read from the state service.
     #[error("a job that it waits for can't be read now")]
     DependencyUnreadable(#[source] Box<StoreError>),
 }
 
 impl SubmissionError {
-    /// Whether the body itself is at fault, whatever the cluster is like.
+    /// Whether the body is invalid by itself, whatever the teams, machine types and stored
+    /// jobs are.
     fn is_malformed(&self) -> bool {
         match self {
             Self::NotAnObject
@@ -74,7 +74,7 @@
     }
 }
 
-/// The response to a submission that was accepted.
+/// The response to a submission that was just accepted: 201, and the job is queued.
 pub fn accepted_response(id: JobId) -> ApiResponse {
     let status = JobStatus {
         id,
@@ -85,14 +85,14 @@
     ApiResponse::json(201, &status)
 }
 
-/// Whether a body can be a JSON object. A list of values in the order of the fields would
-/// be deserialized as well.
+/// Whether a body can be a JSON object. Without this check an array of values in the order
+/// of the fields would be deserialized as well.
 fn is_object(body: &[u8]) -> bool {
     body.trim_ascii_start().starts_with(b"{")
 }
 
-/// The id in the body of a submission, whatever else is wrong with it.
-pub(super) fn submitted_id(body: &[u8]) -> Option<JobId> {
+/// The id in the body of a submission, even if other fields are invalid.
+pub(super) fn parse_submission_id(body: &[u8]) -> Option<JobId> {
     if !is_object(body) {
         return None;
     }
@@ -104,20 +104,21 @@
     serde_json::from_slice::<IdOnly>(body).ok().map(|only| only.id)
 }
 
-/// Reads the body of a submission and checks each field by itself.
+/// Deserializes the body of a submission and checks the value of each field.
 fn parse_spec(body: &[u8]) -> Result<JobSpec, SubmissionError> {
     if !is_object(body) {
         return Err(SubmissionError::NotAnObject);
     }
     let mut json = serde_json::Deserializer::from_slice(body);
-    // The error names the field.
+    // Unlike an error of `serde_json` alone, this one names the field.
     let spec: JobSpec = serde_path_to_error::deserialize(&mut json)?;
     json.end().map_err(SubmissionError::TrailingData)?;
     spec.check().map_err(SubmissionError::InvalidField)?;
     Ok(spec)
 }
 
-/// Sorts the lists of a job, without repetitions and without types that don't exist.
+/// Sorts the job's lists of machine types and dependencies, and removes duplicates and types
+/// that don't exist.
 fn normalize(spec: &mut JobSpec, types: &[MachineType]) {
     if let Some(allowed) = &mut spec.types {
         allowed.retain(|name| types.iter().any(|known| known.name == *name));
@@ -129,16 +130,17 @@
 }
 
 impl Controller {
-    /// The id in the body of a submission.
+    /// The id in the body of a submission, even if other fields are invalid. Without one, the
+    /// error says why the body is malformed.
     pub fn submission_id(&self, body: &[u8]) -> Result<JobId, SubmissionError> {
-        submitted_id(body).ok_or_else(|| match self.parse_submission(body, &[]) {
+        parse_submission_id(body).ok_or_else(|| match self.parse_submission(body, &[]) {
             Err(error) if error.is_malformed() => error,
             _ => SubmissionError::MalformedId,
         })
     }
 
-    /// Reads the body of a submission; the job could run on machines of these types,
-    /// within its team's limits.
+    /// Deserializes the body of a submission, and checks that the job can run on machines of
+    /// these types within its team's limits.
     pub fn parse_submission(&self, body: &[u8], types: &[MachineType]) -> Result<JobSpec, SubmissionError> {
         let mut spec = parse_spec(body)?;
         if !self.config.teams.contains_key(&spec.team) {
@@ -155,9 +157,11 @@
         Ok(spec)
     }
 
-    /// The record of a job submitted now: valid, of a size that can be stored, and
-    /// depending only on jobs that were accepted and can end. `kind_in_model` gives the
-    /// kind of those that are known to be unfinished.
+    /// Checks a submission and creates the job's record. Beyond
+    /// [`parse_submission`](Self::parse_submission), the record has to fit into a value of
+    /// the state service, and the job may depend only on jobs that were accepted and are not
+    /// services, which never end. `kind_in_model` returns the kind of a job that is in the
+    /// leader's model of unfinished jobs.
     pub async fn check_submission(
         &self,
         body: &[u8],
@@ -176,7 +180,8 @@
         Ok(record)
     }
 
-    /// Whether a record fits into a value of the state service, also once cancelled.
+    /// Whether a record fits into a value of the state service, even once the job is
+    /// cancelled.
     fn record_fits(&self, record: &JobRecord) -> bool {
         serde_json::to_vec(record)
             .is_ok_and(|value| value.len() + CANCELLATION_BYTES <= self.config.max_value_bytes)
@@ -199,7 +204,7 @@
         Ok(())
     }
 
-    /// The kind of an unfinished job; `None` if it ended.
+    /// The kind of a stored job that is unfinished; `None` if it has ended.
     async fn stored_kind(&self, dependency: JobId) -> Result<Option<JobKind>, SubmissionError> {
         match self.lookup_job(dependency).await {
             Ok(StoredJob::Unfinished(record, _)) => Ok(Some(record.spec.kind)),
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -1,5 +1,5 @@
-//! Requests of users at any controller: the leader responds if it can be reached, and else
-//! this controller by what the state service says.
+//! Users' requests. The leader responds to them if it can be reached; otherwise this
+//! controller responds from its cache of terminal states and from the state service.
 
 use std::time::{Duration, Instant};
 
@@ -8,33 +8,33 @@
 use crate::response::ApiResponse;
 use crate::wire::{JobId, JobState, JobStatus};
 
-use super::submission::submitted_id;
+use super::submission::parse_submission_id;
 use super::Controller;
 
-/// How long the leader may take to respond to a cancellation that is passed on to it.
+/// Timeout of the leader's response to a forwarded cancellation.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Controller {
-    /// Responds to a submission.
+    /// Responds to a submission: its JSON body.
     pub async fn submit(&self, body: &[u8]) -> ApiResponse {
         self.check_for_stall();
         if let Some(active_leader) = self.active_leader() {
             return active_leader.submit(body).await;
         }
-        let ended = submitted_id(body).and_then(|id| self.terminal_states().status(id));
-        if let Some(status) = ended {
+        let cached = parse_submission_id(body).and_then(|id| self.terminal_states().status(id));
+        if let Some(status) = cached {
             return ApiResponse::json(200, &status);
         }
         let request = PeerRequest::Submit(body.to_vec());
         let timeout = self.operator_settings.forward_timeout;
         match self.forward_to_leader(request, timeout).await {
             Some(response) if !response.is_unavailable() => response,
-            _ => self.submit_direct(body).await,
+            _ => self.submit_without_leader(body).await,
         }
     }
 
-    /// Responds to a poll. An overloaded controller responds only about jobs whose
-    /// terminal states it has.
+    /// Responds to a poll. An overloaded controller responds only about jobs whose terminal
+    /// states are cached, and rejects all other polls.
     pub async fn poll(&self, id: JobId) -> ApiResponse {
         self.check_for_stall();
         if self.stall_detector.is_overloaded(Instant::now()) {
@@ -52,10 +52,10 @@
         let timeout = self.operator_settings.forward_timeout;
         match self.forward_to_leader(request, timeout).await {
             Some(response) if !response.is_unavailable() => {
-                self.keep_terminal_state(&response);
+                self.cache_terminal_state(&response);
                 response
             }
-            _ => self.poll_direct(id).await,
+            _ => self.poll_without_leader(id).await,
         }
     }
 
@@ -70,23 +70,24 @@
         let request = PeerRequest::Cancel(id.to_string());
         match self.forward_to_leader(request, CANCEL_TIMEOUT).await {
             Some(response) if !response.is_unavailable() => {
-                self.keep_terminal_state(&response);
+                self.cache_terminal_state(&response);
                 response
             }
-            _ => self.cancel_direct(id).await,
+            _ => self.cancel_without_leader(id).await,
         }
     }
 
-    /// Responds to a poll by what is stored.
-    async fn poll_direct(&self, id: JobId) -> ApiResponse {
+    /// Responds to a poll with what the state service has stored.
+    async fn poll_without_leader(&self, id: JobId) -> ApiResponse {
         match self.lookup_job(id).await {
             Ok(found) => self.status_response(id, &found).await,
             Err(_) => ApiResponse::unavailable("the job's state can't be read now"),
         }
     }
 
-    /// Responds to a cancellation of a job that is stored as ended, or not at all.
-    async fn cancel_direct(&self, id: JobId) -> ApiResponse {
+    /// Responds to a cancellation from the state service. Only a job that has ended, is
+    /// cancelled already or was never accepted needs no leader.
+    async fn cancel_without_leader(&self, id: JobId) -> ApiResponse {
         let Ok(found) = self.lookup_job(id).await else {
             return ApiResponse::unavailable("no leader to cancel it now");
         };
@@ -96,15 +97,15 @@
         }
     }
 
-    /// The response about a job whose terminal state is kept here.
+    /// The response with a job's terminal state, if it is cached.
     fn terminal_response(&self, id: JobId) -> Option<ApiResponse> {
         self.terminal_states()
             .status(id)
             .map(|status| ApiResponse::json(200, &status))
     }
 
-    /// Keeps the terminal state that the leader's response names, if it names one.
-    fn keep_terminal_state(&self, response: &ApiResponse) {
+    /// Caches the terminal state in the leader's response, if it contains one.
+    fn cache_terminal_state(&self, response: &ApiResponse) {
         if response.status != 200 {
             return;
         }
--- a/src/peer/codec.rs
+++ b/src/peer/codec.rs
@@ -1,4 +1,4 @@
-//! Frames as bytes: each is preceded by its length, four bytes, the highest first.
+//! Encodes and decodes frames. Each frame is preceded by its length, a big-endian `u32`.
 
 use std::io;
 
@@ -11,31 +11,31 @@
 use super::frame::Frame;
 use super::MAX_SILENCE;
 
-/// Largest frame that is read, without its length.
+/// Maximum size of a received frame, without its length prefix.
 const MAX_FRAME_BYTES: usize = 256 * 1024;
-/// Bytes of the length before each frame.
+/// Size of the length prefix of a frame.
 const LENGTH_BYTES: usize = 4;
-/// A batch of frames that has reached so many bytes is sent.
+/// A batch of frames is sent once it has reached this size.
 pub const MAX_BATCH_BYTES: usize = 64 * 1024;
 
-/// Why a link ended.
+/// Why a connection between two controllers ended.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// The connection failed, or the other side closed it.
+    /// The connection failed, or the other controller closed it.
     #[error("connection failed: {0}")]
     Connection(#[from] io::Error),
-    /// The other side announced a frame of so many bytes.
+    /// The other controller announced a frame of this size, which is more than is read.
     #[error("frame of {0} bytes is too long")]
     FrameTooLong(usize),
-    /// The other side sent nothing for too long.
-    #[error("nothing received in time")]
+    /// The other controller sent no frame within `MAX_SILENCE`.
+    #[error("no frame received in time")]
     Silent,
-    /// The other side's first frame was another than a hello.
-    #[error("no hello")]
+    /// The first frame of the other controller was not [`Frame::Hello`].
+    #[error("the first frame is not a hello")]
     NoHello,
 }
 
-/// Appends a frame to what is to be sent.
+/// Appends a frame with its length prefix to `out`.
 pub fn encode(frame: &Frame, out: &mut Vec<u8>) -> io::Result<()> {
     let start = out.len();
     out.extend([0; LENGTH_BYTES]);
@@ -46,8 +46,8 @@
     Ok(())
 }
 
-/// Takes the next queued item for a batch that has `batch_bytes` so far. A full batch
-/// takes none: what is taken out of the queue and not sent would be lost.
+/// Takes the next item for a batch of `batch_bytes` so far off the queue. If the batch is
+/// full, the item stays in the queue: taken off without being sent, it would be lost.
 pub fn next_for_batch<T>(queue: &mut mpsc::Receiver<T>, batch_bytes: usize) -> Option<T> {
     if batch_bytes < MAX_BATCH_BYTES {
         queue.try_recv().ok()
@@ -56,8 +56,8 @@
     }
 }
 
-/// Reads the next frame. Those that a later version may send, and that can't be read
-/// here, are skipped: the length before each says where the next one begins.
+/// Reads the next frame. A frame that can't be decoded, as a later version may send one,
+/// is skipped: its length prefix says where the next frame begins.
 pub async fn read_frame(stream: &mut (impl AsyncRead + Unpin)) -> Result<Frame, LinkError> {
     loop {
         let length = stream.read_u32().await? as usize;
@@ -68,13 +68,15 @@
         stream.read_exact(&mut body).await?;
         match borsh::from_slice(&body) {
             Ok(frame) => return Ok(frame),
-            Err(e) => debug!(error = %e, "skipped an unreadable frame"),
+            Err(e) => debug!(error = %e, "skipped a frame that can't be decoded"),
         }
     }
 }
 
-/// Reads the next frame, which has to arrive before the link counts as silent.
-pub(super) async fn read_frame_in_time(stream: &mut (impl AsyncRead + Unpin)) -> Result<Frame, LinkError> {
+/// Reads the next frame, or fails with [`LinkError::Silent`] after `MAX_SILENCE`.
+pub(super) async fn read_frame_with_timeout(
+    stream: &mut (impl AsyncRead + Unpin),
+) -> Result<Frame, LinkError> {
     timeout(MAX_SILENCE, read_frame(stream))
         .await
         .map_err(|_| LinkError::Silent)?
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -1,17 +1,17 @@
-//! The frames on a link between two controllers.
+//! The frames that two controllers exchange.
 //!
-//! Their borsh bytes, the order of variants and fields included, are those of all
-//! earlier versions. A variant that one of them can't read would end its connection,
-//! so what is new goes into the JSON bodies inside.
+//! Their borsh bytes, and so the order of variants and fields, are the same as in all
+//! earlier versions. A variant that an earlier version can't decode would end its
+//! connection, so additions go into the JSON bodies that the frames carry.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
 use crate::response::ApiResponse;
 
-/// A request to another controller.
+/// A request that one controller sends to another.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum PeerRequest {
-    /// Keeps the link alive; the response is a [`Frame::Pong`].
+    /// Shows that the sender is alive; the response is a [`Frame::Pong`].
     Ping {
         /// The highest term known to the sender.
         term: u64,
@@ -26,37 +26,37 @@
     Heartbeat(Vec<u8>),
 }
 
-/// A controller that leads, as far as the sender knows.
+/// The controller that leads, as far as the sender knows.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct KnownLeader {
-    /// The term that it was elected for.
+    /// The term for which it was elected.
     pub term: u64,
-    /// Its name.
+    /// The controller's name.
     pub host: String,
 }
 
-/// What goes over a link.
+/// The unit of transmission between two controllers.
 #[derive(Debug, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub enum Frame {
-    /// The first frame on a link, from the side that connected.
+    /// The first frame on a connection, sent by the controller that opened it.
     Hello {
         /// The sender's name.
         host: String,
     },
-    /// A request.
+    /// A request, sent by the controller that opened the connection.
     Request {
-        /// Its number, which no other request on this link has.
+        /// Unique among the requests on this connection.
         id: u64,
-        /// The request.
+        /// The ping, or the forwarded request of a user or worker.
         request: PeerRequest,
     },
-    /// The response to a request.
+    /// The response to a request other than a ping.
     Response {
-        /// The request's number.
+        /// The request's id.
         id: u64,
         /// The highest term known to the sender.
         term: u64,
-        /// The response.
+        /// The response to pass on to the user or worker.
         response: ApiResponse,
     },
     /// The response to a ping.
--- a/src/peer/handler.rs
+++ b/src/peer/handler.rs
@@ -1,4 +1,4 @@
-//! What a controller does with the messages of the others.
+//! The interface through which the peer protocol calls the controller.
 
 use std::future::Future;
 
@@ -6,34 +6,35 @@
 
 use super::frame::{KnownLeader, PeerRequest};
 
-/// Handles what other controllers send. All methods but
-/// [`handle_request`](Self::handle_request) return without waiting for any I/O.
+/// Handles what other controllers send. All methods except
+/// [`handle_request`](Self::handle_request) return without waiting for I/O.
 pub trait PeerRequestHandler: Send + Sync + 'static {
     /// This controller's name.
     fn host(&self) -> &str;
 
-    /// Most responses that wait to be sent on one link; further ones are dropped.
-    fn max_pending_responses(&self) -> usize;
+    /// Maximum number of responses that wait to be sent on one connection; further ones are
+    /// dropped.
+    fn max_queued_responses(&self) -> usize;
 
-    /// The highest term known here.
+    /// The highest term known to this controller.
     fn known_term(&self) -> u64;
 
-    /// The latest leader known here.
+    /// The latest leader known to this controller.
     fn known_leader(&self) -> Option<KnownLeader>;
 
-    /// Another controller knows of this term.
+    /// Records the highest term that another controller knows.
     fn observe_term(&self, term: u64);
 
-    /// Another controller knows of this leader, or of none.
+    /// Records the latest leader that another controller knows; `None`: it knows none.
     fn observe_leader(&self, leader: Option<KnownLeader>);
 
-    /// A frame came from this controller.
-    fn peer_alive(&self, host: &str);
+    /// Records that a frame was received on a connection opened by the controller `host`.
+    fn frame_received(&self, host: &str);
 
-    /// The link from this controller ended.
+    /// Records that a connection opened by the controller `host` has ended.
     fn peer_disconnected(&self, host: &str);
 
-    /// Responds to a worker's heartbeat that the controller `from` passes on.
+    /// Responds to a worker's heartbeat that the controller `from` forwarded.
     fn handle_heartbeat(&self, from: &str, body: &[u8]) -> ApiResponse;
 
     /// Responds to a request of the controller `from`.
--- a/src/peer/listener.rs
+++ b/src/peer/listener.rs
@@ -1,4 +1,4 @@
-//! The responding side: links that other controllers open to this one.
+//! The responding side: connections that other controllers open to this one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,46 +11,48 @@
 use tokio::time::sleep;
 use tracing::info;
 
-use super::codec::{encode, next_for_batch, read_frame_in_time, LinkError};
+use super::codec::{encode, next_for_batch, read_frame_with_timeout, LinkError};
 use super::frame::{Frame, PeerRequest};
 use super::handler::PeerRequestHandler;
 
-/// Pause after a link could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Accepts the links of other controllers for ever. Dropped, it cuts them.
+/// Accepts and serves connections from other controllers forever. Dropping the future
+/// closes them.
 pub async fn listen(listener: TcpListener, handler: Arc<impl PeerRequestHandler>) {
-    let mut links = JoinSet::new();
+    let mut connections = JoinSet::new();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
-                links.spawn(serve_link(stream, handler.clone()));
-                // Why a link ended is logged where it was opened.
-                while links.try_join_next().is_some() {}
+                connections.spawn(serve_connection(stream, handler.clone()));
+                // Results are dropped: the controller that opened a connection logs why it
+                // ended.
+                while connections.try_join_next().is_some() {}
             }
             Err(e) => {
-                info!(error = %e, "can't accept a controller's link");
+                info!(error = %e, "failed to accept a connection from another controller");
                 sleep(ACCEPT_RETRY_PAUSE).await;
             }
         }
     }
 }
 
-/// Serves one link until it ends.
-async fn serve_link(stream: TcpStream, handler: Arc<impl PeerRequestHandler>) -> Result<(), LinkError> {
+/// Reads requests and sends responses on one connection until it ends.
+async fn serve_connection(stream: TcpStream, handler: Arc<impl PeerRequestHandler>) -> Result<(), LinkError> {
     let (read, write) = stream.into_split();
     let mut read = BufReader::new(read);
-    let Frame::Hello { host } = read_frame_in_time(&mut read).await? else {
+    let Frame::Hello { host } = read_frame_with_timeout(&mut read).await? else {
         return Err(LinkError::NoHello);
     };
-    let (responses, queue) = mpsc::channel(handler.max_pending_responses());
-    let end = tokio::select! {
-        end = read_requests(read, &host, &responses, &handler) => end,
-        end = send_responses(write, queue) => end,
+    let (responses, queue) = mpsc::channel(handler.max_queued_responses());
+    let result = tokio::select! {
+        result = read_requests(read, &host, &responses, &handler) => result,
+        result = send_responses(write, queue) => result,
     };
     handler.peer_disconnected(&host);
-    end
+    result
 }
 
 async fn read_requests<H: PeerRequestHandler>(
@@ -60,8 +62,8 @@
     handler: &Arc<H>,
 ) -> Result<(), LinkError> {
     loop {
-        let frame = read_frame_in_time(&mut read).await?;
-        handler.peer_alive(host);
+        let frame = read_frame_with_timeout(&mut read).await?;
+        handler.frame_received(host);
         let Frame::Request { id, request } = frame else {
             continue;
         };
@@ -71,15 +73,16 @@
                 let (term, leader) = (handler.known_term(), handler.known_leader());
                 let _ = responses.try_send(Frame::Pong { term, leader });
             }
-            // Responded to in place: most requests are heartbeats, and none waits.
+            // Handled without a task of its own: most requests are heartbeats, and handling
+            // one never waits.
             PeerRequest::Heartbeat(body) => {
                 let response = handler.handle_heartbeat(host, &body);
                 let term = handler.known_term();
                 let _ = responses.try_send(Frame::Response { id, term, response });
             }
             request => {
-                // Not owned by the link: a request that has begun is carried out to its
-                // end, also when the link breaks before its response can be sent.
+                // A detached task: a request that has begun is carried out to its end, even
+                // if the connection ends before the response can be sent.
                 let (handler, responses, host) = (handler.clone(), responses.clone(), host.to_owned());
                 tokio::spawn(async move {
                     let response = handler.handle_request(&host, request).await;
@@ -91,7 +94,7 @@
     }
 }
 
-/// Sends responses as they come, all that are ready in one packet.
+/// Sends responses as they are queued, those that are ready together in one write.
 async fn send_responses(
     mut write: OwnedWriteHalf,
     mut queue: mpsc::Receiver<Frame>,
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -1,13 +1,15 @@
 //! The protocol between the controllers: length-prefixed borsh frames over TCP.
 //!
-//! Each controller keeps one outgoing [`PeerLink`] to each other controller, on which
-//! it sends requests and pings, and [`listen`]s for theirs. A response carries the
-//! number of its request, so that many requests may be under way on one link.
+//! Each controller keeps one outgoing [`PeerLink`] to each other controller, on which it
+//! sends requests and pings, and [`listen`]s for incoming connections from the others. A
+//! response carries the id of its request, so that many requests may be in progress on one
+//! connection.
 //!
-//! - [`frame`] owns what is on the wire: its bytes are those of all earlier versions.
-//! - [`codec`] turns frames into bytes and back.
-//! - [`link`] is the requesting side, [`listener`] the responding one.
-//! - [`handler`] is what a controller has to provide. Nothing here knows more of it.
+//! - [`frame`] defines the frames, whose bytes are the same as in all earlier versions.
+//! - [`codec`] encodes and decodes frames.
+//! - [`link`] is the requesting side, [`listener`] the responding side.
+//! - [`handler`] is the trait through which both sides call the controller. They use
+//!   nothing else of it.
 
 pub mod codec;
 pub mod frame;
@@ -23,5 +25,5 @@
 
 use std::time::Duration;
 
-/// A link on which nothing was received for so long is cut.
+/// A connection on which no frame was received for so long is closed.
 const MAX_SILENCE: Duration = Duration::from_millis(2500);
--- a/src/response.rs
+++ b/src/response.rs
@@ -1,27 +1,27 @@
-//! The response to a request, wherever it is computed: at the controller that got the
-//! request, or at the leader, whose response is passed on between controllers.
+//! The response to a user's or worker's request. The controller that received the request
+//! computes it, or forwards the request to the leader and passes the leader's response on.
 
 use borsh::{BorshDeserialize, BorshSerialize};
 
 use crate::wire::Redirect;
 
-/// The status that stands for a controller which does not lead.
+/// The status of [`ApiResponse::not_leading`], which is no HTTP status.
 const NOT_LEADING: u16 = 0;
 
-/// A response, in terms of the HTTP response that it becomes.
+/// The parts of an HTTP response; also sent between controllers as borsh.
 #[derive(Debug, Clone, PartialEq, Eq, BorshSerialize, BorshDeserialize)]
 pub struct ApiResponse {
-    /// HTTP status; 0 between controllers, where the one that was sent the request
-    /// does not lead.
+    /// HTTP status; 0, only between controllers, if the controller that was sent the
+    /// request does not lead.
     pub status: u16,
-    /// When to send the request again, in seconds.
+    /// Seconds after which the client may retry the request.
     pub retry_after: Option<u16>,
     /// JSON body; empty for [`not_leading`](Self::not_leading).
     pub body: Vec<u8>,
 }
 
 impl ApiResponse {
-    /// A response with a JSON body.
+    /// Creates a response with `body` as JSON.
     pub fn json<T: serde::Serialize>(status: u16, body: &T) -> Self {
         Self {
             status,
@@ -30,12 +30,13 @@
         }
     }
 
-    /// An error, with a reason for its user.
+    /// Creates an error response whose JSON body gives the client the reason.
     pub fn error(status: u16, reason: &str) -> Self {
         Self::json(status, &serde_json::json!({ "error": reason }))
     }
 
-    /// It can't be known or done now; the request may be sent again in a second.
+    /// Creates a 503: the request can't be responded to or carried out now, and may be
+    /// retried after a second.
     pub fn unavailable(reason: &str) -> Self {
         Self {
             retry_after: Some(1),
@@ -43,13 +44,14 @@
         }
     }
 
-    /// Redirects a worker: its heartbeats are to go to another controller from now on.
+    /// Creates a 421 that tells a worker to send its heartbeats to the controller `host`.
     pub fn redirect(host: &str) -> Self {
         let report_to = Some(host.to_owned());
         Self::json(421, &Redirect { report_to })
     }
 
-    /// The controller that got a request does not lead. Never sent to users.
+    /// Creates the response of a controller that was forwarded a request but does not
+    /// lead. It is never sent to users.
     pub fn not_leading() -> Self {
         Self {
             status: NOT_LEADING,
@@ -63,7 +65,8 @@
         self.status == NOT_LEADING
     }
 
-    /// Whether the request can't be carried out now, though perhaps by another controller.
+    /// Whether this is a 503: another controller may still be able to carry out the
+    /// request.
     pub fn is_unavailable(&self) -> bool {
         self.status == 503
     }
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -1,52 +1,52 @@
-//! The budget of sockets of the process.
+//! Divides the sockets that the process may open into shares, one for each use.
 //!
-//! The operating system's limit is divided into shares, so that no use of sockets can
-//! take what another needs. Without that, a process at the limit could not connect to
-//! the state service any more, and would lose its leadership.
+//! No use can exhaust the sockets of another. Without the shares, a process at the limit
+//! of the operating system could no longer connect to the state service and would lose
+//! its leadership.
 
 use std::sync::Arc;
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// The smallest limit that leaves sockets for every share.
+/// The smallest limit on sockets that leaves enough for every share.
 pub const MIN_SOCKETS: usize = 64;
 
-/// Part of the limit, as a divisor, that is kept for the state service, the cloud, the
-/// other controllers and the listeners.
-const OWN_DIVISOR: usize = 16;
-/// Bounds of that part, in sockets.
-const OWN_MIN: usize = 24;
-const OWN_MAX: usize = 256;
-/// Part of the rest, as a divisor, that is for commands.
+/// The limit divided by this is reserved for the state service, the cloud, the other
+/// controllers and the listeners.
+const RESERVED_DIVISOR: usize = 16;
+/// Bounds of the reserved share, in sockets.
+const MIN_RESERVED: usize = 24;
+const MAX_RESERVED: usize = 256;
+/// The sockets that are not reserved, divided by this, form the share for commands.
 const COMMANDS_DIVISOR: usize = 4;
-/// Least sockets for commands, however low the limit is.
+/// Minimum number of sockets for commands, however low the limit is.
 const MIN_COMMANDS: usize = 4;
-/// Least sockets for incoming connections, however low the limit is.
+/// Minimum number of sockets for incoming connections, however low the limit is.
 const MIN_INCOMING: usize = 8;
 
 async fn acquire(share: &Arc<Semaphore>) -> OwnedSemaphorePermit {
     let permit = share.clone().acquire_owned().await;
-    permit.expect("no share is ever closed")
+    permit.expect("the semaphore of a share is never closed")
 }
 
-/// The shares of the limit. Each permit stands for one socket, which is free again
-/// when the permit is dropped.
+/// The shares for incoming connections and for commands. A permit stands for one socket
+/// of a share and frees it when dropped.
 #[derive(Debug)]
 pub struct SocketBudget {
     /// Connections from users, workers and health checks.
     incoming: Arc<Semaphore>,
-    /// Size of that share.
+    /// Size of the share for incoming connections.
     max_incoming: usize,
-    /// Connections to workers, for commands.
+    /// Connections to workers that commands are sent on.
     commands: Arc<Semaphore>,
 }
 
 impl SocketBudget {
-    /// Divides a limit of so many sockets.
+    /// Divides a limit of `limit` sockets into shares.
     pub fn new(limit: usize) -> Self {
-        let own = (limit / OWN_DIVISOR).clamp(OWN_MIN, OWN_MAX);
-        let commands = (limit.saturating_sub(own) / COMMANDS_DIVISOR).max(MIN_COMMANDS);
-        let max_incoming = limit.saturating_sub(own + commands).max(MIN_INCOMING);
+        let reserved = (limit / RESERVED_DIVISOR).clamp(MIN_RESERVED, MAX_RESERVED);
+        let commands = (limit.saturating_sub(reserved) / COMMANDS_DIVISOR).max(MIN_COMMANDS);
+        let max_incoming = limit.saturating_sub(reserved + commands).max(MIN_INCOMING);
         Self {
             incoming: Arc::new(Semaphore::new(max_incoming)),
             max_incoming,
@@ -54,28 +54,29 @@
         }
     }
 
-    /// Waits for a socket for another incoming connection.
+    /// Waits until a socket is free for another incoming connection.
     pub async fn acquire_incoming_socket(&self) -> OwnedSemaphorePermit {
         acquire(&self.incoming).await
     }
 
-    /// Waits for a socket for another command.
+    /// Waits until a socket is free for another command.
     pub async fn acquire_command_socket(&self) -> OwnedSemaphorePermit {
         acquire(&self.commands).await
     }
 
-    /// Commands that could be sent now without a wait for a socket.
+    /// Number of commands that could be sent now without waiting for a socket.
     pub fn available_command_sockets(&self) -> usize {
         self.commands.available_permits()
     }
 
-    /// Most incoming connections at once, and so most requests in progress.
+    /// Maximum number of incoming connections, and so of requests in progress, at once.
     pub fn max_incoming(&self) -> usize {
         self.max_incoming
     }
 
-    /// Whether more than half of the incoming share is taken. Workers are then asked to
-    /// close their connection after each heartbeat, so that all are served in turn.
+    /// Whether more than half of the sockets for incoming connections are in use. Each
+    /// response to a heartbeat then closes its connection, so that all workers are served
+    /// in turn.
     pub fn is_incoming_over_half_used(&self) -> bool {
         self.incoming.available_permits() * 2 < self.max_incoming
     }
--- a/src/stall.rs
+++ b/src/stall.rs
@@ -1,71 +1,72 @@
 //! Detection of stalls and overload of this process.
 //!
-//! A process may be paused for seconds while its clocks run on, or get less of the
-//! processor than it needs. Both show in how late its own timer fires.
+//! A process stalls if it is paused for seconds while its clocks run on, and is overloaded
+//! if it gets less processor time than it needs. In both cases its own timer fires late.
 
 use std::time::{Duration, Instant};
 
 use parking_lot::Mutex;
 
-/// Interval of the timer.
+/// Interval at which the timer is set to fire.
 pub const TIMER_INTERVAL: Duration = Duration::from_millis(100);
-/// A timer that is later than this means that the process was paused.
-const STALLED_AFTER: Duration = Duration::from_secs(1);
-/// A timer that is later than this means that the process has more to do than it can.
-/// Polls are refused then, at once and before they cost much. Submissions,
-/// cancellations and heartbeats never are: what can't be stored in time is refused for
-/// the length of the writer's queue. A further step at a later timer would hardly ever
-/// be reached, as [`STALLED_AFTER`] is so close.
-const OVERLOADED_AFTER: Duration = Duration::from_millis(400);
+/// A timer delay above this counts as a stall: the process was paused.
+const STALL_THRESHOLD: Duration = Duration::from_secs(1);
+/// A timer delay above this counts as overload. Polls are then rejected at once, before
+/// they cost much. Overload never rejects submissions, cancellations or heartbeats: a
+/// write that can't be stored in time is rejected by the length of the writer's queue.
+/// A second, higher level of overload would hardly ever be reached, because
+/// `STALL_THRESHOLD` is so close.
+const OVERLOAD_THRESHOLD: Duration = Duration::from_millis(400);
 
-/// Keeps track of the timer, which has to report each time that it fires.
+/// Detects stalls and overload from the delays of a timer. The task that runs the timer
+/// calls [`timer_fired`](Self::timer_fired) each time that it fires.
 #[derive(Debug)]
 pub struct StallDetector {
-    latest: Mutex<TimerRun>,
+    latest: Mutex<TimerFiring>,
 }
 
 /// One firing of the timer.
 #[derive(Debug, Clone, Copy)]
-struct TimerRun {
+struct TimerFiring {
     fired_at: Instant,
-    /// How late that was.
+    /// How much later than scheduled it fired.
     delay: Duration,
 }
 
-impl TimerRun {
-    /// How long the next firing is overdue.
+impl TimerFiring {
+    /// How long the next firing is overdue at `now`; 0 if it is not due yet.
     fn overdue(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.fired_at + TIMER_INTERVAL)
     }
 }
 
 impl StallDetector {
-    /// A detector whose timer starts now.
+    /// Creates a detector whose timer is started at `now`.
     pub fn new(now: Instant) -> Self {
         Self {
-            latest: Mutex::new(TimerRun {
+            latest: Mutex::new(TimerFiring {
                 fired_at: now,
                 delay: Duration::ZERO,
             }),
         }
     }
 
-    /// The timer fired.
+    /// Records that the timer fired at `now`, and how late it was.
     pub fn timer_fired(&self, now: Instant) {
         let mut latest = self.latest.lock();
-        *latest = TimerRun {
+        *latest = TimerFiring {
             fired_at: latest.fired_at.max(now),
             delay: latest.overdue(now),
         };
     }
 
-    /// If the process has been paused until now, for how long. Each pause is returned
-    /// once.
+    /// Returns how long the process was paused, if the timer is overdue by more than
+    /// `STALL_THRESHOLD`. Each stall is returned only once.
     pub fn take_stall(&self, now: Instant) -> Option<Duration> {
         let mut latest = self.latest.lock();
         let overdue = latest.overdue(now);
-        (overdue > STALLED_AFTER).then(|| {
-            *latest = TimerRun {
+        (overdue > STALL_THRESHOLD).then(|| {
+            *latest = TimerFiring {
                 fired_at: now,
                 delay: Duration::ZERO,
             };
@@ -73,10 +74,10 @@
         })
     }
 
-    /// Whether the process has more to do than it can, by how late the timer fired or
-    /// is now.
+    /// Whether the process gets less processor time than it needs: the timer fired late
+    /// the last time, or is overdue now, by more than `OVERLOAD_THRESHOLD`.
     pub fn is_overloaded(&self, now: Instant) -> bool {
         let latest = self.latest.lock();
-        latest.delay.max(latest.overdue(now)) > OVERLOADED_AFTER
+        latest.delay.max(latest.overdue(now)) > OVERLOAD_THRESHOLD
     }
 }
