--- a/src/core/evidence/commands/batch.rs
+++ b/src/core/evidence/commands/batch.rs
@@ -66,7 +66,7 @@
         machine.needs_probe = false;
         machine.command_in_flight = true;
         let batch = CommandBatch {
-            token: machine.fresh_token(term),
+            token: machine.issue_token(term),
             incarnation: conditions.incarnation,
             commands,
         };
--- a/src/core/evidence/commands/mod.rs
+++ b/src/core/evidence/commands/mod.rs
@@ -43,7 +43,7 @@
 impl ClusterModel {
     /// Notes that a command may be due for a machine, unless one is on its way to it.
     pub(in crate::core) fn note_due(&mut self, id: &MachineId) {
-        let is_due = |machine: &Machine| !machine.command_in_flight && machine.wants_command();
+        let is_due = |machine: &Machine| !machine.command_in_flight && machine.may_have_due_command();
         if self.machines.get(id).is_some_and(is_due) {
             self.command_candidates.insert(id.clone());
         }
--- a/src/core/evidence/commands/response.rs
+++ b/src/core/evidence/commands/response.rs
@@ -31,9 +31,9 @@
         let max_stop_delay = self.config.heartbeat_interval;
         let (log, jobs) = (&self.log, &self.jobs);
         let machine = self.machines.get_mut(machine)?;
-        machine.last_response = Some(now);
+        machine.last_heartbeat_response = Some(now);
         if !machine.is_fenced_by(term) || has_stray_start(machine, max_stop_delay, now) {
-            return Some(without_commands(machine.fresh_token(term)));
+            return Some(without_commands(machine.issue_token(term)));
         }
         if machine.command_in_flight || machine.unacknowledged_since.is_none() {
             return Some(without_commands(machine.seen_token));
@@ -42,7 +42,7 @@
         let token = if commands.is_empty() {
             machine.seen_token
         } else {
-            machine.fresh_token(term)
+            machine.issue_token(term)
         };
         Some(HeartbeatResponse { token, commands })
     }
--- a/src/core/evidence/liveness.rs
+++ b/src/core/evidence/liveness.rs
@@ -43,7 +43,7 @@
     /// kills all its tasks and forgets them.
     pub(in crate::core) fn lease_expired(&self, machine: &Machine, now: Instant) -> bool {
         let lease = self.config.worker_lease + self.config.worker_lease / LEASE_DRIFT_DIVISOR + LEASE_MARGIN;
-        let last = machine.last_response.max(machine.last_heartbeat);
+        let last = machine.last_heartbeat_response.max(machine.last_heartbeat);
         machine.phase == MachinePhase::Up
             && machine.is_fenced_by(self.term)
             && last.is_some_and(|last| now.saturating_duration_since(last) > lease)
--- a/src/core/fleet/actions.rs
+++ b/src/core/fleet/actions.rs
@@ -55,11 +55,11 @@
     }
 
     fn start_rentals(&mut self, actions: &mut Vec<FleetAction>, now: Instant) {
-        if self.fleet.pending.len() >= MAX_PENDING {
+        if self.fleet.pending_rentals.len() >= MAX_PENDING {
             return;
         }
         for order in self.machines_to_rent(now) {
-            if self.fleet.pending.len() >= MAX_PENDING {
+            if self.fleet.pending_rentals.len() >= MAX_PENDING {
                 break;
             }
             actions.push(FleetAction::Rent(self.start_rental(order)));
@@ -67,8 +67,8 @@
     }
 
     fn start_rental(&mut self, order: RentalOrder) -> RentalRequest {
-        self.fleet.requests += 1;
-        let request = format!("r-{}-{}", self.term, self.fleet.requests);
+        self.fleet.issued_requests += 1;
+        let request = format!("r-{}-{}", self.term, self.fleet.issued_requests);
         let RentalOrder { offer, count } = order.clone();
         info!(
             request,
@@ -78,7 +78,7 @@
             count,
             "renting"
         );
-        self.fleet.pending.insert(request.clone(), order);
+        self.fleet.pending_rentals.insert(request.clone(), order);
         RentalRequest {
             request,
             machine_type: offer.machine_type,
--- a/src/core/fleet/offers.rs
+++ b/src/core/fleet/offers.rs
@@ -35,7 +35,12 @@
         for machine_type in self.machine_types.iter().filter(|t| fits_machine_type(spec, t)) {
             let tasks_per_machine = tasks_per_machine(machine_type, spec, tasks);
             for offer in self.offers(machine_type, spec) {
-                if self.fleet.refused.get(&offer).is_some_and(|until| *until > now) {
+                if self
+                    .fleet
+                    .suspended_until
+                    .get(&offer)
+                    .is_some_and(|until| *until > now)
+                {
                     continue;
                 }
                 let price = hourly_price(machine_type, offer.spot);
--- a/src/core/fleet/rentals.rs
+++ b/src/core/fleet/rentals.rs
@@ -114,7 +114,7 @@
                 open_machines.push(open);
             }
         }
-        for order in self.fleet.pending.values() {
+        for order in self.fleet.pending_rentals.values() {
             if let Some(open) = self.open_machine(&order.offer) {
                 open_machines.extend(std::iter::repeat_n(open, order.count as usize));
             }
@@ -142,7 +142,12 @@
     fn new(model: &'m ClusterModel, now: Instant) -> Self {
         let partitioned_zones = model.partitioned_zones(now);
         let open_machines = model.open_machines(&partitioned_zones, now);
-        let pending: u32 = model.fleet.pending.values().map(|order| order.count).sum();
+        let pending: u32 = model
+            .fleet
+            .pending_rentals
+            .values()
+            .map(|order| order.count)
+            .sum();
         let machines = model.machines.len() + pending as usize;
         let max_machines = model.config.operator_settings.max_machines;
         let mut plan = RentalPlan::new(partitioned_zones, machines, max_machines);
--- a/src/core/scheduling/placement/preemption.rs
+++ b/src/core/scheduling/placement/preemption.rs
@@ -27,7 +27,7 @@
     pub(in crate::core::scheduling) fn preempt_for_head(&mut self, head: Rank) -> PreemptionResult {
         let mut result = PreemptionResult::default();
         let over_quota = OverQuotaLoad::for_head(self.model, head.job, &self.ranks);
-        if !self.model.has_backfilled && over_quota.is_empty() {
+        if !self.model.may_have_shadow_load && over_quota.is_empty() {
             return result;
         }
         self.collect_running_load(head, over_quota);
--- a/src/core/scheduling/shadow_load.rs
+++ b/src/core/scheduling/shadow_load.rs
@@ -13,7 +13,7 @@
 impl ClusterModel {
     /// Makes all shadow load sunny: no job is blocked.
     pub(super) fn clear_shadow_load(&mut self) {
-        if !std::mem::take(&mut self.has_backfilled) {
+        if !std::mem::take(&mut self.may_have_shadow_load) {
             return;
         }
         let machines = self.machines.values_mut();
@@ -25,7 +25,7 @@
     /// Makes those backfilled tasks sunny that no waiting job outranks any more. Jobs
     /// that pause don't count as waiting.
     pub(super) fn settle_shadow_load(&mut self, ranks: &BTreeMap<JobId, Rank>, now: Instant) {
-        if !self.has_backfilled {
+        if !self.may_have_shadow_load {
             return;
         }
         let first_waiting = self
--- a/src/core/state/fleet_state.rs
+++ b/src/core/state/fleet_state.rs
@@ -27,9 +27,9 @@
 #[derive(Debug, Default)]
 pub struct FleetState {
     /// Requests given out in this term.
-    pub(in crate::core) requests: u64,
+    pub(in crate::core) issued_requests: u64,
     /// Offers that were refused, not to be asked for before.
-    pub refused: BTreeMap<Offer, Instant>,
+    pub suspended_until: BTreeMap<Offer, Instant>,
     /// Machines asked for and not yet answered.
-    pub pending: BTreeMap<String, RentalOrder>,
+    pub pending_rentals: BTreeMap<String, RentalOrder>,
 }
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -77,7 +77,7 @@
     /// When its last heartbeat came.
     pub last_heartbeat: Option<Instant>,
     /// When a heartbeat of it was last answered: its lease runs from there at the latest.
-    pub last_response: Option<Instant>,
+    pub last_heartbeat_response: Option<Instant>,
     /// When the cloud reclaims it, by a spot notice.
     pub reclaim_at: Option<Instant>,
     /// The tasks that are or may be on it.
@@ -122,7 +122,7 @@
             seen_token: 0,
             issued_tokens: 0,
             last_heartbeat: None,
-            last_response: None,
+            last_heartbeat_response: None,
             reclaim_at: None,
             slots: BTreeMap::new(),
             images: Vec::new(),
@@ -153,7 +153,7 @@
 
     /// Whether commands to its worker may be due: a probe, a start, a stop or an
     /// acknowledgement.
-    pub(in crate::core) fn wants_command(&self) -> bool {
+    pub(in crate::core) fn may_have_due_command(&self) -> bool {
         self.needs_probe
             || self
                 .slots
@@ -228,13 +228,13 @@
             .collect()
     }
 
-    /// The token that [`Machine::fresh_token`] would issue next.
+    /// The token that [`Machine::issue_token`] would issue next.
     pub(in crate::core) fn peek_token(&self, term: u64) -> u64 {
         token::first_of_term(term) + self.issued_tokens + 1
     }
 
     /// Issues a token above all issued for this machine before.
-    pub(in crate::core) fn fresh_token(&mut self, term: u64) -> u64 {
+    pub(in crate::core) fn issue_token(&mut self, term: u64) -> u64 {
         self.issued_tokens += 1;
         token::first_of_term(term) + self.issued_tokens
     }
--- a/src/core/state/model/jobs.rs
+++ b/src/core/state/model/jobs.rs
@@ -115,7 +115,7 @@
     }
 
     /// Takes a cancellation that has been stored.
-    pub fn cancel_stored(&mut self, id: JobId) {
+    pub fn cancellation_stored(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.cancellation_stored = true;
         }
--- a/src/core/state/model/mod.rs
+++ b/src/core/state/model/mod.rs
@@ -66,7 +66,7 @@
     /// Released machines, whose late heartbeats mean nothing.
     pub(in crate::core) released_machines: Tombstones,
     /// Some slot may be backfilled, so that there may be shadow load.
-    pub(in crate::core) has_backfilled: bool,
+    pub(in crate::core) may_have_shadow_load: bool,
     /// Since when this process has listened without a pause of its own.
     pub(in crate::core) listening_since: Option<Instant>,
     /// Attempt numbers issued in this term.
@@ -92,7 +92,7 @@
             run_time_ratios_changed: false,
             run_time_ratios_taken_at: None,
             released_machines: Tombstones::default(),
-            has_backfilled: false,
+            may_have_shadow_load: false,
             listening_since: None,
             attempts: 0,
             fleet: FleetState::default(),
--- a/src/core/state/model/places.rs
+++ b/src/core/state/model/places.rs
@@ -32,7 +32,7 @@
             return;
         };
         job.add_place(task.index, machine_id);
-        self.has_backfilled |= backfilled;
+        self.may_have_shadow_load |= backfilled;
         machine.idle_since = None;
         let start_log_mark = self.log.push(LogEntry::Start(
             machine_id.clone(),
--- a/src/leader/active_leader/cancellation.rs
+++ b/src/leader/active_leader/cancellation.rs
@@ -85,7 +85,7 @@
                 return ApiResponse::unavailable("the cancellation can't be stored now");
             }
             info!(job = %id, "cancellation stored");
-            self.model.lock().cancel_stored(id);
+            self.model.lock().cancellation_stored(id);
             self.request_round();
         }
         self.status_in_memory(id)
--- a/tests/dependencies/cancellation.rs
+++ b/tests/dependencies/cancellation.rs
@@ -18,7 +18,7 @@
     // It may be stored by now though no response confirms it.
     assert_eq!((state_of(&model, 1), state_of(&model, 3)), (None, None));
     assert_eq!(state_of(&model, 4), Some(JobState::Queued));
-    model.cancel_stored(id(1));
+    model.cancellation_stored(id(1));
     for n in [1, 2, 3] {
         assert_eq!(state_of(&model, n), Some(JobState::Cancelled));
     }
@@ -45,11 +45,11 @@
     model.add_job(job_awaiting(2, &[1]), now);
     model.cancel(id(2), now);
     model.cancel(id(1), now);
-    model.cancel_stored(id(1));
+    model.cancellation_stored(id(1));
     let finals = store_all(&mut model, now);
     assert_eq!(finals, [(id(1), JobState::Cancelled)]);
     assert_eq!(state_of(&model, 2), None, "its record is being stored");
-    model.cancel_stored(id(2));
+    model.cancellation_stored(id(2));
     assert_eq!(store_all(&mut model, now), [(id(2), JobState::Cancelled)]);
 }
 
@@ -104,7 +104,7 @@
     message.tasks = running(&model, &machine);
     model.apply_heartbeat(&message, now);
     model.cancel(id(1), now);
-    model.cancel_stored(id(1));
+    model.cancellation_stored(id(1));
     store_all(&mut model, now);
     assert!(model.machines()[&machine].slots[&task].stop_grace.is_some());
     assert!(
--- a/tests/dependencies/size.rs
+++ b/tests/dependencies/size.rs
@@ -38,7 +38,7 @@
         }
         assert!(model.dependencies().unresolved().is_empty(), "{shape}");
         model.cancel(id(0), now);
-        model.cancel_stored(id(0));
+        model.cancellation_stored(id(0));
         let cancelled = |n: &usize| state_of(&model, *n) == Some(JobState::Cancelled);
         assert_eq!(
             (0..records.len()).filter(cancelled).count(),
--- a/tests/gap/world/leaders.rs
+++ b/tests/gap/world/leaders.rs
@@ -156,7 +156,7 @@
         }
         for record in self.stored_jobs.values_mut() {
             record.cancelled = true;
-            leader.model.cancel_stored(record.spec.id);
+            leader.model.cancellation_stored(record.spec.id);
         }
         self.confirmed = Some(self.now);
     }
--- a/tests/safety/cluster/delivery.rs
+++ b/tests/safety/cluster/delivery.rs
@@ -31,7 +31,7 @@
             } => self.deliver_heartbeat_response(&to, incarnation, response, heartbeat_sent),
             Message::StoreCancellation { id, term } if term == self.term => self.store_cancellation(id, term),
             Message::CancellationStored { id, term } if term == self.term => {
-                self.model.cancel_stored(id);
+                self.model.cancellation_stored(id);
                 self.confirm(id, JobState::Cancelled);
             }
             Message::Write { write, term } => {
