--- a/src/core/state/config.rs
+++ b/src/core/state/config.rs
@@ -5,42 +5,44 @@
 
 use crate::settings::{DeploymentSettings, Objective, OperatorSettings, Team};
 
-/// Least silence limit, however short the interval of heartbeats.
+/// Lower bound of the default silence limit, however short the heartbeat interval is.
 const MIN_SILENCE_LIMIT: Duration = Duration::from_secs(9);
 
-/// The part of the settings that the model's rules read. It never changes.
+/// The settings that the model's rules read. They don't change while the process runs.
 #[derive(Debug, Clone)]
 pub struct SchedulerConfig {
     /// Teams by name, with their quotas and limits.
     pub teams: HashMap<String, Team>,
-    /// The users' objectives: by when jobs of a kind should be done.
+    /// Service objectives for classes of jobs, such as a time to finish.
     pub objectives: Vec<Objective>,
     /// Zones in which machines may be rented.
     pub zones: Vec<String>,
     /// Time between two heartbeats of a worker.
     pub heartbeat_interval: Duration,
-    /// How long a worker runs its tasks on after the last answered heartbeat.
+    /// How long a worker keeps its tasks running after the last heartbeat that was
+    /// answered.
     pub worker_lease: Duration,
-    /// Within this time of its acceptance, a cancellation must have stopped all tasks.
+    /// Time from the acceptance of a cancellation until all tasks of the job must have
+    /// stopped.
     pub cancel_deadline: Duration,
-    /// A machine without a heartbeat for so long is released, so that its tasks can
-    /// run elsewhere.
+    /// A machine that sends no heartbeat for this long is released, so that its tasks
+    /// can run elsewhere.
     pub silence_limit: Duration,
-    /// How far the cloud's machine list may lag behind rentals and releases.
+    /// How long the cloud's machine list may lag behind rentals and releases.
     pub machine_list_lag: Duration,
     /// Least time between two appends to the write-ahead log.
     pub min_log_append_interval: Duration,
-    /// Most changes in a transaction of the state service: the smaller of the limit in
-    /// force and the one that is announced.
+    /// Most changes in a transaction of the state service: the smaller of the current
+    /// limit and the announced one.
     pub max_transaction_changes: usize,
-    /// Largest value of the state service in bytes, likewise the smaller limit.
+    /// Largest value of the state service in bytes, also the smaller of both limits.
     pub max_value_bytes: usize,
-    /// What operators may tune without a new deployment.
+    /// Settings that operators may change without a new deployment.
     pub operator_settings: OperatorSettings,
 }
 
 impl SchedulerConfig {
-    /// Takes what it needs from the settings.
+    /// Takes what the model needs from the settings.
     pub fn new(deployment: &DeploymentSettings, operator_settings: OperatorSettings) -> Self {
         let cluster = &deployment.cluster;
         let workers = &cluster.workers;
@@ -67,8 +69,9 @@
     }
 }
 
-/// Two heartbeats may be late or lost on the way to a node that doesn't answer; and
-/// no healthy machine is silent for longer.
+/// Allows for two heartbeats that are late, or lost on the way to a controller that
+/// doesn't answer; no healthy machine is silent for longer. Never exceeds the worker's
+/// lease.
 fn default_silence_limit(heartbeat_interval: Duration, worker_lease: Duration) -> Duration {
     (heartbeat_interval * 9 / 4)
         .max(MIN_SILENCE_LIMIT)
--- a/src/core/state/deadlines.rs
+++ b/src/core/state/deadlines.rs
@@ -6,18 +6,18 @@
 use crate::core::state::job::Job;
 use crate::core::state::model::ClusterModel;
 
-/// When a job is due, in seconds from its arrival; negative if that was before it
-/// arrived. Both are `None` if nothing was promised for it.
+/// When a job is due, in seconds from its arrival; negative if it was due before it
+/// arrived. Both are `None` if the job has no deadline.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(in crate::core) struct Deadlines {
-    /// The strictest of the deadlines that hold for the job.
+    /// The earliest of the deadlines that hold for the job.
     pub(in crate::core) earliest: Option<f64>,
-    /// The laxest of them.
+    /// The latest of the deadlines that hold for the job.
     pub(in crate::core) latest: Option<f64>,
 }
 
 impl Deadlines {
-    /// A single deadline.
+    /// The deadlines of a job that has only this one.
     fn single(due: f64) -> Self {
         Self {
             earliest: Some(due),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The deadlines of both together.
+    /// The earliest and the latest among the deadlines of both.
     fn merge(self, other: Self) -> Self {
         let earliest = [self.earliest, other.earliest].into_iter().flatten();
         let latest = [self.latest, other.latest].into_iter().flatten();
@@ -37,14 +37,15 @@
 }
 
 impl ClusterModel {
-    /// The deadlines of a job and those it inherits from the jobs that depend on it.
+    /// The job's own deadlines together with those that it inherits from the jobs that
+    /// depend on it.
     pub(in crate::core) fn deadlines(&self, job: &Job) -> Deadlines {
         let own = self.own_deadlines(job);
         let Some(inherited) = self.dependencies.inherited_urgency(job.spec.id) else {
             return own;
         };
         let from_arrival = |due: Instant| match due.checked_duration_since(job.arrival) {
-            Some(left) => left.as_secs_f64(),
+            Some(after_arrival) => after_arrival.as_secs_f64(),
             None => -job.arrival.duration_since(due).as_secs_f64(),
         };
         own.merge(Deadlines {
@@ -53,9 +54,9 @@
         })
     }
 
-    /// The deadlines of the job itself: its user's, and those that the objectives of
-    /// its class set. Time spent waiting for dependencies doesn't count for an
-    /// objective on the time to finish.
+    /// The job's own deadlines: the one that its user gave, and those that the objectives
+    /// of its class set. The time that the job waits for its dependencies doesn't count
+    /// towards an objective on the time to finish.
     pub(in crate::core) fn own_deadlines(&self, job: &Job) -> Deadlines {
         let class = Some(&job.spec.class);
         let objectives = self.config.objectives.iter();
--- a/src/core/state/dependencies/cancellation.rs
+++ b/src/core/state/dependencies/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellation along the dependency graph.
+//! Cancellation of jobs and of all jobs that depend on them.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -6,16 +6,17 @@
 use crate::wire::JobId;
 
 impl Dependencies {
-    /// A job's cancellation is requested, and may be stored at any moment. Until that
-    /// is known, its dependents are [in doubt](Self::in_doubt).
+    /// Notes that a job's cancellation is requested and may be stored at any moment. Until
+    /// it is known to be stored, its dependents are [in doubt](Self::in_doubt).
     pub fn cancellation_requested(&mut self, id: JobId) {
-        self.cancelling.insert(id);
+        self.pending_cancellations.insert(id);
     }
 
-    /// A job's cancellation is stored. Returns all jobs that depend on it, directly
-    /// or through others: that record cancels them, too, and they never become ready.
+    /// Notes that a job's cancellation is stored. Returns all jobs that depend on it,
+    /// directly or indirectly: the stored cancellation cancels them, too, and they never
+    /// become ready.
     pub fn cancellation_stored(&mut self, id: JobId) -> Vec<JobId> {
-        self.cancelling.remove(&id);
+        self.pending_cancellations.remove(&id);
         let mut cancelled = vec![id];
         let mut seen: HashSet<JobId> = HashSet::from([id]);
         let mut stack = vec![id];
@@ -31,11 +32,11 @@
         cancelled.split_off(1)
     }
 
-    /// Removes cancelled jobs from the dependents of jobs that are not cancelled,
-    /// which may be less urgent without them. `cancelled` and `cancelled_set` hold
-    /// the same jobs; the list keeps the order of the walk.
+    /// Removes cancelled jobs from the dependents of jobs that are not cancelled, and
+    /// recomputes the urgency that those inherit, as it may be lower now. `cancelled` and
+    /// `cancelled_set` hold the same jobs; the list keeps the order of the traversal.
     fn detach(&mut self, cancelled: &[JobId], cancelled_set: &HashSet<JobId>) {
-        let mut lowered = BTreeSet::new();
+        let mut without_dependent = BTreeSet::new();
         for id in cancelled {
             self.inherited.remove(id);
             self.unresolved.remove(id);
@@ -43,10 +44,10 @@
             let kept = node.pending.iter().filter(|job| !cancelled_set.contains(job));
             for dependency in kept.copied().collect::<Vec<_>>() {
                 self.remove_edge(dependency, *id);
-                lowered.insert(dependency);
+                without_dependent.insert(dependency);
             }
         }
-        self.lower_inherited(lowered);
+        self.lower_inherited(without_dependent);
     }
 
     fn remove_edge(&mut self, dependency: JobId, dependent: JobId) {
@@ -60,11 +61,10 @@
         }
     }
 
-    /// Whether a dependency of this job, direct or not, may be cancelled without
-    /// this process knowing. Only the state service can say then whether the job is
-    /// cancelled.
+    /// Whether a direct or indirect dependency of this job may be cancelled without this
+    /// process knowing. Then only the state service can tell whether the job is cancelled.
     pub fn in_doubt(&self, id: JobId) -> bool {
-        if self.unresolved.is_empty() && self.cancelling.is_empty() {
+        if self.unresolved.is_empty() && self.pending_cancellations.is_empty() {
             return false;
         }
         let mut seen = HashSet::from([id]);
@@ -74,7 +74,7 @@
                 continue;
             };
             for dependency in &node.pending {
-                if self.unresolved.contains(dependency) || self.cancelling.contains(dependency) {
+                if self.unresolved.contains(dependency) || self.pending_cancellations.contains(dependency) {
                     return true;
                 }
                 if seen.insert(*dependency) {
--- a/src/core/state/dependencies/graph.rs
+++ b/src/core/state/dependencies/graph.rs
@@ -6,35 +6,35 @@
 use crate::core::state::dependencies::urgency::Urgency;
 use crate::wire::JobId;
 
-/// How a job that others depend on ended, as the state service has it.
+/// How a job that others depend on ended, according to the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DependencyOutcome {
-    /// Its `done` is stored; since when, if that is known.
+    /// Its final state `done` is stored; with the time at which it was done, if known.
     Done(Option<Instant>),
     /// Its cancellation is stored.
     Cancelled,
 }
 
-/// What the graph has to know of a job to add it.
+/// What the graph needs to know about a job to add it.
 #[derive(Debug, Clone)]
 pub struct DependentJob<'a> {
-    /// The job.
+    /// The job's id.
     pub id: JobId,
-    /// The jobs that must be done before it starts, as its user named them.
+    /// The jobs that must be done before it may start, as its user named them.
     pub awaits: &'a [JobId],
-    /// Its own priority and due times, apart from what it inherits.
+    /// Its own priority and due times, without those that it inherits.
     pub urgency: Urgency,
     /// Its predicted run time.
     pub run_time: Duration,
 }
 
-/// A job that depends on others, until it ends itself.
+/// An unfinished job that depends on others.
 #[derive(Debug)]
 pub(super) struct Node {
-    /// Dependencies whose `done` is not known to be stored.
+    /// Dependencies that are not known to be stored as `done`.
     pub(super) pending: BTreeSet<JobId>,
-    /// When the last of the other dependencies was done, as far as that is known.
-    done_since: Option<Instant>,
+    /// Latest time at which one of its other dependencies was done, as far as known.
+    last_done_at: Option<Instant>,
     /// The job's own urgency.
     pub(super) urgency: Urgency,
     /// Its predicted run time.
@@ -43,25 +43,25 @@
 
 /// The dependencies between all unfinished jobs of one term.
 ///
-/// A job without dependencies has no node; it appears only where others depend on
-/// it. A job is ready as soon as the `done` of each of its dependencies is stored,
-/// and never becomes ready once one of them is cancelled.
+/// A job without dependencies has no node; it appears only as a dependency of others. A
+/// job is ready as soon as each of its dependencies is stored as `done`, and never
+/// becomes ready once one of them is cancelled.
 #[derive(Debug, Default)]
 pub struct Dependencies {
     pub(super) nodes: HashMap<JobId, Node>,
-    /// For each job that some node still waits for, those nodes.
+    /// For each job that others still wait for, the jobs that wait for it.
     pub(super) dependents: HashMap<JobId, BTreeSet<JobId>>,
-    /// Jobs in `dependents` that are not known to be unfinished.
+    /// Jobs with an entry in `dependents` that are not known to be unfinished.
     pub(super) unresolved: BTreeSet<JobId>,
-    /// Jobs whose cancellation is requested, and not known to be stored.
-    pub(super) cancelling: BTreeSet<JobId>,
+    /// Jobs whose cancellation is requested, but not known to be stored.
+    pub(super) pending_cancellations: BTreeSet<JobId>,
     /// The urgency that jobs inherit from their dependents.
     pub(super) inherited: BTreeMap<JobId, Urgency>,
 }
 
 impl Dependencies {
-    /// Adds an unfinished job. `is_unfinished` says which of its dependencies are
-    /// known to be unfinished; the others are unresolved from now on.
+    /// Adds an unfinished job. A dependency for which `is_unfinished` is false becomes
+    /// unresolved, unless other jobs depend on it already.
     pub fn add(&mut self, job: &DependentJob, is_unfinished: impl Fn(JobId) -> bool) {
         self.unresolved.remove(&job.id);
         if job.awaits.is_empty() {
@@ -79,7 +79,7 @@
             job.id,
             Node {
                 pending,
-                done_since: None,
+                last_done_at: None,
                 urgency: job.urgency,
                 run_time: job.run_time,
             },
@@ -87,19 +87,18 @@
         self.raise_inherited(job.id);
     }
 
-    /// Whether all dependencies of a job are done. A job that the graph doesn't know
-    /// is ready as far as dependencies go.
+    /// Whether all dependencies of a job are done; true for a job that has no node.
     pub fn is_ready(&self, id: JobId) -> bool {
         self.nodes.get(&id).is_none_or(|node| node.pending.is_empty())
     }
 
-    /// When the last dependency of a job was done; `None` if it has none, or the
-    /// time is not known.
+    /// When the last dependency of a job was done; `None` if it has none or the time is
+    /// not known.
     pub fn ready_since(&self, id: JobId) -> Option<Instant> {
-        self.nodes.get(&id)?.done_since
+        self.nodes.get(&id)?.last_done_at
     }
 
-    /// Whether some unfinished job still depends on this one.
+    /// Whether some unfinished job still waits for this one.
     pub fn has_dependents(&self, id: JobId) -> bool {
         self.dependents.contains_key(&id)
     }
@@ -109,23 +108,23 @@
         &self.unresolved
     }
 
-    /// A job's `done` is stored; `since` when, if that is known. Its dependents no
-    /// longer wait for it.
-    pub fn done_stored(&mut self, id: JobId, since: Option<Instant>) {
+    /// Notes that a job is stored as `done`, and when it was done if that is known. Its
+    /// dependents no longer wait for it.
+    pub fn done_stored(&mut self, id: JobId, done_at: Option<Instant>) {
         self.unresolved.remove(&id);
         self.inherited.remove(&id);
         for dependent in self.dependents.remove(&id).unwrap_or_default() {
             if let Some(node) = self.nodes.get_mut(&dependent) {
                 node.pending.remove(&id);
-                node.done_since = node.done_since.max(since);
+                node.last_done_at = node.last_done_at.max(done_at);
             }
         }
     }
 
-    /// Removes a job that has ended. Edges to its dependents are not touched: those
-    /// go with [`Self::done_stored`] or [`Self::cancellation_stored`].
+    /// Removes a job that has ended. The edges to its dependents stay:
+    /// [`Self::done_stored`] or [`Self::cancellation_stored`] removes them.
     pub fn remove(&mut self, id: JobId) {
-        self.cancelling.remove(&id);
+        self.pending_cancellations.remove(&id);
         self.nodes.remove(&id);
     }
 }
--- a/src/core/state/dependencies/urgency.rs
+++ b/src/core/state/dependencies/urgency.rs
@@ -1,8 +1,8 @@
-//! Urgency of jobs, and its inheritance along the dependency graph.
+//! The urgency of jobs, and how jobs inherit it from their dependents.
 //!
 //! A job inherits the highest priority and the earliest due times of the jobs that
-//! depend on it, less their predicted run times: a job that others wait for must be
-//! done early enough for them to run in time.
+//! depend on it. The due times are moved earlier by the predicted run times of those
+//! jobs, as the job must be done early enough for them to finish in time.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -10,39 +10,39 @@
 use crate::core::state::dependencies::graph::Dependencies;
 use crate::wire::{JobId, Priority};
 
-/// How urgent a job is, by itself or for the sake of its dependents.
+/// How urgent a job is, by itself or because of its dependents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Urgency {
-    /// Priority of the job or of its most important dependent.
+    /// Priority of the job, or the highest among its dependents.
     pub priority: Priority,
-    /// When it is due by the strictest aim; `None` if it has no such aim.
+    /// When it is due by its earliest deadline; `None` if it has no deadline.
     pub due: Option<Instant>,
-    /// When it is due by the laxest aim; `None` if it has no such aim.
+    /// When it is due by its latest deadline; `None` if it has no deadline.
     pub latest_due: Option<Instant>,
 }
 
 impl Urgency {
-    /// The more urgent of both in every respect.
-    fn merged(self, other: Urgency) -> Urgency {
-        let earlier = |a: Option<Instant>, b: Option<Instant>| match (a, b) {
+    /// The higher priority and the earlier due times of both.
+    fn merge(self, other: Urgency) -> Urgency {
+        let earlier_of = |a: Option<Instant>, b: Option<Instant>| match (a, b) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         };
         Urgency {
             priority: self.priority.max(other.priority),
-            due: earlier(self.due, other.due),
-            latest_due: earlier(self.latest_due, other.latest_due),
+            due: earlier_of(self.due, other.due),
+            latest_due: earlier_of(self.latest_due, other.latest_due),
         }
     }
 
-    /// The urgency that a job of this one hands to its dependencies: they are due
-    /// earlier by the job's own run time.
-    fn of_dependencies(self, run_time: Duration) -> Urgency {
-        let earlier = |due: Instant| due.checked_sub(run_time).unwrap_or(due);
+    /// The urgency that a job with this urgency passes on to its dependencies: they are
+    /// due earlier by the job's run time.
+    fn for_dependencies(self, run_time: Duration) -> Urgency {
+        let minus_run_time = |due: Instant| due.checked_sub(run_time).unwrap_or(due);
         Urgency {
             priority: self.priority,
-            due: self.due.map(earlier),
-            latest_due: self.latest_due.map(earlier),
+            due: self.due.map(minus_run_time),
+            latest_due: self.latest_due.map(minus_run_time),
         }
     }
 }
@@ -53,17 +53,17 @@
         self.inherited.get(&id).copied()
     }
 
-    /// The urgency that a job passes on to its dependencies: its own, merged with
-    /// what it inherits, and earlier by its run time.
+    /// The urgency that a job passes on to its dependencies: its own, merged with the one
+    /// that it inherits, with due times earlier by its run time.
     fn passed_on_urgency(&self, id: JobId) -> Option<Urgency> {
         let node = self.nodes.get(&id)?;
         let inherited = self.inherited.get(&id);
-        let urgency = inherited.map_or(node.urgency, |i| node.urgency.merged(*i));
-        Some(urgency.of_dependencies(node.run_time))
+        let urgency = inherited.map_or(node.urgency, |inherited| node.urgency.merge(*inherited));
+        Some(urgency.for_dependencies(node.run_time))
     }
 
-    /// Passes a job's urgency on to its dependencies and theirs, as far as it raises
-    /// what they inherit.
+    /// Passes a job's urgency on to its direct and indirect dependencies, as far as it
+    /// raises the urgency that they inherit.
     pub(super) fn raise_inherited(&mut self, id: JobId) {
         let mut stack = vec![id];
         while let Some(job) = stack.pop() {
@@ -73,7 +73,7 @@
             let pending: Vec<JobId> = self.nodes[&job].pending.iter().copied().collect();
             for dependency in pending {
                 let old = self.inherited.get(&dependency).copied();
-                let new = old.map_or(passed_on, |old| old.merged(passed_on));
+                let new = old.map_or(passed_on, |old| old.merge(passed_on));
                 if old != Some(new) {
                     self.inherited.insert(dependency, new);
                     stack.push(dependency);
@@ -82,15 +82,15 @@
         }
     }
 
-    /// Recomputes what jobs inherit that lost some of their dependents, and passes
-    /// each change on to their dependencies.
+    /// Recomputes the inherited urgency of jobs that lost some of their dependents, and
+    /// passes each change on to their dependencies.
     pub(super) fn lower_inherited(&mut self, jobs: BTreeSet<JobId>) {
         let mut stack: Vec<JobId> = jobs.into_iter().collect();
         while let Some(job) = stack.pop() {
             let dependents = self.dependents.get(&job).into_iter().flatten();
             let new = dependents
                 .filter_map(|dependent| self.passed_on_urgency(*dependent))
-                .reduce(Urgency::merged);
+                .reduce(Urgency::merge);
             if self.inherited.get(&job).copied() == new {
                 continue;
             }
--- a/src/core/state/fleet_state.rs
+++ b/src/core/state/fleet_state.rs
@@ -1,35 +1,36 @@
-//! What the fleet's decisions remember from one round to the next.
+//! State that the decisions about the fleet keep from one round to the next.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// A kind of machine at a place, as the cloud offers it.
+/// A machine type in a zone, on demand or as a spot machine, as the cloud offers it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Offer {
-    /// Its type.
+    /// Name of the machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone in which the machine would be rented.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether it is offered as a spot machine.
     pub spot: bool,
 }
 
-/// Machines of one offer, to be rented by one request.
+/// Machines of one offer that are to be rented by one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RentalOrder {
-    /// What is to be rented.
+    /// Which machines to rent.
     pub offer: Offer,
-    /// How many machines.
+    /// How many machines to rent.
     pub count: u32,
 }
 
-/// What the fleet remembers between rounds.
+/// Rentals under way, and offers that the cloud refused recently.
 #[derive(Debug, Default)]
 pub struct FleetState {
-    /// Requests given out in this term.
+    /// Number of rental requests issued in this term; it makes their names unique.
     pub(in crate::core) issued_requests: u64,
-    /// Offers that were refused, not to be asked for before.
+    /// Offers that the cloud had no capacity for, each with the time before which it is
+    /// not requested again.
     pub suspended_until: BTreeMap<Offer, Instant>,
-    /// Machines asked for and not yet answered.
+    /// Rentals that the cloud has not answered yet, by the name of the request.
     pub pending_rentals: BTreeMap<String, RentalOrder>,
 }
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -1,4 +1,5 @@
-//! An unfinished job: what is done, what waits, and where its tasks may be.
+//! An unfinished job: which of its tasks are done or waiting, and where the others may
+//! be.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -9,18 +10,18 @@
 use crate::core::storage::record::JobRecord;
 use crate::wire::{JobKind, JobSpec, MachineId};
 
-/// An unfinished job.
+/// An unfinished job and the state of its tasks.
 #[derive(Debug)]
 pub struct Job {
-    /// What its user submitted.
+    /// The job as its user submitted it.
     pub spec: Arc<JobSpec>,
     /// When it was accepted, in milliseconds since the Unix epoch.
     pub accepted_at_ms: u64,
     /// The same moment on this process's monotonic clock.
     pub arrival: Instant,
-    /// It is cancelled: no task starts any more, and those that run are stopped.
+    /// Whether it is cancelled: no further task starts, and the running ones are stopped.
     pub cancelled: bool,
-    /// The cancellation is stored in the state service.
+    /// Whether the cancellation is stored in the state service.
     pub cancellation_stored: bool,
     /// Indices of the tasks that are done.
     pub done: TaskSet,
@@ -28,24 +29,24 @@
     pub waiting: TaskSet,
     /// The machines on which each placed task may be, by the task's index.
     pub places: HashMap<u32, Vec<MachineId>>,
-    /// Indices of the tasks that were running by the last heartbeat of their machine.
+    /// Indices of the tasks that their machine's last heartbeat reported as running.
     pub running: HashSet<u32>,
-    /// Number of machines in `places`, over all tasks.
+    /// Number of machines in `places`, summed over all tasks.
     pub place_count: u32,
-    /// Its final state is on its way to the state service.
+    /// Whether its final state is being written to the state service.
     pub final_write_pending: bool,
-    /// Failures since the last success.
+    /// Failures of its tasks since one was last done.
     pub failures: FailureHistory,
     /// No task is placed before this time.
     pub pause_until: Option<Instant>,
     /// Sum of the run times of tasks that ended `done` in this term.
     pub total_run_time: Duration,
-    /// How many run times are in `total_run_time`.
+    /// Number of run times in `total_run_time`.
     pub counted_runs: u32,
 }
 
 impl Job {
-    /// A fresh or reloaded job.
+    /// A job from its record, whether just accepted or reloaded: all its tasks wait.
     pub fn new(record: JobRecord, arrival: Instant) -> Self {
         let task_count = record.spec.tasks;
         Self {
@@ -67,28 +68,30 @@
         }
     }
 
-    /// Marks a task as done; it never waits again.
+    /// Marks a task as done; it is never placed again.
     pub(in crate::core) fn mark_done(&mut self, index: u32) {
         self.waiting.remove(index);
         self.done.insert(index);
     }
 
-    /// Whether some task was ever started, as far as is known.
+    /// Whether some task is placed or done, as far as this leader knows.
     pub fn has_started(&self) -> bool {
         self.place_count > 0 || self.done.count() > 0
     }
 
-    /// It failed on several machines of late, and no task was ever done.
+    /// Whether its tasks failed on several machines recently and none was ever done; see
+    /// [`crate::core::state::probation`].
     pub fn on_probation(&self, now: Instant) -> bool {
         self.done.count() == 0 && self.failures.on_probation(now)
     }
 
-    /// Its cancellation is stored, so that any controller may confirm it to a client.
+    /// Whether its cancellation is stored, so that any controller may confirm it to a
+    /// client.
     pub fn cancellation_is_stored(&self) -> bool {
         self.cancelled && self.cancellation_stored
     }
 
-    /// Each place where one of its tasks may be, and the task's number.
+    /// Every machine on which one of its tasks may be, with the task's index.
     pub(in crate::core) fn all_places(&self) -> Vec<(MachineId, u32)> {
         let places = self.places.iter();
         places
@@ -96,20 +99,21 @@
             .collect()
     }
 
-    /// All its tasks are done.
+    /// Whether all its tasks are done; a service never completes.
     pub fn is_complete(&self) -> bool {
         self.spec.kind != JobKind::Service && self.done.count() == self.spec.tasks
     }
 
-    /// The time of day at an instant, in milliseconds.
+    /// The time `now` in milliseconds since the Unix epoch, derived from the acceptance.
     pub(in crate::core) fn unix_time_ms_at(&self, now: Instant) -> u64 {
         let age = now.saturating_duration_since(self.arrival);
         self.accepted_at_ms.saturating_add(age.as_millis() as u64)
     }
 
-    /// What survives. A cancelled job never starts again, so the lists that only
-    /// its starts need are left out: an acceptance that was stored when values
-    /// could be larger has to be cancelled within the limits that hold by now.
+    /// The record to be stored in the state service. A cancelled job never starts again,
+    /// so its record leaves out the lists that only starts need: the job may have been
+    /// accepted when values could be larger, and its cancellation has to fit into the
+    /// current limits.
     pub fn record(&self) -> JobRecord {
         let mut spec = (*self.spec).clone();
         if self.cancelled {
@@ -123,13 +127,13 @@
         }
     }
 
-    /// A gang that lost some of its tasks: the rest has to go before it can
-    /// be placed again, whole.
+    /// Whether this is a gang of which some tasks have a place and others wait. The
+    /// placed ones have to stop before the gang can be placed again as a whole.
     pub fn is_broken_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang && !self.places.is_empty() && self.waiting.count() > 0
     }
 
-    /// Adds a machine on which a task may be; the task no longer waits.
+    /// Adds a machine on which a task may be, so that the task no longer waits.
     pub(in crate::core) fn add_place(&mut self, index: u32, machine: &MachineId) {
         let machines = self.places.entry(index).or_default();
         if !machines.contains(machine) {
@@ -139,8 +143,8 @@
         }
     }
 
-    /// Removes a machine on which a task is no more. Without any place left, the task
-    /// waits again unless it is done.
+    /// Removes a machine on which a task no longer is. A task without any place left
+    /// waits again, unless it is done.
     pub(in crate::core) fn remove_place(&mut self, index: u32, machine: &MachineId) {
         if let Some(machines) = self.places.get_mut(&index) {
             let before = machines.len();
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -1,5 +1,5 @@
-//! A rented machine: what the cloud lists, what its worker's heartbeats say, and what
-//! commands to it have come to.
+//! A rented machine: what the cloud's list and its worker's heartbeats say about it, and
+//! the state of the commands to it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -11,18 +11,19 @@
 use crate::core::storage::wal::{LogEntry, WriteAheadLog};
 use crate::wire::{Command, ExitReason, Heartbeat, JobId, MachineId, TaskId};
 
-/// Place of a message of a worker in the order of all its messages: a later incarnation
-/// comes after every message of an earlier one.
+/// Position of a message in the order of all messages of its worker: every message of a
+/// later incarnation comes after those of an earlier one.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct MessageOrder {
-    /// Incarnation of the worker, counted up when it starts anew or its lease expires.
+    /// Incarnation of the worker, incremented when it restarts or its lease expires.
     pub incarnation: u64,
-    /// Sequence number of the message in the incarnation.
+    /// Sequence number of the message within the incarnation.
     pub sequence: u64,
 }
 
 impl MessageOrder {
-    /// After every message of an incarnation, so that none of them counts any more.
+    /// The position after every message of an incarnation. As the newest message, it makes
+    /// all messages of that incarnation outdated.
     pub(in crate::core) fn end_of(incarnation: u64) -> Self {
         Self {
             incarnation,
@@ -30,7 +31,7 @@
         }
     }
 
-    /// The place of a heartbeat, which every message of a worker holds.
+    /// The position of a heartbeat; every message of a worker contains one.
     pub fn of(heartbeat: &Heartbeat) -> Self {
         Self {
             incarnation: heartbeat.incarnation,
@@ -42,69 +43,76 @@
 /// Phase of a machine between its rental and its release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachinePhase {
-    /// Rented; no heartbeat of its worker has come yet.
+    /// Rented; no heartbeat of its worker has been received yet.
     Booting,
-    /// A heartbeat has come, or the cloud lists it as running.
+    /// A heartbeat was received, or the machine was running already when this leader
+    /// found it in the log or in the cloud's list.
     Up,
-    /// Its release has been asked for; it holds what it holds until confirmed.
+    /// Its release is requested; its slots stay until the cloud confirms the release.
     Releasing,
 }
 
-/// A rented machine.
+/// A rented machine, until the cloud confirms its release.
 #[derive(Debug)]
 pub struct Machine {
-    /// Its id, as the cloud gave it.
+    /// The id that the cloud gave it.
     pub id: MachineId,
-    /// Where its worker takes commands; empty if not known yet.
+    /// Address at which its worker takes commands; empty until known.
     pub addr: String,
     /// Name of its machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone in which it was rented.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
     /// Its phase between rental and release.
     pub phase: MachinePhase,
-    /// When it was rented, first listed, or first sent a heartbeat; once listed as running, since
-    /// then.
+    /// When it was rented, or when this leader learned of it from the log or a heartbeat.
+    /// If the cloud's list showed it first: when that was, if it was running by then, else
+    /// when it was rented according to the list.
     pub known_since: Instant,
-    /// Place of the newest message that was taken in.
+    /// Position of the newest message that was accepted.
     pub newest_message: MessageOrder,
-    /// Highest fencing token that its heartbeats say it has seen.
+    /// Highest fencing token that its worker has seen, by its heartbeats.
     pub seen_token: u64,
-    /// Number of fencing tokens issued for it in this term: the low bits of the last.
+    /// Number of fencing tokens issued for it in this term, which is also the counter in
+    /// the low bits of the last one.
     pub issued_tokens: u64,
-    /// When its last heartbeat came.
+    /// When its last heartbeat was received.
     pub last_heartbeat: Option<Instant>,
-    /// When a heartbeat of it was last answered: its lease runs from there at the latest.
+    /// When one of its heartbeats was last answered; its worker's lease runs from then at
+    /// the latest.
     pub last_heartbeat_response: Option<Instant>,
-    /// When the cloud reclaims it, by a spot notice.
+    /// When the cloud reclaims it, according to a spot notice.
     pub reclaim_at: Option<Instant>,
-    /// The tasks that are or may be on it.
+    /// The attempts of tasks that are or may be on it.
     pub slots: BTreeMap<TaskId, Slot>,
-    /// Images in its cache and their sizes in GB, most recently used last.
+    /// Images in its cache or being fetched, with their sizes in GB; the most recently
+    /// used one is last.
     pub images: Vec<(String, f64)>,
-    /// Since when ended tasks wait to be acknowledged.
+    /// Since when ended attempts wait to be acknowledged.
     pub unacknowledged_since: Option<Instant>,
-    /// A batch of commands is on its way.
+    /// Whether a batch of commands is on its way to it.
     pub command_in_flight: bool,
-    /// No commands are sent before this time.
+    /// No command is sent to it before this time.
     pub no_command_before: Option<Instant>,
-    /// Since when commands to it have failed without a response between.
+    /// Since when commands to it have failed without one being answered in between.
     pub commands_unanswered_since: Option<Instant>,
-    /// When it last responded to a batch of commands.
+    /// When it last answered a batch of commands.
     pub last_command_answer: Option<Instant>,
-    /// An empty batch of commands is due, to learn what is on it or to fence it.
+    /// Whether a probe is due: a batch of commands that is sent even if it is empty, to
+    /// learn which tasks are on the machine or to fence it.
     pub needs_probe: bool,
-    /// Jobs that failed on it since its last success.
+    /// Jobs of which a task failed on it since one was last done on it or a cordon ended.
     pub failed_jobs: BTreeSet<JobId>,
-    /// Failures since its last success.
+    /// Number of attempts that failed on it since then.
     pub failures: u32,
-    /// Since when it is cordoned, that is, takes no more tasks.
+    /// Since when it is cordoned, that is, no more tasks are placed on it.
     pub cordoned_since: Option<Instant>,
-    /// It refused a start for want of room; no task is placed on it before this time.
+    /// No task is placed on it before this time, as it refused a start for lack of
+    /// capacity.
     pub no_placement_before: Option<Instant>,
-    /// Since when no task is on it.
+    /// Since when no task on it takes resources.
     pub idle_since: Option<Instant>,
 }
 
@@ -140,7 +148,7 @@
         }
     }
 
-    /// Its entry of the write-ahead log.
+    /// The write-ahead log's entry for this machine.
     pub(in crate::core) fn log_entry(&self) -> LogEntry {
         LogEntry::Machine(
             self.id.clone(),
@@ -151,7 +159,7 @@
         )
     }
 
-    /// Whether commands to its worker may be due: a probe, a start, a stop or an
+    /// Whether a command to its worker may be due: a probe, a start, a stop or an
     /// acknowledgement.
     pub(in crate::core) fn may_have_due_command(&self) -> bool {
         self.needs_probe
@@ -161,30 +169,32 @@
                 .any(|s| s.stop_grace.is_some() || matches!(s.state, SlotState::Placed | SlotState::Ended(_)))
     }
 
-    /// Whether an incarnation of its worker has ended by lease expiry, see [`crate::core::ClusterModel::expire_leases`].
+    /// Whether an incarnation of its worker has ended because its lease expired, see
+    /// [`crate::core::ClusterModel::expire_leases`].
     pub fn incarnation_ended(&self, incarnation: u64) -> bool {
         self.newest_message == MessageOrder::end_of(incarnation)
     }
 
-    /// Whether the worker has seen a token of this term, and so refuses earlier leaders.
+    /// Whether the worker has seen a token of this term, so that it refuses commands of
+    /// earlier leaders.
     pub fn is_fenced_by(&self, term: u64) -> bool {
         token::term_of(self.seen_token) == term
     }
 
-    /// Whether it has the image or is fetching it.
+    /// Whether the image is in its cache or being fetched.
     pub fn has_image(&self, image: &str) -> bool {
         self.images.iter().any(|(i, _)| i == image)
     }
 
-    /// Marks an image as the most recently used one, evicting the oldest ones that no
-    /// longer fit into the cache.
-    pub(in crate::core) fn note_image_use(&mut self, image: &str, gb: f64, cache_gb: f64) {
-        if let Some(p) = self.images.iter().position(|(i, _)| i == image) {
-            let it = self.images.remove(p);
-            self.images.push(it);
+    /// Marks an image as the most recently used one, and evicts the least recently used
+    /// ones as long as the images don't fit into the cache.
+    pub(in crate::core) fn note_image_use(&mut self, image: &str, image_gb: f64, cache_gb: f64) {
+        if let Some(position) = self.images.iter().position(|(i, _)| i == image) {
+            let entry = self.images.remove(position);
+            self.images.push(entry);
             return;
         }
-        self.images.push((image.to_owned(), gb));
+        self.images.push((image.to_owned(), image_gb));
         while self.images.len() > 1 && self.images.iter().map(|(_, g)| g).sum::<f64>() > cache_gb {
             self.images.remove(0);
         }
@@ -197,21 +207,22 @@
         specs.map(|spec| Resources::of_task(spec)).sum()
     }
 
-    /// Whether no task on it takes resources; ended ones take none.
+    /// Whether no task on it takes resources; ended attempts take none.
     pub fn is_empty(&self) -> bool {
         !self.slots.values().any(Slot::takes_resources)
     }
 }
 
 impl Machine {
-    /// Acknowledgements of the tasks that have ended: of done ones only once that is
-    /// stored, since the worker forgets them.
+    /// Acknowledgements of the attempts that have ended. As the worker forgets an attempt
+    /// that is acknowledged, one that is done waits until the log entry that says so is
+    /// stored or its job has ended or is not known.
     pub(in crate::core) fn acknowledgements(
         &self,
         log: &WriteAheadLog,
         jobs: &BTreeMap<JobId, Job>,
     ) -> Vec<Command> {
-        let kept = |task: &TaskId, slot: &Slot| match slot.state {
+        let may_acknowledge = |task: &TaskId, slot: &Slot| match slot.state {
             SlotState::Ended(ExitReason::Done) => {
                 log.is_stored(slot.outcome_log_mark) || !jobs.contains_key(&task.job)
             }
@@ -220,7 +231,7 @@
         };
         self.slots
             .iter()
-            .filter(|(task, slot)| kept(task, slot))
+            .filter(|(task, slot)| may_acknowledge(task, slot))
             .map(|(task, slot)| Command::Acknowledge {
                 task: *task,
                 attempt: slot.attempt,
@@ -233,7 +244,8 @@
         token::first_of_term(term) + self.issued_tokens + 1
     }
 
-    /// Issues a token above all issued for this machine before.
+    /// Issues a token above all that were issued for this machine before, in this term or
+    /// an earlier one.
     pub(in crate::core) fn issue_token(&mut self, term: u64) -> u64 {
         self.issued_tokens += 1;
         token::first_of_term(term) + self.issued_tokens
--- a/src/core/state/mod.rs
+++ b/src/core/state/mod.rs
@@ -1,8 +1,8 @@
-//! What the leader of one term knows of jobs and machines.
+//! What the leader of one term knows about jobs and machines.
 //!
-//! [`model::ClusterModel`] owns all of it; its fields change only by methods of
-//! [`crate::core`]. The other modules are its parts, from the lowest up: tokens,
-//! resources, slots and machines, jobs and their dependencies.
+//! [`model::ClusterModel`] owns this state, and only methods in [`crate::core`] change
+//! it. The other modules define its parts: tokens, resources, slots and machines, jobs
+//! and their dependencies.
 
 pub mod config;
 pub(in crate::core) mod deadlines;
--- a/src/core/state/model/jobs.rs
+++ b/src/core/state/model/jobs.rs
@@ -1,5 +1,5 @@
-//! Jobs of the model: accepted, waiting for others, cancelled, removed; and what a
-//! user may be answered about them.
+//! Jobs of the model: their acceptance, dependencies, cancellation and removal, and the
+//! status that users are given.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,8 @@
 use crate::wire::{JobId, JobState, JobStatus, TaskId};
 
 impl ClusterModel {
-    /// Adds an accepted job. A job that is known already stays as it is.
+    /// Adds an accepted job; one that is known already stays as it is. Slots whose attempts
+    /// belong to the job become places of its tasks.
     pub fn add_job(&mut self, record: JobRecord, arrival: Instant) {
         let id = record.spec.id;
         if self.jobs.contains_key(&id) {
@@ -30,22 +31,22 @@
         }
         self.add_dependencies(&job);
         self.jobs.insert(id, job);
-        let cancelled = |named: &&JobId| self.jobs.get(named).is_some_and(Job::cancellation_is_stored);
+        let is_cancelled = |id: &&JobId| self.jobs.get(id).is_some_and(Job::cancellation_is_stored);
         let cancelled: Vec<JobId> = spec
             .awaits
             .iter()
             .chain([&id])
-            .filter(cancelled)
+            .filter(is_cancelled)
             .copied()
             .collect();
-        for named in cancelled {
-            self.cancel_dependents(named);
+        for cancelled_id in cancelled {
+            self.cancel_dependents(cancelled_id);
         }
     }
 
     fn add_dependencies(&mut self, job: &Job) {
         let own = self.own_deadlines(job);
-        let at = |due: Option<f64>| {
+        let instant_of = |due: Option<f64>| {
             let due = Duration::try_from_secs_f64(due?).ok()?;
             job.arrival.checked_add(due)
         };
@@ -54,45 +55,47 @@
             awaits: &job.spec.awaits,
             urgency: Urgency {
                 priority: job.spec.priority,
-                due: at(own.earliest),
-                latest_due: at(own.latest),
+                due: instant_of(own.earliest),
+                latest_due: instant_of(own.latest),
             },
             run_time: self.predict(&job.spec),
         };
         let jobs = &self.jobs;
-        self.dependencies.add(&dependent, |named| {
-            jobs.get(&named).is_some_and(|j| !j.cancellation_is_stored())
+        self.dependencies.add(&dependent, |dependency| {
+            jobs.get(&dependency)
+                .is_some_and(|job| !job.cancellation_is_stored())
         });
     }
 
-    /// Takes what the state service says of a job that others name.
+    /// Applies the outcome of a job that others depend on, as the state service has it.
     pub fn resolve_dependency(&mut self, id: JobId, outcome: DependencyOutcome) {
         match outcome {
-            DependencyOutcome::Done(since) => self.dependencies.done_stored(id, since),
+            DependencyOutcome::Done(done_at) => self.dependencies.done_stored(id, done_at),
             DependencyOutcome::Cancelled => self.cancel_dependents(id),
         }
     }
 
-    /// Cancels all jobs that need a job whose cancellation is stored. That record
-    /// holds for them, too: theirs need not be stored before it is confirmed to a client.
+    /// Cancels all jobs that depend on a job whose cancellation is stored. That record
+    /// covers them, too: their cancellation may be confirmed to a client without a record
+    /// of their own.
     fn cancel_dependents(&mut self, id: JobId) {
         for dependent in self.dependencies.cancellation_stored(id) {
-            // One that its own user cancels meanwhile has its own record on its way.
+            // A dependent that its user has cancelled, too, has a record of its own, which
+            // may not be stored yet.
             if let Some(job) = self.jobs.get_mut(&dependent).filter(|j| !j.cancelled) {
                 job.cancelled = true;
                 job.cancellation_stored = true;
-                info!(job = %dependent, needs = %id, "cancelled with a job that it needs");
+                info!(job = %dependent, dependency = %id, "job cancelled because a dependency was cancelled");
             }
         }
     }
 
-    /// Whether a job has a place in the queue: it is neither cancelled nor waiting
-    /// for other jobs.
+    /// Whether a job is in the queue: it is neither cancelled nor waiting for other jobs.
     pub(in crate::core) fn is_ready(&self, job: &Job) -> bool {
         !job.cancelled && self.dependencies.is_ready(job.spec.id)
     }
 
-    /// Jobs that have a place in the queue, whether or not tasks of them are placed.
+    /// All jobs in the queue, whether or not their tasks are placed.
     pub(in crate::core) fn ready_jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values().filter(|job| self.is_ready(job))
     }
@@ -102,19 +105,19 @@
         job.waiting.count() > 0 && self.is_ready(job)
     }
 
-    /// The jobs that want room, see [`ClusterModel::is_waiting_for_capacity`].
+    /// The jobs for which [`ClusterModel::is_waiting_for_capacity`] holds.
     pub fn jobs_waiting_for_capacity(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values().filter(|job| self.is_waiting_for_capacity(job))
     }
 
-    /// When a job began to wait for room: when it arrived, or when the last job
-    /// that it needs was done.
+    /// When a job began to wait for capacity: when it arrived, or when the last of its
+    /// dependencies was done.
     pub fn ready_since(&self, job: &Job) -> Instant {
-        let done = self.dependencies.ready_since(job.spec.id);
-        done.map_or(job.arrival, |t| t.max(job.arrival))
+        let last_done_at = self.dependencies.ready_since(job.spec.id);
+        last_done_at.map_or(job.arrival, |at| at.max(job.arrival))
     }
 
-    /// Takes a cancellation that has been stored.
+    /// Notes that a job's cancellation is stored, and cancels the jobs that depend on it.
     pub fn cancellation_stored(&mut self, id: JobId) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.cancellation_stored = true;
@@ -122,7 +125,8 @@
         self.cancel_dependents(id);
     }
 
-    /// Asks for a job's tasks to be stopped, and lets none start any more.
+    /// Marks a job as cancelled, so that none of its tasks starts any more, and stops the
+    /// placed ones without grace.
     pub fn cancel(&mut self, id: JobId, now: Instant) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.cancelled = true;
@@ -141,16 +145,16 @@
         }
     }
 
-    /// Removes a finished job.
+    /// Removes a job that has ended.
     pub fn remove_job(&mut self, id: JobId) {
         self.jobs.remove(&id);
         self.dependencies.remove(id);
     }
 
-    /// The status that its user is given; `None` also while a final state or a cancellation,
-    /// its own or of a job that it needs, is on its way to be stored. It may be
-    /// stored already though no answer says so, and another controller that read
-    /// it may have confirmed it to the user: only what is stored is sure then.
+    /// The status that a user is given. `None` if the job is not known, and while its final
+    /// state or a cancellation, its own or of a dependency, may be stored without this
+    /// process knowing: another controller may have read it and confirmed it to the user,
+    /// so only the state service can tell then.
     pub fn status(&self, id: JobId) -> Option<JobStatus> {
         let job = self.jobs.get(&id)?;
         let cancelled = job.cancellation_is_stored();
--- a/src/core/state/model/machines.rs
+++ b/src/core/state/model/machines.rs
@@ -1,4 +1,4 @@
-//! Machines of the model: rented, found in the cloud's list, released.
+//! Machines of the model: newly rented, found in the cloud's list, or released.
 
 use std::time::{Duration, Instant};
 
@@ -10,7 +10,7 @@
 use crate::wire::{CloudState, ListedMachine, MachineId};
 
 impl ClusterModel {
-    /// A machine that was just rented.
+    /// Adds a machine that was just rented, unless its release is confirmed already.
     pub fn add_rented_machine(
         &mut self,
         id: MachineId,
@@ -33,16 +33,17 @@
         self.log.push(entry);
     }
 
-    /// Takes in the cloud's list. Absence from it means nothing.
+    /// Applies the cloud's list of machines. A machine that it doesn't list may exist
+    /// nevertheless, as the list may lag behind.
     pub fn apply_machine_list(&mut self, list: &[ListedMachine], now: Instant) {
-        let mut found = 0;
+        let mut adopted = 0;
         for listed in list {
             if self.released_machines.contains(&listed.id) {
                 continue;
             }
             let known = self.machines.contains_key(&listed.id);
             if !known {
-                found += 1;
+                adopted += 1;
             }
             let machine = self.machines.entry(listed.id.clone()).or_insert_with(|| {
                 let mut machine = Machine::new(listed.id.clone(), now);
@@ -77,16 +78,20 @@
             }
             if listed.state == CloudState::Failed {
                 machine.cordoned_since.get_or_insert(now);
-                // Stopped on its own: nothing on it runs any more.
+                // The machine has stopped by itself, so nothing runs on it any more.
                 self.remove_all_slots(&listed.id, now, "listed as failed");
             }
         }
-        if found > 0 {
-            info!(machines = found, "unknown machines in the cloud's list, adopted");
+        if adopted > 0 {
+            info!(
+                machines = adopted,
+                "adopted unknown machines from the cloud's list"
+            );
         }
     }
 
-    /// The cloud has confirmed the release: the machine and all on it are gone.
+    /// Removes a machine whose release the cloud has confirmed, with all its slots: the
+    /// machine and the attempts on it are gone.
     pub fn remove_released_machine(&mut self, id: &MachineId, now: Instant) {
         self.remove_all_slots(id, now, "machine released");
         if self.machines.remove(id).is_some() {
--- a/src/core/state/model/mod.rs
+++ b/src/core/state/model/mod.rs
@@ -1,18 +1,18 @@
 //! The cluster model: jobs, machines, and which task may be on which machine.
 //!
-//! The safety rules hold here. An attempt of a task on a machine is a
-//! [`Slot`](crate::core::state::slot::Slot). It is made before the log is written, and
-//! removed only on evidence that the attempt is gone: it ended; it is absent from a
-//! heartbeat of a worker that has seen a token at least as high as the last start's;
-//! the worker's incarnation is a later one; or the cloud has confirmed the release of
-//! the machine.
+//! The model keeps the rule on which safety rests: an attempt of a task on a machine has
+//! a [`Slot`](crate::core::state::slot::Slot) as long as it may exist. The slot is made
+//! before the start is logged, and removed only on evidence that the attempt is gone: it
+//! ended; it is absent from a heartbeat of a worker that has seen a token at least as
+//! high as the last start's; the worker's incarnation is a later one; or the cloud has
+//! confirmed the release of the machine.
 //!
-//! The methods lie in a module for each concern: `jobs` (accepted to removed), `places`
-//! (slots of tasks), `machines` (rented to released), `replay` (what earlier terms
+//! The methods are split by concern: `jobs` (from acceptance to removal), `places` (slots
+//! of tasks), `machines` (from rental to release), `replay` (loading what earlier terms
 //! stored).
 //!
-//! Only the modules of [`crate::core`] change the fields; all others read them and
-//! send events, the methods that are public.
+//! Only modules of [`crate::core`] change the fields. All others read them, and report
+//! events by calling the public methods.
 
 mod jobs;
 mod machines;
@@ -32,51 +32,52 @@
 use crate::core::storage::wal::WriteAheadLog;
 use crate::wire::{JobId, MachineId, MachineType};
 
-/// Ratios of the Last Model are kept above this, so that a team's job of no
-/// length doesn't make its long ones look like nothing.
+/// Lower bound of the run-to-estimate ratios of the Last Model: after a job that ended
+/// at once, the team's long jobs must not be predicted to take no time.
 pub const MIN_RUN_TIME_RATIO: f64 = 0.1;
 
 /// The cluster as the leader of one term knows it.
 #[derive(Debug)]
 pub struct ClusterModel {
-    /// The settings that its rules need.
+    /// The settings that the model's rules read.
     pub(in crate::core) config: Arc<SchedulerConfig>,
     /// The leader's term.
     pub(in crate::core) term: u64,
-    /// Machine types; empty until known.
+    /// The machine types that the cloud offers; empty until known.
     pub(in crate::core) machine_types: Vec<MachineType>,
-    /// Unfinished jobs.
+    /// Unfinished jobs by id.
     pub(in crate::core) jobs: BTreeMap<JobId, Job>,
-    /// Which of them wait for which jobs.
+    /// Which of the unfinished jobs wait for which other jobs.
     pub(in crate::core) dependencies: Dependencies,
-    /// Machines.
+    /// Rented machines by id, until the cloud confirms their release.
     pub(in crate::core) machines: BTreeMap<MachineId, Machine>,
-    /// Run-to-estimate ratio of each team's last finished job.
+    /// Run-to-estimate ratio of each team's last finished job (Last Model).
     pub(in crate::core) run_time_ratios: BTreeMap<String, f64>,
-    /// The ratios changed since they were last taken for storing.
+    /// Whether the ratios changed since they were last taken to be stored.
     pub(in crate::core) run_time_ratios_changed: bool,
-    /// When they were last written.
+    /// When the ratios were last taken to be stored.
     pub(in crate::core) run_time_ratios_taken_at: Option<Instant>,
     /// The write-ahead log.
     pub(in crate::core) log: WriteAheadLog,
-    /// When an append was last taken from it.
+    /// When an append was last taken from the log.
     pub(in crate::core) log_append_taken_at: Option<Instant>,
     /// Machines that a command may be due for.
     pub(in crate::core) command_candidates: BTreeSet<MachineId>,
-    /// Released machines, whose late heartbeats mean nothing.
+    /// Released machines, whose late heartbeats are ignored.
     pub(in crate::core) released_machines: Tombstones,
-    /// Some slot may be backfilled, so that there may be shadow load.
+    /// Whether some slot may be backfilled, so that there may be shadow load.
     pub(in crate::core) may_have_shadow_load: bool,
-    /// Since when this process has listened without a pause of its own.
+    /// When this process last resumed after a pause, during which it may have missed
+    /// heartbeats; `None` if it was never paused in this term.
     pub(in crate::core) listening_since: Option<Instant>,
-    /// Attempt numbers issued in this term.
-    attempts: u64,
-    /// Rentals under way and pauses, see [`FleetState`].
+    /// Number of attempt numbers issued in this term.
+    issued_attempts: u64,
+    /// Rentals under way and suspended offers.
     pub(in crate::core) fleet: FleetState,
 }
 
 impl ClusterModel {
-    /// An empty cluster.
+    /// The model of an empty cluster for a leader's term.
     pub fn new(config: Arc<SchedulerConfig>, term: u64) -> Self {
         Self {
             log: WriteAheadLog::new(config.max_value_bytes),
@@ -94,7 +95,7 @@
             released_machines: Tombstones::default(),
             may_have_shadow_load: false,
             listening_since: None,
-            attempts: 0,
+            issued_attempts: 0,
             fleet: FleetState::default(),
         }
     }
@@ -104,7 +105,7 @@
         &self.config
     }
 
-    /// The term of the leader that it belongs to.
+    /// The term of the leader that the model belongs to.
     pub fn term(&self) -> u64 {
         self.term
     }
@@ -114,7 +115,7 @@
         &self.machine_types
     }
 
-    /// Takes the machine types as the cloud or the state service lists them.
+    /// Replaces the machine types by those that the cloud or the state service lists.
     pub fn set_machine_types(&mut self, machine_types: Vec<MachineType>) {
         self.machine_types = machine_types;
     }
@@ -124,7 +125,7 @@
         &self.jobs
     }
 
-    /// Which of the unfinished jobs wait for which others.
+    /// The dependencies between the unfinished jobs.
     pub fn dependencies(&self) -> &Dependencies {
         &self.dependencies
     }
--- a/src/core/state/model/places.rs
+++ b/src/core/state/model/places.rs
@@ -1,5 +1,5 @@
-//! Places of tasks: the slot of a task is made before its start is logged, and
-//! removed only on evidence that its attempt is gone.
+//! Places of tasks: the slot of an attempt is made before its start is logged, and
+//! removed only on evidence that the attempt is gone.
 
 use std::time::{Duration, Instant};
 
@@ -12,13 +12,14 @@
 use crate::wire::{MachineId, TaskId};
 
 impl ClusterModel {
-    /// A new attempt number, never used before.
+    /// Issues an attempt number that was never used before, in this term or another.
     pub fn new_attempt(&mut self) -> u64 {
-        self.attempts += 1;
-        token::first_of_term(self.term) + self.attempts
+        self.issued_attempts += 1;
+        token::first_of_term(self.term) + self.issued_attempts
     }
 
-    /// Places a task: makes the slot and adds the entry of the log.
+    /// Places a task on a machine: makes the slot and adds the start to the log. Does
+    /// nothing if the job or the machine is not known.
     pub fn place(
         &mut self,
         machine_id: &MachineId,
@@ -58,10 +59,12 @@
             },
         );
         self.command_candidates.insert(machine_id.clone());
-        debug!(%task, attempt, machine = %machine_id, backfilled, "placed");
+        debug!(%task, attempt, machine = %machine_id, backfilled, "task placed");
     }
 
-    /// Asks for a task to be stopped. One that was never started goes at once.
+    /// Orders a task on a machine to stop, with `grace` to write a checkpoint; an earlier
+    /// order with no more grace stands. A placement whose start was never sent is removed
+    /// at once.
     pub fn stop(
         &mut self,
         machine_id: &MachineId,
@@ -77,19 +80,20 @@
             return;
         };
         if slot.state == SlotState::Placed && slot.start_token == 0 {
-            debug!(%task, attempt = slot.attempt, machine = %machine_id, reason, "placement withdrawn before its start");
+            debug!(%task, attempt = slot.attempt, machine = %machine_id, reason, "placement withdrawn before the start was sent");
             self.remove_slot(machine_id, task, now);
             return;
         }
         if !slot.takes_resources() || slot.stop_grace.is_some_and(|g| g <= grace) {
             return;
         }
-        debug!(%task, attempt = slot.attempt, machine = %machine_id, reason, "stopping");
+        debug!(%task, attempt = slot.attempt, machine = %machine_id, reason, "stop of task ordered");
         slot.order_stop(grace, now);
         self.command_candidates.insert(machine_id.clone());
     }
 
-    /// Removes a slot on evidence; its task waits again unless done.
+    /// Removes a slot on evidence that its attempt is gone. The task waits again unless it
+    /// is done or may be on another machine.
     pub(in crate::core) fn remove_slot(&mut self, machine_id: &MachineId, task: TaskId, now: Instant) {
         let Some(machine) = self.machines.get_mut(machine_id) else {
             return;
@@ -98,7 +102,7 @@
             if !machine
                 .slots
                 .values()
-                .any(|s| matches!(s.state, SlotState::Ended(_)))
+                .any(|slot| matches!(slot.state, SlotState::Ended(_)))
             {
                 machine.unacknowledged_since = None;
             }
@@ -111,13 +115,14 @@
         }
     }
 
+    /// Removes all slots of a machine, on evidence that no attempt on it is left.
     pub(in crate::core) fn remove_all_slots(&mut self, machine_id: &MachineId, now: Instant, reason: &str) {
         let Some(machine) = self.machines.get(machine_id) else {
             return;
         };
         let tasks: Vec<TaskId> = machine.slots.keys().copied().collect();
         if !tasks.is_empty() {
-            debug!(machine = %machine_id, tasks = tasks.len(), reason, "its tasks are removed with the machine");
+            debug!(machine = %machine_id, tasks = tasks.len(), reason, "all slots of the machine removed");
         }
         for task in tasks {
             self.remove_slot(machine_id, task, now);
--- a/src/core/state/model/replay.rs
+++ b/src/core/state/model/replay.rs
@@ -1,5 +1,5 @@
-//! What a new leader loads of earlier terms: segments of the write-ahead log, the
-//! machines and slots that they name, and the run-time ratios.
+//! Loading of what earlier terms stored: the segments of the write-ahead log, with the
+//! machines and attempts that they name, and the run-to-estimate ratios.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -11,24 +11,25 @@
 use crate::wire::{MachineId, TaskId};
 
 impl ClusterModel {
-    /// Takes the ratios that an earlier term stored.
+    /// Loads the run-to-estimate ratios that an earlier term stored.
     pub fn load_run_time_ratios(&mut self, ratios: BTreeMap<String, f64>) {
         self.run_time_ratios = ratios;
     }
 
-    /// Takes a stored segment of the log, before [`ClusterModel::replay_log`].
-    /// False: it can't be read, so that what may be where is unknown.
+    /// Loads a stored segment of the log; to be called before [`ClusterModel::replay_log`].
+    /// Returns false if the segment can't be read: then it is not known which attempts may
+    /// be on which machines.
     pub fn load_log_segment(&mut self, number: u64, value: serde_json::Value) -> bool {
         self.log.load(number, value)
     }
 
-    /// Takes what the log of earlier terms says, once the jobs are known.
+    /// Applies the loaded log of earlier terms; to be called once the jobs are added.
     pub fn replay_log(&mut self, now: Instant) {
         let replay = self.log.replay();
         for (id, indices) in &replay.done {
             if let Some(job) = self.jobs.get_mut(id) {
-                for i in indices {
-                    job.mark_done(*i);
+                for index in indices {
+                    job.mark_done(*index);
                 }
             }
         }
@@ -42,15 +43,15 @@
             let tasks = starts.remove(&id).unwrap_or_default();
             self.load_machine(id, machine, tasks, now);
         }
-        // A machine's own entry goes before or with its first start, but the
-        // order doesn't matter to safety: what may be on it counts anyway.
+        // The entry of a machine is stored before or together with its first start. Safety
+        // doesn't rest on that: attempts that may be on a machine count in any case.
         for (id, tasks) in starts {
             self.load_machine(id, LoggedMachine::default(), tasks, now);
         }
     }
 
-    /// Takes a machine of the log and the attempts that may be on it. What its
-    /// tasks have come to is unknown until its worker says so.
+    /// Adds a machine from the log and the attempts that may be on it. Their states are
+    /// unknown until its worker reports them.
     fn load_machine(
         &mut self,
         id: MachineId,
@@ -68,14 +69,15 @@
         machine.spot = logged.spot;
         machine.needs_probe = !machine.addr.is_empty();
         if machine.needs_probe {
-            // It was up: silence from now on counts as silence, not as boot.
+            // A machine with an address counts as up, so that its silence is not taken for
+            // booting.
             machine.phase = MachinePhase::Up;
             self.command_candidates.insert(id.clone());
         }
         for (task, attempt) in tasks {
             let job = self.jobs.get_mut(&task.job);
             if job.as_ref().is_some_and(|j| j.done.contains(task.index)) {
-                // It ended, or its outcome would not be known.
+                // The attempt has ended, as its outcome is in the log.
                 continue;
             }
             let cancelled = job.as_ref().is_none_or(|j| j.cancelled);
--- a/src/core/state/prices.rs
+++ b/src/core/state/prices.rs
@@ -1,8 +1,8 @@
-//! Prices of machines, in the cloud's currency for each hour.
+//! Hourly prices of machines, in the cloud's currency.
 
 use crate::wire::MachineType;
 
-/// Price of a machine, by the spot price of the moment if it is a spot machine.
+/// Hourly price of a machine: the current spot price if it is a spot machine.
 pub(in crate::core) fn hourly_price(machine_type: &MachineType, spot: bool) -> f64 {
     if spot {
         machine_type.spot_price
@@ -11,7 +11,7 @@
     }
 }
 
-/// Price of a machine for each of its CPUs; one of less than one CPU counts as one.
+/// Hourly price per CPU; a machine with less than one CPU counts as having one.
 pub(in crate::core) fn price_per_cpu(machine_type: &MachineType, spot: bool) -> f64 {
     hourly_price(machine_type, spot) / machine_type.cpus.max(1.0)
 }
--- a/src/core/state/resources.rs
+++ b/src/core/state/resources.rs
@@ -5,22 +5,23 @@
 
 use crate::wire::{JobSpec, MachineType};
 
-/// Slack in comparisons of amounts, which are sums of decimal numbers.
+/// Tolerance in comparisons of amounts: sums of decimal numbers are inexact in binary
+/// floating point.
 pub const AMOUNT_TOLERANCE: f64 = 1e-6;
 
-/// What a task takes of its machine, or a machine has to give.
+/// Resources that a task takes or that a machine has.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub gpus: f64,
     /// Memory in GB.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// What each task of a job takes.
+    /// The resources that each task of a job takes.
     pub fn of_task(spec: &JobSpec) -> Self {
         Self {
             cpus: spec.cpus,
@@ -29,7 +30,7 @@
         }
     }
 
-    /// What an empty machine of a type has.
+    /// The resources of an empty machine of a type.
     pub fn of_type(machine_type: &MachineType) -> Self {
         Self {
             cpus: machine_type.cpus,
@@ -38,15 +39,16 @@
         }
     }
 
-    /// Whether all of it fits into what is there, within [`AMOUNT_TOLERANCE`].
+    /// Whether every amount is at most that of `capacity`, within [`AMOUNT_TOLERANCE`].
     pub fn fits_into(&self, capacity: &Self) -> bool {
         self.cpus <= capacity.cpus + AMOUNT_TOLERANCE
             && self.gpus <= capacity.gpus + AMOUNT_TOLERANCE
             && self.memory_gb <= capacity.memory_gb + AMOUNT_TOLERANCE
     }
 
-    /// How many times `each` fits into this, within [`AMOUNT_TOLERANCE`]; a fraction,
-    /// negative if this is, and [`f64::MAX`] if `each` is nothing.
+    /// How many times `each` fits into these resources, within [`AMOUNT_TOLERANCE`]. The
+    /// result is not rounded; it is negative if an amount that `each` needs is negative
+    /// here, and [`f64::MAX`] if `each` needs nothing.
     pub(in crate::core) fn multiples_of(&self, each: &Self) -> f64 {
         let multiples = |have: f64, need: f64| {
             if need > 0.0 {
@@ -103,11 +105,11 @@
     }
 }
 
-/// What a team's tasks use together.
+/// Resources that all tasks of a team use together.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TeamUsage {
-    /// CPUs.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub gpus: f64,
 }
--- a/src/core/state/slot.rs
+++ b/src/core/state/slot.rs
@@ -1,4 +1,4 @@
-//! Slots: an attempt of a task that is, or may be, on a machine.
+//! Slots of machines: each holds an attempt of a task that is, or may be, on the machine.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -11,52 +11,59 @@
 pub enum SlotState {
     /// Placed; the start has not been confirmed yet.
     Placed,
-    /// Named by the log of an earlier term; may be there or not.
+    /// An attempt that the log of an earlier term names, or that this leader didn't
+    /// expect, and whose state is not reported yet. It may or may not be there.
     Unknown,
-    /// Waits for its image to be fetched.
+    /// Waits for its image to be fetched, or for the other tasks of its gang.
     Fetching,
-    /// Runs.
+    /// Runs, as its worker reports.
     Running,
-    /// Writes a checkpoint after a stop.
+    /// Writes a checkpoint after a stop command.
     Saving,
-    /// Ended; stays until the worker has taken the acknowledgement.
+    /// Ended; the slot stays until the worker has taken the acknowledgement.
     Ended(ExitReason),
 }
 
-/// A place where an attempt of a task is or may be.
+/// An attempt of a task that is or may be on a machine.
 #[derive(Debug, Clone)]
 pub struct Slot {
     /// Number of the attempt, unique over all terms.
     pub attempt: u64,
-    /// Its state by the last heartbeat.
+    /// State of the attempt by the last heartbeat.
     pub state: SlotState,
-    /// Its job's specification, unless the job is not (or no longer) known.
+    /// Specification of its job; `None` if the job is not known, or no longer.
     pub spec: Option<Arc<JobSpec>>,
-    /// Highest fencing token that was sent with its start; 0: never sent.
+    /// Highest fencing token that was sent with its start; 0 if none was sent. For an
+    /// attempt that this leader did not start, see `Slot::unknown`.
     pub start_token: u64,
-    /// Worker incarnation that the last start was sent to; 0: never sent in this term.
+    /// Worker incarnation that the last start was sent to; 0 if none was sent in this term.
     pub start_incarnation: u64,
-    /// Mark of the log entry that names its start; the start is sent once that is stored.
+    /// Mark of the log entry that names its start; the start is sent only once that entry
+    /// is stored.
     pub start_log_mark: u64,
-    /// For done tasks: mark of the log entry that says so; acknowledged once stored.
+    /// For a done task, mark of the log entry that says so; the end of the attempt is
+    /// acknowledged only once that entry is stored.
     pub outcome_log_mark: u64,
-    /// Started by backfilling; shadow as long as a waiting job outranks it.
+    /// Whether it was placed by backfilling and is still shadow load: it may be preempted
+    /// as long as a job that waits for capacity outranks its own.
     pub backfilled: bool,
     /// When it was placed.
     pub placed_at: Instant,
     /// When it was first seen running.
     pub running_since: Option<Instant>,
-    /// It is to be stopped, with this much time to write a checkpoint.
+    /// Set once the attempt is to be stopped: the time that it has to write a checkpoint.
     pub stop_grace: Option<Duration>,
-    /// When the stop was first ordered. Unset while `stop_grace` is set for an attempt
-    /// that this leader did not expect: such a stop is never overdue.
+    /// When `Slot::order_stop` first set `stop_grace`; some time after that, the stop is
+    /// overdue. `None` although `stop_grace` is set: the grace was set only because the
+    /// worker reported another attempt than the slot's. Such a stop is never overdue.
     pub stop_ordered_at: Option<Instant>,
 }
 
 impl Slot {
-    /// An attempt that is or may be there, though this leader did not start
-    /// it. Whatever an earlier leader sent is settled by any message that
-    /// shows a token of this term.
+    /// An attempt that is or may be on the machine, though this leader did not start it.
+    /// A worker that has seen a token of this term refuses the starts of earlier leaders,
+    /// so `start_token` is the lowest possible token of this term: any message that shows
+    /// a token of this term settles whether the attempt is there.
     pub(in crate::core) fn unknown(
         attempt: u64,
         spec: Option<Arc<JobSpec>>,
@@ -79,13 +86,13 @@
         }
     }
 
-    /// Orders a stop; the time of an earlier order stays.
+    /// Orders a stop with `grace`. `stop_ordered_at` keeps the time of the first order.
     pub(in crate::core) fn order_stop(&mut self, grace: Duration, now: Instant) {
         self.stop_grace = Some(grace);
         self.stop_ordered_at.get_or_insert(now);
     }
 
-    /// Whether it still takes resources of its machine: all but an ended one do.
+    /// Whether the attempt takes resources of its machine: unless it has ended, it does.
     pub fn takes_resources(&self) -> bool {
         !matches!(self.state, SlotState::Ended(_))
     }
--- a/src/core/state/task_set.rs
+++ b/src/core/state/task_set.rs
@@ -1,9 +1,9 @@
-//! A set of task indices, kept as bits, that knows its size.
+//! A set of task indices, kept as a bitmap with a count.
 //!
-//! A job has up to tens of thousands of tasks, and rounds ask for the size of a set
-//! all the time: so the size is counted along, not computed.
+//! A job has up to tens of thousands of tasks, and scheduling rounds read the size of a
+//! set very often. So the count is updated with each change instead of computed.
 
-/// A set of task indices below a fixed bound.
+/// A set of task indices below a fixed bound, the number of the job's tasks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskSet {
     words: Vec<u64>,
@@ -12,7 +12,7 @@
 }
 
 impl TaskSet {
-    /// An empty set of numbers below `len`.
+    /// An empty set for indices below `len`.
     pub fn new(len: u32) -> Self {
         Self {
             words: vec![0; len.div_ceil(64) as usize],
@@ -21,58 +21,60 @@
         }
     }
 
-    /// A set of all numbers below `len`.
+    /// The set of all indices below `len`.
     pub fn full(len: u32) -> Self {
         let mut set = Self::new(len);
-        for (i, w) in set.words.iter_mut().enumerate() {
+        for (i, word) in set.words.iter_mut().enumerate() {
             let left = len - i as u32 * 64;
-            *w = if left >= 64 { u64::MAX } else { (1 << left) - 1 };
+            *word = if left >= 64 { u64::MAX } else { (1 << left) - 1 };
         }
         set.count = len;
         set
     }
 
-    /// How many numbers are in the set.
+    /// Number of indices in the set.
     pub fn count(&self) -> u32 {
         self.count
     }
 
-    /// Whether `i` is in the set.
-    pub fn contains(&self, i: u32) -> bool {
-        i < self.len && self.words[(i / 64) as usize] >> (i % 64) & 1 == 1
+    /// Whether `index` is in the set.
+    pub fn contains(&self, index: u32) -> bool {
+        index < self.len && self.words[(index / 64) as usize] >> (index % 64) & 1 == 1
     }
 
-    /// Puts `i` in; true if it was not.
-    pub fn insert(&mut self, i: u32) -> bool {
-        if i >= self.len || self.contains(i) {
+    /// Inserts `index`. Returns false if it is in the set already or out of bounds.
+    pub fn insert(&mut self, index: u32) -> bool {
+        if index >= self.len || self.contains(index) {
             return false;
         }
-        self.words[(i / 64) as usize] |= 1 << (i % 64);
+        self.words[(index / 64) as usize] |= 1 << (index % 64);
         self.count += 1;
         true
     }
 
-    /// Takes `i` out; true if it was in.
-    pub fn remove(&mut self, i: u32) -> bool {
-        if !self.contains(i) {
+    /// Removes `index`. Returns whether it was in the set.
+    pub fn remove(&mut self, index: u32) -> bool {
+        if !self.contains(index) {
             return false;
         }
-        self.words[(i / 64) as usize] &= !(1 << (i % 64));
+        self.words[(index / 64) as usize] &= !(1 << (index % 64));
         self.count -= 1;
         true
     }
 
-    /// The smallest number in the set.
+    /// The smallest index in the set.
     pub fn first(&self) -> Option<u32> {
-        let (i, w) = self.words.iter().enumerate().find(|(_, w)| **w != 0)?;
-        Some(i as u32 * 64 + w.trailing_zeros())
+        let (i, word) = self.words.iter().enumerate().find(|(_, word)| **word != 0)?;
+        Some(i as u32 * 64 + word.trailing_zeros())
     }
 
-    /// The numbers in the set, in order.
+    /// The indices in the set, in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = u32> + '_ {
-        self.words.iter().enumerate().flat_map(|(i, w)| {
+        self.words.iter().enumerate().flat_map(|(i, word)| {
             let base = i as u32 * 64;
-            (0..64).filter(move |b| w >> b & 1 == 1).map(move |b| base + b)
+            (0..64)
+                .filter(move |bit| word >> bit & 1 == 1)
+                .map(move |bit| base + bit)
         })
     }
 }
--- a/src/core/state/token.rs
+++ b/src/core/state/token.rs
@@ -1,12 +1,12 @@
-//! Fencing tokens of workers.
+//! Fencing tokens, by which workers refuse outdated commands.
 //!
-//! A token is the leader's term in the high bits and a counter of the worker in
-//! the low [`TOKEN_BITS`]. Attempt numbers have the same form.
+//! A token has the leader's term in the high bits and a counter for the machine in the
+//! low [`TOKEN_BITS`]. Attempt numbers have the same form, with one counter for the term.
 
-/// Bits of a token below the term.
+/// Number of bits of a token below the term.
 pub(in crate::core) const TOKEN_BITS: u32 = 20;
 
-/// The smallest token of a term.
+/// The lowest possible token of a term; those issued are higher.
 pub(in crate::core) fn first_of_term(term: u64) -> u64 {
     term << TOKEN_BITS
 }
