--- a/src/controller/machine_types.rs
+++ b/src/controller/machine_types.rs
@@ -26,7 +26,7 @@
         if !known.is_empty() {
             return known;
         }
-        if let Ok(KeyRead::Found(item)) = self.store.get_for_user(record::TYPES).await {
+        if let Ok(KeyRead::Found(item)) = self.store.get_for_user(record::MACHINE_TYPES_KEY).await {
             if let Ok(types) = serde_json::from_value::<Vec<MachineType>>(item.value) {
                 self.set_machine_types(Arc::new(types));
             }
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -170,7 +170,7 @@
     ) -> Result<JobRecord, SubmissionError> {
         let record = JobRecord {
             spec: self.parse_submission(body, types)?,
-            at: unix_time_ms(),
+            accepted_at_ms: unix_time_ms(),
             cancelled: false,
         };
         if !self.record_fits(&record) {
--- a/src/core/evidence/authority.rs
+++ b/src/core/evidence/authority.rs
@@ -11,7 +11,7 @@
 
 /// Least time between the last renewal of a worker's lease, plus the lease's life, and
 /// the end of the time for a cancellation: clocks drift, and a timer ends the lease.
-pub const MARGIN: Duration = Duration::from_secs(4);
+pub const CANCELLATION_MARGIN: Duration = Duration::from_secs(4);
 /// Added to the allowance for the error of the time of day, for drift.
 const DRIFT_MARGIN: Duration = Duration::from_millis(500);
 
@@ -28,9 +28,9 @@
 #[derive(Debug, Clone)]
 pub struct Authority {
     /// How long it may act after a renewal was sent.
-    term_of_renewal: Duration,
+    acting_period: Duration,
     /// How much longer it may renew workers' leases.
-    grace: Duration,
+    renewal_grace: Duration,
     /// Error of the time of day.
     clock_error: Duration,
     /// When the last successful renewal was sent.
@@ -43,11 +43,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct AuthorityLimits {
     /// Life of the leader's lease at the state service.
-    pub lease: Duration,
+    pub leader_lease: Duration,
     /// Life of a worker's lease.
     pub worker_lease: Duration,
     /// Time within which a cancelled job's tasks must be gone.
-    pub cancel: Duration,
+    pub cancel_deadline: Duration,
     /// Error of the time of day.
     pub clock_error: Duration,
 }
@@ -56,14 +56,16 @@
     /// The authority of a leader whose lease was granted, or last renewed, by a request
     /// sent at `sent`.
     pub fn new(limits: &AuthorityLimits, sent: ClockReading) -> Self {
-        let lease = limits.lease;
+        let lease = limits.leader_lease;
         // Drift of both clocks, and a margin.
-        let term_of_renewal = (lease - lease / 1000).saturating_sub(Duration::from_millis(50));
+        let acting_period = (lease - lease / 1000).saturating_sub(Duration::from_millis(50));
         // Two readings may be off in opposite directions, and so may their allowance.
-        let margin = MARGIN.max(limits.clock_error * 4 + DRIFT_MARGIN);
+        let margin = CANCELLATION_MARGIN.max(limits.clock_error * 4 + DRIFT_MARGIN);
         Self {
-            term_of_renewal,
-            grace: limits.cancel.saturating_sub(limits.worker_lease + margin),
+            acting_period,
+            renewal_grace: limits
+                .cancel_deadline
+                .saturating_sub(limits.worker_lease + margin),
             clock_error: limits.clock_error,
             renewal_sent: sent,
             resumed_at: None,
@@ -89,14 +91,14 @@
     /// Whether it may act as the leader: place and start tasks, rent and release
     /// machines, respond from memory.
     pub fn may_act(&self, now: ClockReading) -> bool {
-        self.since_renewal(now) < self.term_of_renewal
+        self.since_renewal(now) < self.acting_period
     }
 
     /// Whether it may respond to heartbeats, without starts, so that workers' leases
     /// outlast an outage of the state service. Another leader may have confirmed
     /// meanwhile that a cancelled job is gone in time, hence the bound.
     pub fn may_renew_leases(&self, now: ClockReading) -> bool {
-        self.resumed_at.is_none() && self.since_renewal(now) < self.term_of_renewal + self.grace
+        self.resumed_at.is_none() && self.since_renewal(now) < self.acting_period + self.renewal_grace
     }
 
     /// How long ago the last successful renewal was sent, by the clock that has
--- a/src/core/evidence/commands/batch.rs
+++ b/src/core/evidence/commands/batch.rs
@@ -16,7 +16,7 @@
 
 /// So long after its time to save has ended, a task that is still there is stopped
 /// without any.
-const OVERDUE_STOP: Duration = Duration::from_secs(2);
+const STOP_OVERDUE_AFTER: Duration = Duration::from_secs(2);
 
 /// What decides whether a placed task may be started on a machine now.
 struct StartConditions<'a> {
@@ -38,7 +38,7 @@
         let term = self.term;
         let max_delay = self.config.heartbeat_interval * 2;
         let machine = self.machines.get_mut(machine)?;
-        if !takes_commands(machine, now) {
+        if !can_receive_commands(machine, now) {
             return None;
         }
         let mut commands = machine.acknowledgements(&self.log, &self.jobs);
@@ -79,11 +79,11 @@
 
 /// Whether a command may be sent to a machine: its address is known, none is on its
 /// way, no retry pause lasts, and it is not to be released.
-fn takes_commands(machine: &Machine, now: Instant) -> bool {
-    let pauses = machine.no_command_before.is_some_and(|until| until > now);
+fn can_receive_commands(machine: &Machine, now: Instant) -> bool {
+    let is_paused = machine.no_command_before.is_some_and(|until| until > now);
     !machine.command_in_flight
         && !machine.addr.is_empty()
-        && !pauses
+        && !is_paused
         && machine.phase != MachinePhase::Releasing
 }
 
@@ -119,7 +119,7 @@
 fn remaining_grace(slot: &Slot, ordered: Duration, now: Instant) -> Duration {
     let is_overdue = slot
         .stop_ordered_at
-        .is_some_and(|at| now > at + ordered + OVERDUE_STOP);
+        .is_some_and(|at| now > at + ordered + STOP_OVERDUE_AFTER);
     if is_overdue {
         Duration::ZERO
     } else {
--- a/src/core/evidence/commands/mod.rs
+++ b/src/core/evidence/commands/mod.rs
@@ -42,7 +42,7 @@
 
 impl ClusterModel {
     /// Notes that a command may be due for a machine, unless one is on its way to it.
-    pub(in crate::core) fn note_due(&mut self, id: &MachineId) {
+    pub(in crate::core) fn add_command_candidate(&mut self, id: &MachineId) {
         let is_due = |machine: &Machine| !machine.command_in_flight && machine.may_have_due_command();
         if self.machines.get(id).is_some_and(is_due) {
             self.command_candidates.insert(id.clone());
@@ -74,7 +74,7 @@
                         batch,
                     });
                 }
-                None => self.note_due(&id),
+                None => self.add_command_candidate(&id),
             }
         }
         due
--- a/src/core/evidence/commands/response.rs
+++ b/src/core/evidence/commands/response.rs
@@ -32,11 +32,11 @@
         let (log, jobs) = (&self.log, &self.jobs);
         let machine = self.machines.get_mut(machine)?;
         machine.last_heartbeat_response = Some(now);
-        if !machine.is_fenced_by(term) || has_stray_start(machine, max_stop_delay, now) {
-            return Some(without_commands(machine.issue_token(term)));
+        if !machine.is_fenced_by(term) || has_outstanding_start(machine, max_stop_delay, now) {
+            return Some(response_without_commands(machine.issue_token(term)));
         }
         if machine.command_in_flight || machine.unacknowledged_since.is_none() {
-            return Some(without_commands(machine.seen_token));
+            return Some(response_without_commands(machine.seen_token));
         }
         let commands = machine.acknowledgements(log, jobs);
         let token = if commands.is_empty() {
@@ -66,7 +66,7 @@
 /// Whether a start may still be on its way to a task that was to be stopped longer than
 /// `max_stop_delay` ago. Where commands don't get through, it could be accepted for as
 /// long as the worker's lease is renewed by responses; a fresh token has it refused.
-fn has_stray_start(machine: &Machine, max_stop_delay: Duration, now: Instant) -> bool {
+fn has_outstanding_start(machine: &Machine, max_stop_delay: Duration, now: Instant) -> bool {
     machine.slots.values().any(|slot| {
         slot.state == SlotState::Placed
             && slot.start_token > machine.seen_token
@@ -76,7 +76,7 @@
     })
 }
 
-fn without_commands(token: u64) -> HeartbeatResponse {
+fn response_without_commands(token: u64) -> HeartbeatResponse {
     HeartbeatResponse {
         token,
         commands: Vec::new(),
--- a/src/core/evidence/cordons.rs
+++ b/src/core/evidence/cordons.rs
@@ -9,14 +9,14 @@
 use crate::wire::{JobId, MachineId};
 
 /// How long a cordon lasts.
-const CORDON: Duration = Duration::from_secs(45);
+const CORDON_DURATION: Duration = Duration::from_secs(45);
 /// Jobs that failed on a machine without a success between, by which it is faulty
 /// whatever became of them elsewhere: so many are not likely to be bad at once.
-const FAILED_JOBS: usize = 3;
+const MIN_FAILED_JOBS: usize = 3;
 /// The same, if one of the jobs has had a task done elsewhere.
-const FAILED_JOBS_ONE_SOUND: usize = 2;
+const MIN_FAILED_JOBS_WITH_PROVEN: usize = 2;
 /// Failures by which a machine is faulty even if they are all of one sound job.
-const FAILURES_OF_SOUND_JOB: u32 = 3;
+const MIN_FAILURES_WITH_PROVEN: u32 = 3;
 
 impl ClusterModel {
     /// Cordons a machine that fails its tasks, but not one on which bad jobs fail: it
@@ -27,12 +27,13 @@
         let Some(machine) = machine.filter(|machine| machine.cordoned_since.is_none()) else {
             return;
         };
-        let is_sound = |id: &JobId| self.jobs.get(id).is_some_and(|job| job.done.count() > 0);
+        let is_proven = |id: &JobId| self.jobs.get(id).is_some_and(|job| job.done.count() > 0);
         let jobs = machine.failed_jobs.len();
-        let any_sound = machine.failed_jobs.iter().any(is_sound);
-        let faulty = jobs >= FAILED_JOBS
-            || any_sound && (jobs >= FAILED_JOBS_ONE_SOUND || machine.failures >= FAILURES_OF_SOUND_JOB);
-        if faulty {
+        let any_proven = machine.failed_jobs.iter().any(is_proven);
+        let is_faulty = jobs >= MIN_FAILED_JOBS
+            || any_proven
+                && (jobs >= MIN_FAILED_JOBS_WITH_PROVEN || machine.failures >= MIN_FAILURES_WITH_PROVEN);
+        if is_faulty {
             info!(machine = %id, failures = machine.failures, jobs, "machine cordoned: its tasks fail");
             machine.cordoned_since = Some(now);
         }
@@ -45,7 +46,7 @@
         let has_expired = |machine: &&mut Machine| {
             machine
                 .cordoned_since
-                .is_some_and(|since| now.saturating_duration_since(since) > CORDON)
+                .is_some_and(|since| now.saturating_duration_since(since) > CORDON_DURATION)
         };
         for machine in self.machines.values_mut().filter(has_expired) {
             info!(machine = %machine.id, "cordon ended");
--- a/src/core/evidence/heartbeats/absence.rs
+++ b/src/core/evidence/heartbeats/absence.rs
@@ -9,13 +9,13 @@
 pub(super) fn absent_attempts(machine: &Machine, heartbeat: &Heartbeat) -> Vec<TaskId> {
     let slots = machine.slots.iter();
     slots
-        .filter(|(task, slot)| !lists(heartbeat, **task, slot.attempt))
-        .filter(|(_, slot)| start_cannot_arrive(slot, heartbeat))
+        .filter(|(task, slot)| !lists_attempt(heartbeat, **task, slot.attempt))
+        .filter(|(_, slot)| start_cannot_take_effect(slot, heartbeat))
         .map(|(task, _)| *task)
         .collect()
 }
 
-fn lists(heartbeat: &Heartbeat, task: TaskId, attempt: u64) -> bool {
+fn lists_attempt(heartbeat: &Heartbeat, task: TaskId, attempt: u64) -> bool {
     let mut reported = heartbeat.tasks.iter();
     reported.any(|t| t.task == task && t.attempt == attempt)
 }
@@ -31,8 +31,8 @@
 ///   worker has killed and forgotten its tasks, and it refuses commands that are meant
 ///   for another incarnation. This holds for starts of this term alone: of those of
 ///   earlier terms the incarnation isn't known (`start_incarnation` is 0).
-fn start_cannot_arrive(slot: &Slot, heartbeat: &Heartbeat) -> bool {
-    let token_seen = slot.start_token > 0 && heartbeat.token >= slot.start_token;
-    let later_incarnation = slot.start_incarnation > 0 && heartbeat.incarnation > slot.start_incarnation;
-    token_seen || later_incarnation
+fn start_cannot_take_effect(slot: &Slot, heartbeat: &Heartbeat) -> bool {
+    let is_token_seen = slot.start_token > 0 && heartbeat.token >= slot.start_token;
+    let is_later_incarnation = slot.start_incarnation > 0 && heartbeat.incarnation > slot.start_incarnation;
+    is_token_seen || is_later_incarnation
 }
--- a/src/core/evidence/heartbeats/exit.rs
+++ b/src/core/evidence/heartbeats/exit.rs
@@ -23,7 +23,7 @@
     /// Nothing further.
     None,
     /// The attempt failed, so that the machine may be faulty.
-    FailureOfMachine,
+    AttemptFailed,
 }
 
 /// Takes in that an attempt has ended. Its slot stays until the outcome is stored and
@@ -58,7 +58,7 @@
             }
             ExitReason::Failed | ExitReason::Other => {
                 record_failure(machine, job, ran, now);
-                effect = ExitEffect::FailureOfMachine;
+                effect = ExitEffect::AttemptFailed;
             }
             ExitReason::NoRoom if !was_stopped => {
                 machine.no_placement_before = Some(now + FULL_MACHINE_PAUSE);
--- a/src/core/evidence/heartbeats/mod.rs
+++ b/src/core/evidence/heartbeats/mod.rs
@@ -81,7 +81,7 @@
             cache_gb,
             now,
         });
-        self.note_due(&heartbeat.machine);
+        self.add_command_candidate(&heartbeat.machine);
         HeartbeatOutcome::Applied
     }
 
@@ -107,7 +107,7 @@
         }
         if accepted.fenced {
             for task in tasks.iter().filter(|task| task.state != TaskState::Exited) {
-                self.hold_unexpected_attempt(&accepted.heartbeat.machine, task);
+                self.track_unexpected_attempt(&accepted.heartbeat.machine, task);
             }
         }
     }
--- a/src/core/evidence/heartbeats/reported_task.rs
+++ b/src/core/evidence/heartbeats/reported_task.rs
@@ -39,7 +39,7 @@
             return;
         }
         let effect = apply_exit(machine, job, &mut self.log, task, accepted.now);
-        if effect == ExitEffect::FailureOfMachine {
+        if effect == ExitEffect::AttemptFailed {
             self.cordon_if_faulty(&accepted.heartbeat.machine, accepted.now);
         }
     }
@@ -47,7 +47,7 @@
     /// A task runs as another attempt than the model has there: that one, too, takes
     /// room and may run, until the worker no longer lists it. The slot is stopped, and
     /// if its own attempt has ended, it stands for the other from now on.
-    pub(super) fn hold_unexpected_attempt(&mut self, machine: &MachineId, task: &ReportedTask) {
+    pub(super) fn track_unexpected_attempt(&mut self, machine: &MachineId, task: &ReportedTask) {
         let slots = self.machines.get_mut(machine).map(|machine| &mut machine.slots);
         let Some(slot) = slots.and_then(|slots| slots.get_mut(&task.task)) else {
             return;
--- a/src/core/evidence/liveness.rs
+++ b/src/core/evidence/liveness.rs
@@ -29,7 +29,7 @@
 
     /// Whether all machines that were up when this term began obey it: each has reported
     /// a token of this term, so it refuses commands of earlier leaders.
-    pub fn all_fenced(&self) -> bool {
+    pub fn all_machines_fenced(&self) -> bool {
         let machines = self.machines.values();
         let mut up = machines.filter(|machine| machine.phase == MachinePhase::Up);
         up.all(|machine| !machine.needs_probe || machine.is_fenced_by(self.term))
@@ -41,7 +41,7 @@
     /// its lease, and on the last response or heartbeat of this term being longer ago
     /// than the lease lasts by the slowest clock allowed. A worker whose lease expires
     /// kills all its tasks and forgets them.
-    pub(in crate::core) fn lease_expired(&self, machine: &Machine, now: Instant) -> bool {
+    pub(in crate::core) fn is_lease_expired(&self, machine: &Machine, now: Instant) -> bool {
         let lease = self.config.worker_lease + self.config.worker_lease / LEASE_DRIFT_DIVISOR + LEASE_MARGIN;
         let last = machine.last_heartbeat_response.max(machine.last_heartbeat);
         machine.phase == MachinePhase::Up
@@ -56,7 +56,7 @@
         let expired: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|machine| !machine.slots.is_empty() && self.lease_expired(machine, now))
+            .filter(|machine| !machine.slots.is_empty() && self.is_lease_expired(machine, now))
             .map(|machine| machine.id.clone())
             .collect();
         if !expired.is_empty() {
--- a/src/core/evidence/permission.rs
+++ b/src/core/evidence/permission.rs
@@ -20,7 +20,7 @@
 
 impl SendPermit {
     /// Uses the permit up, when the batch is sent.
-    pub fn spend(self) {}
+    pub fn consume(self) {}
 }
 
 /// Why a task may not be started. What is not known counts as not allowed.
@@ -34,7 +34,7 @@
     JobCancelled,
     /// A job that it depends on is not known to be done.
     #[error("its job waits for others")]
-    JobWaits,
+    DependenciesNotDone,
     /// The task has no slot on that machine, or one of another attempt.
     #[error("it has no place there")]
     NotPlaced,
@@ -66,7 +66,7 @@
         return Err(StartRefusal::JobCancelled);
     }
     if !dependencies.is_ready(id) {
-        return Err(StartRefusal::JobWaits);
+        return Err(StartRefusal::DependenciesNotDone);
     }
     Ok(())
 }
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -51,7 +51,7 @@
         let task_count = record.spec.tasks;
         Self {
             spec: Arc::new(record.spec),
-            accepted_at_ms: record.at,
+            accepted_at_ms: record.accepted_at_ms,
             arrival,
             cancelled: record.cancelled,
             cancellation_stored: record.cancelled,
@@ -122,7 +122,7 @@
         }
         JobRecord {
             spec,
-            at: self.accepted_at_ms,
+            accepted_at_ms: self.accepted_at_ms,
             cancelled: self.cancelled,
         }
     }
--- a/src/core/storage/atomic_write.rs
+++ b/src/core/storage/atomic_write.rs
@@ -22,7 +22,7 @@
     }
 
     /// Whether it names one of the keys.
-    pub(crate) fn names(&self, keys: &HashSet<String>) -> bool {
+    pub(crate) fn uses_any(&self, keys: &HashSet<String>) -> bool {
         self.keys().any(|key| keys.contains(key))
     }
 }
--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -16,7 +16,7 @@
 use crate::wire::{JobId, JobKind, JobState, MachineId, TaskId};
 
 /// Entries of the log that no start waits for are written at most so often.
-const LOG_PAUSE: Duration = Duration::from_millis(800);
+const NON_URGENT_APPEND_PAUSE: Duration = Duration::from_millis(800);
 /// Bytes of the log in one transaction, below the protocol's 64 KiB.
 const MAX_LOG_BYTES: usize = 44 * 1024;
 /// Bytes that a machine takes in the log, about.
@@ -40,7 +40,7 @@
         /// What is written.
         record: FinalRecord,
         /// Other jobs wait for it, so that the write is urgent.
-        needed: bool,
+        has_dependents: bool,
     },
     /// The teams' run-to-estimate ratios (Last Model).
     Ratios(BTreeMap<String, f64>),
@@ -60,12 +60,18 @@
                 (record::job_key(*id), None),
                 (record::final_key(*id), put(serde_json::to_value(record))),
             ],
-            PendingWrite::Ratios(r) => vec![(record::RATIOS.to_owned(), put(serde_json::to_value(r)))],
+            PendingWrite::Ratios(r) => vec![(record::RATIOS_KEY.to_owned(), put(serde_json::to_value(r)))],
         };
         AtomicWrite {
             changes,
             absent: Vec::new(),
-            urgent: matches!(self, PendingWrite::Final { needed: true, .. }),
+            urgent: matches!(
+                self,
+                PendingWrite::Final {
+                    has_dependents: true,
+                    ..
+                }
+            ),
         }
     }
 }
@@ -76,7 +82,7 @@
     pub fn take_due_writes(&mut self, now: Instant) -> Vec<PendingWrite> {
         let mut writes = Vec::new();
         writes.extend(self.take_log_append(now).map(PendingWrite::Append));
-        self.stop_cancelled(now);
+        self.stop_tasks_of_cancelled_jobs(now);
         self.take_final_states(&mut writes, now);
         writes.extend(self.take_run_time_ratios(now).map(PendingWrite::Ratios));
         writes
@@ -86,7 +92,7 @@
     /// run times of those that are done.
     fn take_final_states(&mut self, writes: &mut Vec<PendingWrite>, now: Instant) {
         let mut learned_ratios = Vec::new();
-        let mut cancelled_left = self.max_new_cancelled_states();
+        let mut cancelled_remaining = self.max_new_cancelled_states();
         for (id, job) in &mut self.jobs {
             if job.final_write_pending || !job.places.is_empty() {
                 continue;
@@ -95,10 +101,10 @@
                 continue;
             };
             if state == JobState::Cancelled {
-                if cancelled_left == 0 {
+                if cancelled_remaining == 0 {
                     continue;
                 }
-                cancelled_left -= 1;
+                cancelled_remaining -= 1;
             } else {
                 learned_ratios.extend(run_time_ratio(job).map(|ratio| (job.spec.team.clone(), ratio)));
             }
@@ -110,7 +116,7 @@
                     done: job.done.count(),
                     ended_at: Some(job.unix_time_ms_at(now)),
                 },
-                needed: state == JobState::Done && self.dependencies.has_dependents(*id),
+                has_dependents: state == JobState::Done && self.dependencies.has_dependents(*id),
             });
         }
         for (team, ratio) in learned_ratios {
@@ -160,7 +166,7 @@
     /// Stops what may be left of jobs that were cancelled with one that they need.
     /// They have no tasks, unless a version that knows of no dependencies led
     /// meanwhile.
-    fn stop_cancelled(&mut self, now: Instant) {
+    fn stop_tasks_of_cancelled_jobs(&mut self, now: Instant) {
         let left = |j: &&Job| j.cancellation_is_stored() && !j.places.is_empty();
         let ids: Vec<JobId> = self.jobs.values().filter(left).map(|j| j.spec.id).collect();
         for id in ids {
@@ -175,7 +181,7 @@
                 .is_none_or(|taken_at| now >= taken_at + pause)
         };
         let may_append = has_passed(self.config.min_log_append_interval);
-        if !may_append || !self.log.append_is_due(has_passed(LOG_PAUSE)) {
+        if !may_append || !self.log.append_is_due(has_passed(NON_URGENT_APPEND_PAUSE)) {
             return None;
         }
         let value_bytes = self.config.max_value_bytes.max(1);
@@ -201,7 +207,7 @@
     /// A write is stored, or was not.
     pub fn write_finished(&mut self, write: &PendingWrite, stored: bool, now: Instant) {
         match write {
-            PendingWrite::Append(append) if stored => self.log.appended(append),
+            PendingWrite::Append(append) if stored => self.log.append_stored(append),
             PendingWrite::Final { id, record, .. } => {
                 if stored {
                     let outcome = match record.state {
--- a/src/core/storage/record.rs
+++ b/src/core/storage/record.rs
@@ -6,35 +6,35 @@
 use crate::wire::{JobId, JobSpec, JobState};
 
 /// Key of the leader's election.
-pub const LEADER: &str = "leader";
+pub const LEADER_KEY: &str = "leader";
 /// Prefix of unfinished jobs.
-pub const JOBS: &str = "jobs/";
+pub const JOB_PREFIX: &str = "jobs/";
 /// Prefix of finished jobs.
-pub const FINALS: &str = "final/";
+pub const FINAL_PREFIX: &str = "final/";
 /// Prefix of the segments of the write-ahead log.
-pub const WAL: &str = "wal/";
+pub const SEGMENT_PREFIX: &str = "wal/";
 /// Prefix of jobs stored by a follower, for the leader to pick up.
-pub const INBOX: &str = "inbox/";
+pub const INBOX_PREFIX: &str = "inbox/";
 /// The teams' run-to-estimate ratios.
-pub const RATIOS: &str = "ratios";
+pub const RATIOS_KEY: &str = "ratios";
 /// The machine types, once read.
-pub const TYPES: &str = "types";
+pub const MACHINE_TYPES_KEY: &str = "types";
 
 /// Key of an unfinished job.
 pub fn job_key(id: JobId) -> String {
-    format!("{JOBS}{id}")
+    format!("{JOB_PREFIX}{id}")
 }
 /// Key of a finished job.
 pub fn final_key(id: JobId) -> String {
-    format!("{FINALS}{id}")
+    format!("{FINAL_PREFIX}{id}")
 }
 /// Key of a job's inbox mark.
 pub fn inbox_key(id: JobId) -> String {
-    format!("{INBOX}{id}")
+    format!("{INBOX_PREFIX}{id}")
 }
 /// Key of a segment of the log; their order is that of their numbers.
 pub fn segment_key(number: u64) -> String {
-    format!("{WAL}{number:012}")
+    format!("{SEGMENT_PREFIX}{number:012}")
 }
 
 /// The election.
@@ -52,7 +52,8 @@
     /// What its user submitted.
     pub spec: JobSpec,
     /// When, in milliseconds of the time of day.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub accepted_at_ms: u64,
     /// Cancelled; tasks may still have to go.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub cancelled: bool,
--- a/src/core/storage/wal/compaction.rs
+++ b/src/core/storage/wal/compaction.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::core::storage::wal::entry::{merged, LogEntry};
+use crate::core::storage::wal::entry::{merge_entries, LogEntry};
 use crate::core::storage::wal::WriteAheadLog;
 
 /// A transaction of so few changes has no room for both new entries and a whole
@@ -18,7 +18,7 @@
 pub(super) struct Compaction {
     segment: u64,
     /// Entries that are still to be moved.
-    left: Vec<LogEntry>,
+    remaining: Vec<LogEntry>,
 }
 
 impl WriteAheadLog {
@@ -31,8 +31,8 @@
         live: impl Fn(&LogEntry) -> Option<LogEntry>,
         changed: &mut BTreeSet<u64>,
     ) -> Option<u64> {
-        let waits_its_turn = max_segments <= SMALL_TRANSACTION && self.compacted;
-        self.compacted = false;
+        let waits_its_turn = max_segments <= SMALL_TRANSACTION && self.compacted_last_append;
+        self.compacted_last_append = false;
         if max_segments < SMALL_TRANSACTION || waits_its_turn {
             return None;
         }
@@ -40,19 +40,22 @@
             .compaction
             .take()
             .or_else(|| self.next_compaction(live_bytes))?;
-        self.compacted = true;
+        self.compacted_last_append = true;
         // One change is kept for the deletion, one for what is new.
         let max_changed = max_segments.saturating_sub(2).max(1);
-        let entries = merged(compaction.left.iter().filter_map(live), self.max_indices);
-        let mut left = Vec::new();
+        let entries = merge_entries(
+            compaction.remaining.iter().filter_map(live),
+            self.max_entry_indices,
+        );
+        let mut remaining = Vec::new();
         for entry in entries {
-            if !left.is_empty() || !self.write(&entry, changed, max_changed) {
-                left.push(entry);
+            if !remaining.is_empty() || !self.write(&entry, changed, max_changed) {
+                remaining.push(entry);
             }
         }
         let segment = compaction.segment;
-        if !left.is_empty() {
-            self.compaction = Some(Compaction { segment, left });
+        if !remaining.is_empty() {
+            self.compaction = Some(Compaction { segment, remaining });
             return None;
         }
         self.segments.remove(&segment);
@@ -61,14 +64,14 @@
 
     /// The compaction of the oldest segment, if the log is longer than it needs to be.
     fn next_compaction(&self, live_bytes: usize) -> Option<Compaction> {
-        let room_for = 4 + 2 * live_bytes.div_ceil(self.limit);
-        if self.segments.len() <= room_for {
+        let max_segment_count = 4 + 2 * live_bytes.div_ceil(self.max_segment_bytes);
+        if self.segments.len() <= max_segment_count {
             return None;
         }
         let (number, oldest) = self.segments.first_key_value()?;
-        (Some(*number) != self.open).then(|| Compaction {
+        (Some(*number) != self.open_segment).then(|| Compaction {
             segment: *number,
-            left: oldest.entries.clone(),
+            remaining: oldest.entries.clone(),
         })
     }
 }
--- a/src/core/storage/wal/entry.rs
+++ b/src/core/storage/wal/entry.rs
@@ -55,14 +55,17 @@
 ///
 /// No entry holds more than so many task numbers: earlier ones may be larger than
 /// the limits allow by now.
-pub(super) fn merged(entries: impl Iterator<Item = LogEntry>, max_indices: usize) -> Vec<LogEntry> {
+pub(super) fn merge_entries(
+    entries: impl Iterator<Item = LogEntry>,
+    max_entry_indices: usize,
+) -> Vec<LogEntry> {
     let mut out = Vec::new();
     let mut done: BTreeMap<JobId, Vec<u32>> = BTreeMap::new();
     for e in entries {
         match e {
             LogEntry::Done(job, tasks) => done.entry(job).or_default().extend(tasks),
             LogEntry::Start(machine, job, attempt, tasks) => {
-                let parts = tasks.chunks(max_indices);
+                let parts = tasks.chunks(max_entry_indices);
                 out.extend(parts.map(|part| LogEntry::Start(machine.clone(), job, attempt, part.to_vec())));
             }
             other => out.push(other),
@@ -71,7 +74,7 @@
     for (job, tasks) in done {
         out.extend(
             tasks
-                .chunks(max_indices)
+                .chunks(max_entry_indices)
                 .map(|part| LogEntry::Done(job, part.to_vec())),
         );
     }
--- a/src/core/storage/wal/mod.rs
+++ b/src/core/storage/wal/mod.rs
@@ -20,16 +20,16 @@
 pub use self::replay::{LogReplay, LoggedMachine};
 
 /// Most task numbers in an entry, where a segment holds as many.
-const MAX_INDICES: usize = 200;
+const MAX_ENTRY_INDICES: usize = 200;
 /// Bytes of a task number in an entry: five digits, as many as the largest job
 /// has, a comma, and one to spare.
 const INDEX_BYTES: usize = 7;
 /// Bytes of all else in an entry: the names of a machine and a job, an attempt.
-const ENTRY_BYTES: usize = 160;
+const ENTRY_OVERHEAD_BYTES: usize = 160;
 /// Bytes of a value that a segment leaves free.
-const VALUE_MARGIN: usize = 256;
+const VALUE_MARGIN_BYTES: usize = 256;
 /// Least bytes of a segment.
-const MIN_SEGMENT: usize = 512;
+const MIN_SEGMENT_BYTES: usize = 512;
 
 /// A segment as it is stored, or will be by the append on its way.
 #[derive(Debug, Default, Clone)]
@@ -51,27 +51,27 @@
 #[derive(Debug)]
 pub struct WriteAheadLog {
     /// Most bytes of a segment.
-    limit: usize,
+    max_segment_bytes: usize,
     /// Most task numbers in an entry, so that none outgrows a segment.
-    max_indices: usize,
+    max_entry_indices: usize,
     /// The compaction that is under way.
     compaction: Option<Compaction>,
     /// The last append took a step of a compaction.
-    compacted: bool,
+    compacted_last_append: bool,
     /// Segments by number, in the order in which they were begun.
     segments: BTreeMap<u64, Segment>,
     /// The segment that is being filled; those of earlier terms stay as they are.
-    open: Option<u64>,
+    open_segment: Option<u64>,
     /// Number of the next new segment; numbers are never used again.
-    next: u64,
+    next_segment: u64,
     /// Entries to be written, each with the mark of its last push.
     pending: Vec<(LogEntry, u64)>,
     /// A start is pending.
-    urgent: bool,
+    has_pending_start: bool,
     /// Mark of the last push.
-    pushed: u64,
+    last_pushed_mark: u64,
     /// Everything up to this mark is stored.
-    stored: u64,
+    stored_mark: u64,
     /// An append is on its way; there is never more than one.
     in_flight: bool,
 }
@@ -79,19 +79,22 @@
 impl WriteAheadLog {
     /// An empty log whose segments hold at most `value_bytes`.
     pub fn new(value_bytes: usize) -> Self {
-        let limit = value_bytes.saturating_sub(VALUE_MARGIN).max(MIN_SEGMENT);
+        let max_segment_bytes = value_bytes
+            .saturating_sub(VALUE_MARGIN_BYTES)
+            .max(MIN_SEGMENT_BYTES);
         Self {
-            limit,
-            max_indices: (limit.saturating_sub(ENTRY_BYTES) / INDEX_BYTES).clamp(1, MAX_INDICES),
+            max_segment_bytes,
+            max_entry_indices: (max_segment_bytes.saturating_sub(ENTRY_OVERHEAD_BYTES) / INDEX_BYTES)
+                .clamp(1, MAX_ENTRY_INDICES),
             compaction: None,
-            compacted: false,
+            compacted_last_append: false,
             segments: BTreeMap::new(),
-            open: None,
-            next: 1,
+            open_segment: None,
+            next_segment: 1,
             pending: Vec::new(),
-            urgent: false,
-            pushed: 0,
-            stored: 0,
+            has_pending_start: false,
+            last_pushed_mark: 0,
+            stored_mark: 0,
             in_flight: false,
         }
     }
@@ -107,7 +110,7 @@
         let bytes = entries.iter().map(LogEntry::bytes).sum();
         self.segments.insert(number, Segment { entries, bytes });
         // Numbers are never used again.
-        self.next = self.next.max(number + 1);
+        self.next_segment = self.next_segment.max(number + 1);
         true
     }
 
@@ -122,39 +125,39 @@
 
     /// Adds an entry; the mark that [`WriteAheadLog::is_stored`] is asked with.
     pub fn push(&mut self, entry: LogEntry) -> u64 {
-        self.urgent |= matches!(entry, LogEntry::Start(..));
-        self.pushed += 1;
+        self.has_pending_start |= matches!(entry, LogEntry::Start(..));
+        self.last_pushed_mark += 1;
         let joined = match (self.pending.last_mut(), &entry) {
             (Some((LogEntry::Start(m, j, a, list), mark)), LogEntry::Start(m2, j2, a2, more))
-                if m == m2 && j == j2 && a == a2 && list.len() < self.max_indices =>
+                if m == m2 && j == j2 && a == a2 && list.len() < self.max_entry_indices =>
             {
                 list.extend(more);
-                *mark = self.pushed;
+                *mark = self.last_pushed_mark;
                 true
             }
             (Some((LogEntry::Done(j, list), mark)), LogEntry::Done(j2, more))
-                if j == j2 && list.len() < self.max_indices =>
+                if j == j2 && list.len() < self.max_entry_indices =>
             {
                 list.extend(more);
-                *mark = self.pushed;
+                *mark = self.last_pushed_mark;
                 true
             }
             _ => false,
         };
         if !joined {
-            self.pending.push((entry, self.pushed));
+            self.pending.push((entry, self.last_pushed_mark));
         }
-        self.pushed
+        self.last_pushed_mark
     }
 
     /// Whether what was pushed at `mark` is stored.
     pub fn is_stored(&self, mark: u64) -> bool {
-        mark <= self.stored
+        mark <= self.stored_mark
     }
 
     /// Whether an append is due: at once for starts, else when the pause after the last append is over.
     pub fn append_is_due(&self, pause_is_over: bool) -> bool {
-        !self.in_flight && !self.pending.is_empty() && (self.urgent || pause_is_over)
+        !self.in_flight && !self.pending.is_empty() && (self.has_pending_start || pause_is_over)
     }
 
     /// Takes what is pending, with at most so many segments written or deleted.
@@ -173,17 +176,17 @@
         // What is written again comes first: it is older than what is new.
         let deleted = self.compact(max_segments, live_bytes, live, &mut changed);
         let max_changed = (max_segments - usize::from(deleted.is_some())).max(1);
-        let mut stored_up_to = self.stored;
-        let mut left = Vec::new();
+        let mut stored_up_to = self.stored_mark;
+        let mut remaining = Vec::new();
         for (entry, mark) in std::mem::take(&mut self.pending) {
-            if left.is_empty() && self.write(&entry, &mut changed, max_changed) {
+            if remaining.is_empty() && self.write(&entry, &mut changed, max_changed) {
                 stored_up_to = mark;
             } else {
-                left.push((entry, mark));
+                remaining.push((entry, mark));
             }
         }
-        self.urgent = left.iter().any(|(e, _)| matches!(e, LogEntry::Start(..)));
-        self.pending = left;
+        self.has_pending_start = remaining.iter().any(|(e, _)| matches!(e, LogEntry::Start(..)));
+        self.pending = remaining;
         self.in_flight = true;
         let value = |n: &u64| serde_json::to_value(&self.segments[n].entries).unwrap_or(Value::Null);
         let mut segments: Vec<_> = changed.iter().map(|n| (*n, Some(value(n)))).collect();
@@ -199,13 +202,15 @@
     fn write(&mut self, entry: &LogEntry, changed: &mut BTreeSet<u64>, max_changed: usize) -> bool {
         let bytes = entry.bytes();
         let may_change = |n: &u64| changed.contains(n) || changed.len() < max_changed;
-        let fitting = self.open.filter(|n| self.segments[n].bytes + bytes <= self.limit);
+        let fitting = self
+            .open_segment
+            .filter(|n| self.segments[n].bytes + bytes <= self.max_segment_bytes);
         let number = match fitting {
             Some(open) if may_change(&open) => open,
             None if changed.len() < max_changed => {
-                self.next += 1;
-                self.open = Some(self.next - 1);
-                self.next - 1
+                self.next_segment += 1;
+                self.open_segment = Some(self.next_segment - 1);
+                self.next_segment - 1
             }
             _ => return false,
         };
@@ -217,8 +222,8 @@
     }
 
     /// An append is stored.
-    pub fn appended(&mut self, append: &LogAppend) {
+    pub fn append_stored(&mut self, append: &LogAppend) {
         self.in_flight = false;
-        self.stored = self.stored.max(append.stored_up_to);
+        self.stored_mark = self.stored_mark.max(append.stored_up_to);
     }
 }
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -44,7 +44,7 @@
     /// Adds the jobs that other controllers put into the inbox, until the term ends.
     pub(super) async fn watch_inbox(self: Arc<Self>) {
         loop {
-            if let Ok(inbox) = self.controller.store().list(record::INBOX).await {
+            if let Ok(inbox) = self.controller.store().list(record::INBOX_PREFIX).await {
                 self.process_inbox(inbox).await;
             }
             sleep(RETRY_PAUSE).await;
@@ -62,7 +62,10 @@
             intake = intake.and(outcome);
         }
         while intake == IntakeOutcome::Settled {
-            let watch = self.controller.store().watch(record::INBOX, since, WATCH_TIMEOUT);
+            let watch = self
+                .controller
+                .store()
+                .watch(record::INBOX_PREFIX, since, WATCH_TIMEOUT);
             match watch.await {
                 Ok(watched) => {
                     since = since.max(watched.revision);
@@ -81,7 +84,7 @@
 
     /// Adds the job of an inbox mark, then deletes the mark.
     async fn add_from_inbox(self: &Arc<Self>, key: &str, version: u64) -> IntakeOutcome {
-        let Ok(id) = key.trim_start_matches(record::INBOX).parse::<JobId>() else {
+        let Ok(id) = key.trim_start_matches(record::INBOX_PREFIX).parse::<JobId>() else {
             return IntakeOutcome::Settled;
         };
         if self.load_job(id).await == IntakeOutcome::Unreadable {
@@ -122,7 +125,7 @@
     pub(super) fn add_stored_job(&self, record: JobRecord, version: u64) {
         let id = record.spec.id;
         let now = Moment::now();
-        let submitted_at = now.instant_of(record.at).unwrap_or(now.steady);
+        let submitted_at = now.instant_of(record.accepted_at_ms).unwrap_or(now.steady);
         let mut model = self.model.lock();
         // The job may have become known, or may have ended, since it was read.
         if model.jobs().contains_key(&id) || self.controller.terminal_states().status(id).is_some() {
--- a/src/leader/active_leader/machine_types.rs
+++ b/src/leader/active_leader/machine_types.rs
@@ -57,7 +57,7 @@
             return;
         }
         let write = AtomicWrite {
-            changes: vec![(record::TYPES.to_owned(), Some(value))],
+            changes: vec![(record::MACHINE_TYPES_KEY.to_owned(), Some(value))],
             absent: Vec::new(),
             urgent: true,
         };
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -94,13 +94,13 @@
         lease_requested: ClockReading,
     ) -> Arc<Self> {
         let max_changes = controller.config().max_transaction_changes;
-        let writer = Writer::new(controller.store().clone(), record::LEADER, term, max_changes);
+        let writer = Writer::new(controller.store().clone(), record::LEADER_KEY, term, max_changes);
         let model = ClusterModel::new(controller.config().clone(), term);
         let workers = &controller.deployment().cluster.workers;
         let limits = AuthorityLimits {
-            lease: controller.operator_settings().leader_lease,
+            leader_lease: controller.operator_settings().leader_lease,
             worker_lease: workers.lease,
-            cancel: workers.cancel_within,
+            cancel_deadline: workers.cancel_within,
             clock_error: controller.deployment().cluster.clock_error,
         };
         Arc::new(Self {
--- a/src/leader/active_leader/reconciliation.rs
+++ b/src/leader/active_leader/reconciliation.rs
@@ -28,7 +28,7 @@
         loop {
             sleep(RECONCILE_INTERVAL).await;
             self.forget_released_machines();
-            let Ok(jobs) = self.controller.store().list(record::JOBS).await else {
+            let Ok(jobs) = self.controller.store().list(record::JOB_PREFIX).await else {
                 continue;
             };
             for item in jobs.items {
@@ -38,7 +38,7 @@
     }
 
     fn reconcile_job(&self, item: KeyValue, unreadable: &mut UnreadableRecords) {
-        let id = item.key.trim_start_matches(record::JOBS).parse::<JobId>();
+        let id = item.key.trim_start_matches(record::JOB_PREFIX).parse::<JobId>();
         if id.is_ok_and(|id| self.is_known(id)) {
             return;
         }
--- a/src/leader/active_leader/rounds.rs
+++ b/src/leader/active_leader/rounds.rs
@@ -88,7 +88,7 @@
     /// commands of earlier leaders from then on.
     fn log_fencing_completed(&self, model: &ClusterModel, now: Instant) {
         let mut fencing_began = self.fencing_began.lock();
-        if let Some(began) = fencing_began.filter(|_| model.all_fenced()) {
+        if let Some(began) = fencing_began.filter(|_| model.all_machines_fenced()) {
             info!(
                 took_ms = (now - began).as_millis() as u64,
                 "all workers have accepted a token of this term"
--- a/src/leader/active_leader/takeover.rs
+++ b/src/leader/active_leader/takeover.rs
@@ -23,10 +23,10 @@
     /// then; the caller repeats the whole load.
     pub(super) async fn load(&self) -> Result<(), StoreError> {
         let store = self.controller.store();
-        let jobs = store.list(record::JOBS).await?.items;
-        let segments = store.list(record::WAL).await?.items;
-        let ratios = store.get(record::RATIOS).await?;
-        let types = store.get(record::TYPES).await?;
+        let jobs = store.list(record::JOB_PREFIX).await?.items;
+        let segments = store.list(record::SEGMENT_PREFIX).await?.items;
+        let ratios = store.get(record::RATIOS_KEY).await?;
+        let types = store.get(record::MACHINE_TYPES_KEY).await?;
         let now = Moment::now();
         let mut model = self.model.lock();
         for item in jobs {
@@ -49,7 +49,7 @@
         self.writer.set_known_version(&item.key, item.version);
         match serde_json::from_value::<JobRecord>(item.value) {
             Ok(record) => {
-                let submitted_at = now.instant_of(record.at).unwrap_or(now.steady);
+                let submitted_at = now.instant_of(record.accepted_at_ms).unwrap_or(now.steady);
                 model.add_job(record, submitted_at);
             }
             Err(_) => info!(
@@ -61,7 +61,7 @@
 
     fn load_log_segment(&self, model: &mut ClusterModel, item: KeyValue) -> Result<(), StoreError> {
         self.writer.set_known_version(&item.key, item.version);
-        let number = item.key.trim_start_matches(record::WAL).parse();
+        let number = item.key.trim_start_matches(record::SEGMENT_PREFIX).parse();
         if number.is_ok_and(|number| model.load_log_segment(number, item.value)) {
             return Ok(());
         }
@@ -78,14 +78,15 @@
     }
 
     fn load_ratios(&self, model: &mut ClusterModel, item: KeyValue) {
-        self.writer.set_known_version(record::RATIOS, item.version);
+        self.writer.set_known_version(record::RATIOS_KEY, item.version);
         if let Ok(ratios) = serde_json::from_value(item.value) {
             model.load_run_time_ratios(ratios);
         }
     }
 
     fn load_machine_types(&self, model: &mut ClusterModel, item: KeyValue) {
-        self.writer.set_known_version(record::TYPES, item.version);
+        self.writer
+            .set_known_version(record::MACHINE_TYPES_KEY, item.version);
         if let Ok(types) = serde_json::from_value(item.value) {
             model.set_machine_types(types);
             self.controller
--- a/src/leader/election.rs
+++ b/src/leader/election.rs
@@ -16,7 +16,7 @@
 use super::active_leader::ActiveLeader;
 use crate::clock::read_clocks;
 use crate::controller::{Controller, Role};
-use crate::core::storage::record::{LeaderRecord, LEADER};
+use crate::core::storage::record::{LeaderRecord, LEADER_KEY};
 use crate::store::{KeyRead, StoreError};
 use crate::wire::{Change, Condition, KeyValue, Transaction};
 
@@ -40,7 +40,7 @@
 /// that the key names, stands for election if there is none, and leads if elected.
 pub(super) async fn run_elections(controller: Arc<Controller>) {
     loop {
-        match controller.store().get(LEADER).await {
+        match controller.store().get(LEADER_KEY).await {
             Ok(KeyRead::Found(item)) => match parse_leader(&item) {
                 // The key is from an earlier process on this host, which is dead
                 // as this one replaced it, or from an earlier term of this
@@ -76,7 +76,7 @@
     controller.ensure_machine_types().await;
     let mut since = term;
     loop {
-        match controller.store().watch(LEADER, since, WATCH_TIMEOUT).await {
+        match controller.store().watch(LEADER_KEY, since, WATCH_TIMEOUT).await {
             Ok(watched) if watched.events.is_empty() => since = since.max(watched.revision),
             Ok(_) | Err(StoreError::RevisionTooOld { .. }) => return,
             Err(error) => {
@@ -84,7 +84,7 @@
                 // followed until a read shows that its key has changed.
                 debug!(%error, "watching the leader's key failed; it is read again");
                 sleep(WATCH_RETRY_PAUSE).await;
-                match controller.store().get(LEADER).await {
+                match controller.store().get(LEADER_KEY).await {
                     Ok(KeyRead::Found(item)) if item.version == term => since = term,
                     Ok(_) => return,
                     Err(_) => {}
@@ -128,11 +128,11 @@
     };
     let transaction = Transaction {
         conditions: vec![Condition {
-            key: LEADER.into(),
+            key: LEADER_KEY.into(),
             version,
         }],
         changes: vec![Change::Put {
-            put: LEADER.into(),
+            put: LEADER_KEY.into(),
             value: serde_json::to_value(&record).expect("a host name and a number always serialize"),
             lease: Some(lease),
         }],
@@ -151,7 +151,7 @@
 /// If it is executed only after this read, the key is attached to a lease that is
 /// not renewed, and is soon deleted with it.
 async fn read_term(controller: &Controller, record: &LeaderRecord, version: u64) -> Option<u64> {
-    let Ok(KeyRead::Found(item)) = controller.store().get(LEADER).await else {
+    let Ok(KeyRead::Found(item)) = controller.store().get(LEADER_KEY).await else {
         return None;
     };
     let is_ours = parse_leader(&item).as_ref() == Some(record) && item.version > version;
--- a/src/store/writer/state.rs
+++ b/src/store/writer/state.rs
@@ -4,7 +4,7 @@
 
 use super::batch::{Batch, QueuedWrite, TransactionSize};
 use super::CommitError;
-use crate::core::storage::record::FINALS;
+use crate::core::storage::record::FINAL_PREFIX;
 
 /// Limit on the transactions in flight at once.
 const MAX_TRANSACTIONS_IN_FLIGHT: usize = 4;
@@ -117,7 +117,8 @@
                 // must not wait with them.
                 batch.is_urgent() == write.urgent && extended.fits(self.max_changes)
             };
-            let is_sendable = fits && !write.names(&self.keys_in_flight) && !write.names(&reserved_keys);
+            let is_sendable =
+                fits && !write.uses_any(&self.keys_in_flight) && !write.uses_any(&reserved_keys);
             reserved_keys.extend(write.keys().cloned());
             if !is_sendable {
                 position += 1;
@@ -165,7 +166,7 @@
         for mut queued in batch {
             for (key, value) in std::mem::take(&mut queued.write.changes) {
                 // Final records are written only once, so their versions aren't kept.
-                if value.is_some() && !key.starts_with(FINALS) {
+                if value.is_some() && !key.starts_with(FINAL_PREFIX) {
                     self.versions.insert(key, revision);
                 } else {
                     self.versions.remove(&key);
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -37,7 +37,7 @@
         return CommandOutcome::Unanswered;
     };
     let _socket = sockets.acquire_command_socket().await;
-    let spend_permit = || permit().map(SendPermit::spend);
+    let spend_permit = || permit().map(SendPermit::consume);
     let response = match post_once(address, "/commands", body, COMMAND_TIMEOUT, spend_permit).await {
         Ok(response) => response,
         Err(PostError::Withheld(reason)) => return CommandOutcome::Withheld(reason),
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -81,13 +81,13 @@
 fn keys_are_those_of_production() {
     let job: JobId = "job-000412".parse().expect("an id");
     let keys = [
-        record::LEADER.to_owned(),
+        record::LEADER_KEY.to_owned(),
         record::job_key(job),
         record::final_key(job),
         record::inbox_key(job),
         record::segment_key(3),
-        record::RATIOS.to_owned(),
-        record::TYPES.to_owned(),
+        record::RATIOS_KEY.to_owned(),
+        record::MACHINE_TYPES_KEY.to_owned(),
     ];
     assert_eq!(KEYS.lines().collect::<Vec<_>>(), keys);
 }
@@ -168,7 +168,7 @@
                     None => drop(stored.remove(number)),
                 }
             }
-            log.appended(&append);
+            log.append_stored(&append);
             let now = replay_of(&stored);
             assert_eq!(
                 (now.starts, now.done),
--- a/tests/gap/main.rs
+++ b/tests/gap/main.rs
@@ -12,7 +12,7 @@
 
 use std::time::{Duration, SystemTime};
 
-use bitternfold::core::evidence::authority::{Authority, AuthorityLimits, ClockReading, MARGIN};
+use bitternfold::core::evidence::authority::{Authority, AuthorityLimits, ClockReading, CANCELLATION_MARGIN};
 use proptest::prelude::*;
 use support::*;
 use world::{any_times, SimulatedSite, Times};
@@ -52,10 +52,10 @@
         error_share in -1.0..1.0f64,
     ) {
         let (hold, lease) = (Duration::from_secs_f64(hold), Duration::from_secs_f64(lease));
-        let cancel = lease + MARGIN + Duration::from_secs_f64(spare_s);
+        let cancel_deadline = lease + CANCELLATION_MARGIN + Duration::from_secs_f64(spare_s);
         let sent = start();
         let clock_error = Duration::from_secs_f64(clock_error_s);
-        let limits = AuthorityLimits { lease: hold, worker_lease: lease, cancel, clock_error };
+        let limits = AuthorityLimits { leader_lease: hold, worker_lease: lease, cancel_deadline, clock_error };
         let day = SystemTime::UNIX_EPOCH + secs(1000);
         let mut authority = Authority::new(&limits, ClockReading { steady: sent, time_of_day: day });
         let elapsed = Duration::from_secs_f64(elapsed_s);
@@ -73,7 +73,7 @@
         // A worker whose lease was renewed at the last moment loses it in time
         // for whoever was elected as soon as that was possible.
         let lease_end = elapsed + lease.mul_f64(1.0006);
-        let deadline = hold.mul_f64(0.9995) + cancel;
+        let deadline = hold.mul_f64(0.9995) + cancel_deadline;
         for now in [running, paused] {
             prop_assert!(!authority.may_renew_leases(now) || lease_end <= deadline, "{lease_end:?} {deadline:?}");
         }
--- a/tests/gap/world/leaders.rs
+++ b/tests/gap/world/leaders.rs
@@ -79,9 +79,9 @@
         }
         model.replay_log(now);
         let limits = AuthorityLimits {
-            lease: self.times.leader_lease(),
+            leader_lease: self.times.leader_lease(),
             worker_lease: self.config.worker_lease,
-            cancel: self.config.cancel_deadline,
+            cancel_deadline: self.config.cancel_deadline,
             clock_error: self.clock_error,
         };
         self.leaders[controller] = Some(Leader {
--- a/tests/gap/world/mod.rs
+++ b/tests/gap/world/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
 
-use bitternfold::core::evidence::authority::{ClockReading, MARGIN};
+use bitternfold::core::evidence::authority::{ClockReading, CANCELLATION_MARGIN};
 use bitternfold::core::storage::record::JobRecord;
 use bitternfold::core::SchedulerConfig;
 use bitternfold::settings::OperatorSettings;
@@ -90,7 +90,8 @@
         let settings = &mut deployment.cluster.workers;
         settings.heartbeat_interval = Duration::from_secs_f64(times.heartbeat_interval);
         settings.lease = Duration::from_secs_f64(times.worker_lease);
-        settings.cancel_within = settings.lease + MARGIN + Duration::from_secs_f64(times.cancel_slack);
+        settings.cancel_within =
+            settings.lease + CANCELLATION_MARGIN + Duration::from_secs_f64(times.cancel_slack);
         let base = start();
         Self {
             clock_error: Duration::from_secs_f64(times.clock_error),
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -176,7 +176,7 @@
             self.apply(&append);
         }
         if stored && confirmed {
-            self.log.appended(&append);
+            self.log.append_stored(&append);
             self.check_replay()?;
             self.check_size()?;
         } else {
@@ -368,7 +368,7 @@
             let Some(append) = log.take_append(10, live_bytes, |e| Some(e.clone())) else {
                 continue;
             };
-            log.appended(&append);
+            log.append_stored(&append);
             for (number, value) in &append.segments {
                 written += 1;
                 match value {
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -237,7 +237,7 @@
         assert!(model.load_log_segment(number, value.expect("written")));
     }
     model.replay_log(now);
-    assert!(!model.all_fenced());
+    assert!(!model.all_machines_fenced());
     let first = model.take_due_commands(now, 64);
     assert_eq!(first.len(), 64);
     assert!(model.take_due_commands(now, 0).is_empty(), "no socket is free");
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -124,7 +124,7 @@
 pub fn record(spec: JobSpec) -> JobRecord {
     JobRecord {
         spec,
-        at: 0,
+        accepted_at_ms: 0,
         cancelled: false,
     }
 }
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -167,7 +167,7 @@
         attempt: 1,
     };
     decided.commands.commands = vec![start];
-    decided.assert_refused(StartRefusal::JobWaits);
+    decided.assert_refused(StartRefusal::DependenciesNotDone);
 }
 
 fn assert_starts_without_a_place_are_refused() {
