--- a/src/core/evidence/authority.rs
+++ b/src/core/evidence/authority.rs
@@ -1,54 +1,56 @@
 //! How long a leader may act, and how long it may renew leases after that.
 //!
-//! Every bound is counted from when a renewal of its lease at the state service
-//! was *sent*, on the leader's own clocks: by the steady one, and by the time of
-//! day where that has advanced further. A paused process's steady clock may be
-//! paused with it; the time of day stays within the error of the settings all the
-//! same. The argument for the numbers is in docs/design.md under "The bound on
-//! leases".
+//! Every bound counts from when the leader *sent* the last successful renewal of its
+//! lease at the state service, by the leader's own clocks: the steady clock, or the time
+//! of day if that has advanced further. The steady clock may stop while the process is
+//! paused; the time of day stays within the configured clock error all the same. The
+//! argument for the numbers is in docs/design.md under "The bound on leases".
 
 use std::time::{Duration, Instant, SystemTime};
 
-/// Least time between the last renewal of a worker's lease, plus the lease's life, and
-/// the end of the time for a cancellation: clocks drift, and a timer ends the lease.
+/// Least time between the expiry of the last worker lease that a leader renews and the
+/// deadline of a cancellation. It allows for the drift of clocks, and for the worker's
+/// timer that ends the lease.
 pub const CANCELLATION_MARGIN: Duration = Duration::from_secs(4);
-/// Added to the allowance for the error of the time of day, for drift.
+/// Added to the allowance for the error of the time of day, to cover clock drift.
 const DRIFT_MARGIN: Duration = Duration::from_millis(500);
 
 /// Both clocks of a process, read at the same moment.
 #[derive(Debug, Clone, Copy)]
 pub struct ClockReading {
-    /// Never goes back, and may be paused with the process.
+    /// The monotonic clock, which may stop while the process is paused.
     pub steady: Instant,
-    /// Off by at most the error of the settings, in either direction.
+    /// The time of day, off by at most the configured error in either direction.
     pub time_of_day: SystemTime,
 }
 
-/// How long a leader may act and renew leases, from the renewals of its own lease.
+/// Computes how long a leader may act and renew workers' leases, from the renewals of
+/// its own lease.
 #[derive(Debug, Clone)]
 pub struct Authority {
-    /// How long it may act after a renewal was sent.
+    /// How long the leader may act after a renewal was sent.
     acting_period: Duration,
-    /// How much longer it may renew workers' leases.
+    /// How much longer than that it may renew workers' leases.
     renewal_grace: Duration,
-    /// Error of the time of day.
+    /// Largest error of the time of day.
     clock_error: Duration,
     /// When the last successful renewal was sent.
     renewal_sent: ClockReading,
-    /// When a pause of the process ended, unless a renewal was sent after it.
+    /// When the last pause of the process ended; `None` once a renewal that was sent
+    /// later has succeeded.
     resumed_at: Option<Instant>,
 }
 
-/// The durations that an authority is computed from.
+/// The durations that an [`Authority`] is computed from.
 #[derive(Debug, Clone, Copy)]
 pub struct AuthorityLimits {
-    /// Life of the leader's lease at the state service.
+    /// Lifetime of the leader's lease at the state service.
     pub leader_lease: Duration,
-    /// Life of a worker's lease.
+    /// Lifetime of a worker's lease.
     pub worker_lease: Duration,
-    /// Time within which a cancelled job's tasks must be gone.
+    /// Time within which a cancelled job's tasks must have ended.
     pub cancel_deadline: Duration,
-    /// Error of the time of day.
+    /// Largest error of the time of day.
     pub clock_error: Duration,
 }
 
@@ -57,9 +59,10 @@
     /// sent at `sent`.
     pub fn new(limits: &AuthorityLimits, sent: ClockReading) -> Self {
         let lease = limits.leader_lease;
-        // Drift of both clocks, and a margin.
+        // Deducts 0.1 % for the drift of both clocks, and a margin of 50 ms.
         let acting_period = (lease - lease / 1000).saturating_sub(Duration::from_millis(50));
-        // Two readings may be off in opposite directions, and so may their allowance.
+        // `since_renewal` may be short by four times the clock error: its two readings may
+        // be off in opposite directions, and it deducts twice the error from the result.
         let margin = CANCELLATION_MARGIN.max(limits.clock_error * 4 + DRIFT_MARGIN);
         Self {
             acting_period,
@@ -72,8 +75,9 @@
         }
     }
 
-    /// A renewal that was sent at `sent` has succeeded, whenever its response came. The
-    /// bounds count from the sending: the lease lasts from then at the earliest.
+    /// Records that a renewal sent at `sent` has succeeded. The bounds count from the
+    /// sending, however late the response came: the state service renewed the lease then
+    /// at the earliest.
     pub fn renewed(&mut self, sent: ClockReading) {
         if sent.steady >= self.renewal_sent.steady {
             self.renewal_sent = sent;
@@ -81,28 +85,30 @@
         self.resumed_at = self.resumed_at.filter(|resumed| sent.steady <= *resumed);
     }
 
-    /// The process was paused until now. The leader may act as its clocks say, but
-    /// renews no worker's lease before a renewal sent after the pause has succeeded:
-    /// a newer leader may have taken over, and its workers would be kept here.
+    /// Records that the process was paused until now. The leader may act if its clocks
+    /// allow it, but renews no worker's lease until a renewal of its own lease, sent after
+    /// the pause, has succeeded: a newer leader may have taken over, and renewing its
+    /// workers' leases would keep them with this leader.
     pub fn resumed_after_pause(&mut self, now: Instant) {
         self.resumed_at = Some(now);
     }
 
-    /// Whether it may act as the leader: place and start tasks, rent and release
-    /// machines, respond from memory.
+    /// Whether the leader may act: place and start tasks, rent and release machines,
+    /// answer requests from memory.
     pub fn may_act(&self, now: ClockReading) -> bool {
         self.since_renewal(now) < self.acting_period
     }
 
-    /// Whether it may respond to heartbeats, without starts, so that workers' leases
-    /// outlast an outage of the state service. Another leader may have confirmed
-    /// meanwhile that a cancelled job is gone in time, hence the bound.
+    /// Whether the leader may respond to heartbeats, without starting tasks, so that
+    /// workers' leases outlast an outage of the state service. The time is bounded because
+    /// another leader may meanwhile have confirmed a cancellation to a client, after which
+    /// the job's tasks must end within the cancellation deadline.
     pub fn may_renew_leases(&self, now: ClockReading) -> bool {
         self.resumed_at.is_none() && self.since_renewal(now) < self.acting_period + self.renewal_grace
     }
 
     /// How long ago the last successful renewal was sent, by the clock that has
-    /// advanced further.
+    /// advanced further. The time of day counts less twice the clock error.
     pub fn since_renewal(&self, now: ClockReading) -> Duration {
         let steady = now.steady.saturating_duration_since(self.renewal_sent.steady);
         let time_of_day = now.time_of_day.duration_since(self.renewal_sent.time_of_day);
--- a/src/core/evidence/commands/batch.rs
+++ b/src/core/evidence/commands/batch.rs
@@ -1,4 +1,5 @@
-//! The next commands for a machine: acknowledgements, then stops, then starts.
+//! Assembles the next batch of commands for a machine: acknowledgements, then stops, then
+//! starts.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -14,26 +15,27 @@
 use crate::core::storage::wal::WriteAheadLog;
 use crate::wire::{Command, CommandBatch, JobId, MachineId, MachineType, TaskId};
 
-/// So long after its time to save has ended, a task that is still there is stopped
-/// without any.
+/// How long after the end of its grace time a task that is still there is stopped without
+/// any grace time.
 const STOP_OVERDUE_AFTER: Duration = Duration::from_secs(2);
 
-/// What decides whether a placed task may be started on a machine now.
+/// The state that decides whether a placed task may be started on a machine now.
 struct StartConditions<'a> {
     log: &'a WriteAheadLog,
     jobs: &'a BTreeMap<JobId, Job>,
     dependencies: &'a Dependencies,
     /// The machine's type, if it is known.
     machine_type: Option<&'a MachineType>,
-    /// The token that the batch is going to carry.
+    /// The fencing token of the batch.
     token: u64,
     /// The worker's incarnation that the batch is meant for.
     incarnation: u64,
 }
 
 impl ClusterModel {
-    /// The next commands to a worker, if any are due; they count as on their way from
-    /// then on. The batch may be empty: a probe, which only fences the worker.
+    /// The next batch of commands to a worker, if one is due; it counts as in flight from
+    /// then on. An empty batch is a probe: it fences the worker, which answers with its
+    /// tasks.
     pub fn next_command(&mut self, machine: &MachineId, now: Instant) -> Option<AddressedBatch> {
         let term = self.term;
         let max_delay = self.config.heartbeat_interval * 2;
@@ -54,8 +56,8 @@
             incarnation: machine.newest_message.incarnation.max(1),
         };
         collect_starts(&mut machine.slots, &conditions, in_use, &mut commands);
-        // Acknowledgements go with other commands or in the response to a heartbeat;
-        // alone only if neither comes in time.
+        // Acknowledgements go with other commands or in the response to a heartbeat. They
+        // are sent alone only if neither happens in time.
         let is_overdue = machine
             .unacknowledged_since
             .is_some_and(|since| now.saturating_duration_since(since) > max_delay);
@@ -77,8 +79,8 @@
     }
 }
 
-/// Whether a command may be sent to a machine: its address is known, none is on its
-/// way, no retry pause lasts, and it is not to be released.
+/// Whether a batch may be sent to a machine: its address is known, no batch is in flight,
+/// the pause after an unanswered batch is over, and the machine is not being released.
 fn can_receive_commands(machine: &Machine, now: Instant) -> bool {
     let is_paused = machine.no_command_before.is_some_and(|until| until > now);
     !machine.command_in_flight
@@ -87,8 +89,8 @@
         && machine.phase != MachinePhase::Releasing
 }
 
-/// Adds the stops that are ordered, and returns what is in use on the machine after
-/// them, for the starts: a stopped task holds its room for as long as it may save.
+/// Adds the stops that are ordered. Returns the resources that are in use after them, for
+/// the starts: a stopped task keeps its resources for as long as it may save a checkpoint.
 fn collect_stops(slots: &BTreeMap<TaskId, Slot>, commands: &mut Vec<Command>, now: Instant) -> Resources {
     let mut in_use = Resources::default();
     for (task, slot) in slots {
@@ -115,7 +117,8 @@
     in_use
 }
 
-/// The time that a stopped task still has to save: none once its time is long over.
+/// The grace time to send with a stop: that of the order, or none once the stop is overdue
+/// by [`STOP_OVERDUE_AFTER`].
 fn remaining_grace(slot: &Slot, ordered: Duration, now: Instant) -> Duration {
     let is_overdue = slot
         .stop_ordered_at
@@ -133,7 +136,7 @@
     spec.is_some_and(|spec| spec.checkpoint_s > 0.0 && spec.checkpoint_grace_s > 0.0)
 }
 
-/// What a slot's task takes; nothing if its job is not known.
+/// The resources that a slot's task takes; none if its job is not known.
 fn resources_of(slot: &Slot) -> Resources {
     let spec = slot.spec.as_ref();
     spec.map_or_else(Resources::default, |spec| Resources::of_task(spec))
@@ -141,9 +144,10 @@
 
 /// Adds the starts of placed tasks whose placement is stored and whose job may run.
 ///
-/// A first start waits until the machine has room beside `in_use`: tasks that were ordered to stop
-/// may still be saving. A start that was sent before is repeated in every batch, as the
-/// fresh token may overtake the one it went with.
+/// A first start waits until the machine has enough free resources besides `in_use`, as
+/// tasks that were ordered to stop may still be saving. A start that was sent before is
+/// repeated in every batch: this batch may overtake the earlier one, which the worker then
+/// refuses.
 fn collect_starts(
     slots: &mut BTreeMap<TaskId, Slot>,
     conditions: &StartConditions,
@@ -158,7 +162,7 @@
             continue;
         }
         let Some(spec) = &slot.spec else { continue };
-        // Checked here, too, whatever led to the placement.
+        // Checked again, independently of the checks that led to the placement.
         if check_job(conditions.jobs, conditions.dependencies, task.job).is_err() {
             continue;
         }
@@ -173,7 +177,7 @@
             in_use = needed;
         }
         slot.start_token = conditions.token;
-        // The latest incarnation that a start was meant for: any later one refuses it.
+        // The latest incarnation that a start was sent to; any later one refuses it.
         slot.start_incarnation = slot.start_incarnation.max(conditions.incarnation);
         commands.push(Command::Start {
             task: *task,
--- a/src/core/evidence/commands/mod.rs
+++ b/src/core/evidence/commands/mod.rs
@@ -1,12 +1,12 @@
-//! What is sent to workers: commands, and the responses to their heartbeats.
+//! Decides what is sent to workers: commands, and the responses to their heartbeats.
 //!
 //! - `response` decides what the response to a heartbeat carries.
-//! - `batch` puts together the next commands for a machine.
-//! - This module decides which machines are due, and takes in how a command ended.
+//! - `batch` assembles the next batch of commands for a machine.
+//! - This module decides which machines are due, and records how a batch ended.
 //!
-//! One batch of commands at a time is on its way to a machine, and each has a token of
-//! its own, above all given out for that machine before. A worker refuses tokens below
-//! the highest that it has seen, so a batch that another one overtook takes no effect.
+//! At most one batch of commands is in flight to a machine. Each batch has its own fencing
+//! token, higher than all issued for that machine before. A worker refuses tokens below the
+//! highest that it has seen, so a batch that was overtaken by a later one has no effect.
 
 mod batch;
 mod response;
@@ -17,31 +17,31 @@
 use crate::core::state::model::ClusterModel;
 use crate::wire::{CommandBatch, Heartbeat, MachineId};
 
-/// How long nothing is sent to a machine after a command was not answered.
+/// How long no batch is sent to a machine after one was not answered.
 const RETRY_PAUSE: Duration = Duration::from_millis(700);
 
-/// Commands to the worker of one machine, and where it takes them.
+/// A batch of commands to the worker of one machine, and the worker's address.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AddressedBatch {
     /// Address of the worker, as its last heartbeat or the cloud gave it.
     pub address: String,
-    /// The commands, under a token given out for them alone.
+    /// The commands, with a token that is issued for this batch only.
     pub batch: CommandBatch,
 }
 
-/// Commands that are to be sent to a machine now.
+/// A batch of commands that is to be sent to a machine now.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DueCommand {
-    /// The machine.
+    /// The machine to send to.
     pub machine: MachineId,
     /// Address of its worker, as its last heartbeat or the cloud gave it.
     pub address: String,
-    /// The commands, under a token given out for them alone.
+    /// The commands, with a token that is issued for this batch only.
     pub batch: CommandBatch,
 }
 
 impl ClusterModel {
-    /// Notes that a command may be due for a machine, unless one is on its way to it.
+    /// Records that a command may be due for a machine, unless a batch is in flight to it.
     pub(in crate::core) fn add_command_candidate(&mut self, id: &MachineId) {
         let is_due = |machine: &Machine| !machine.command_in_flight && machine.may_have_due_command();
         if self.machines.get(id).is_some_and(is_due) {
@@ -49,10 +49,11 @@
         }
     }
 
-    /// Takes the commands that are due, with at most `max_probes` of them to machines
-    /// that don't obey this term yet: after a takeover those are all machines, and the
-    /// starts of others must not queue behind them. Each is on its way from now on, until
-    /// [`Self::command_finished`] or [`Self::command_withheld`].
+    /// Takes the batches of commands that are due. At most `max_probes` of them go to
+    /// machines that are not fenced by this term yet: after a takeover those are all
+    /// machines, and starts for other machines must not queue behind their probes. Each
+    /// batch counts as in flight until [`Self::command_finished`] or
+    /// [`Self::command_withheld`] is called for its machine.
     pub fn take_due_commands(&mut self, now: Instant, max_probes: usize) -> Vec<DueCommand> {
         let mut due = Vec::new();
         let mut probes_left = max_probes;
@@ -80,9 +81,9 @@
         due
     }
 
-    /// A command was answered by `heartbeat`, whether executed or refused, or not
-    /// answered (`None`). Without an answer it may have been executed, or may still be:
-    /// that is no evidence, and the machine is probed.
+    /// Records that a batch was answered by `heartbeat`, whether executed or refused, or not
+    /// answered (`None`). Without an answer it may have been executed, or may be executed
+    /// later: that is no evidence of either, and the machine is probed.
     pub fn command_finished(&mut self, machine: &MachineId, heartbeat: Option<&Heartbeat>, now: Instant) {
         if let Some(heartbeat) = heartbeat.filter(|heartbeat| heartbeat.machine == *machine) {
             self.apply_heartbeat(heartbeat, now);
--- a/src/core/evidence/commands/response.rs
+++ b/src/core/evidence/commands/response.rs
@@ -1,4 +1,4 @@
-//! Responses to heartbeats. They renew the worker's lease, and never start anything.
+//! Responses to heartbeats. They renew the worker's lease and never start a task.
 
 use std::time::{Duration, Instant};
 
@@ -9,15 +9,16 @@
 use crate::wire::{Command, Heartbeat, HeartbeatResponse, MachineId, TaskState};
 
 impl ClusterModel {
-    /// The response to a heartbeat that showed `reported_token`, and acknowledgements of
-    /// outcomes in it. `None` if a later leader has fenced the worker, or the machine is
-    /// not known.
+    /// The response to a heartbeat that carried `reported_token`, with acknowledgements of
+    /// ended tasks. `None` if a later leader has fenced the worker, or the machine is not
+    /// known.
     ///
-    /// The token is one that the worker has itself reported in this term, so that no
-    /// response runs ahead of a command that is on its way: the worker would report that
-    /// command's token, and the start in it would look absent though it is still to come.
-    /// Where the worker has reported none, or outcomes are acknowledged while no command
-    /// is on its way, it is a fresh one that no command carries.
+    /// The token is usually the highest that the worker itself has reported in this term.
+    /// With the token of a batch in flight, the response could overtake that batch: the
+    /// worker would report the token, and a start in the batch would look absent although it
+    /// may still arrive. A fresh token, which no batch carries, is used if the worker has
+    /// reported none of this term, if a start has to be refused (`has_outstanding_start`),
+    /// or if tasks are acknowledged while no batch is in flight.
     pub fn heartbeat_response(
         &mut self,
         machine: &MachineId,
@@ -48,9 +49,9 @@
     }
 
     /// Stops for the tasks of cancelled jobs that a heartbeat lists. They go with every
-    /// response that renews a lease, even when the leader may no longer act: no leader
-    /// that knows of a cancellation may prolong the life of its tasks. A stop names an
-    /// attempt and may be repeated; sending it is no evidence that the task is gone.
+    /// response that renews a lease, even when the leader may no longer act: a leader that
+    /// knows of a cancellation must not let its tasks run on. A stop names an attempt and
+    /// may be repeated; sending it is no evidence that the task is gone.
     pub fn stops_for_cancelled(&self, heartbeat: &Heartbeat) -> Vec<Command> {
         let live = heartbeat.tasks.iter().filter(|t| t.state != TaskState::Exited);
         live.filter(|t| self.jobs.get(&t.task.job).is_some_and(|job| job.cancelled))
@@ -63,9 +64,10 @@
     }
 }
 
-/// Whether a start may still be on its way to a task that was to be stopped longer than
-/// `max_stop_delay` ago. Where commands don't get through, it could be accepted for as
-/// long as the worker's lease is renewed by responses; a fresh token has it refused.
+/// Whether the start of a task may still be in flight although the task's stop was ordered
+/// more than `max_stop_delay` ago. If commands don't get through, the worker could accept
+/// that start for as long as responses renew its lease; a fresh token makes the worker
+/// refuse the start.
 fn has_outstanding_start(machine: &Machine, max_stop_delay: Duration, now: Instant) -> bool {
     machine.slots.values().any(|slot| {
         slot.state == SlotState::Placed
--- a/src/core/evidence/heartbeats/absence.rs
+++ b/src/core/evidence/heartbeats/absence.rs
@@ -1,11 +1,11 @@
-//! Evidence that an attempt is gone from its machine.
+//! Finds the attempts that a message proves to be gone from their machine.
 
 use crate::core::state::machine::Machine;
 use crate::core::state::slot::Slot;
 use crate::wire::{Heartbeat, TaskId};
 
-/// Attempts that the model has on the machine, and that this message proves to be
-/// neither there nor to come. Their slots may be dropped.
+/// Attempts with a slot on the machine that, as this message proves, neither are on the
+/// machine nor can be started there any more. Their slots may be removed.
 pub(super) fn absent_attempts(machine: &Machine, heartbeat: &Heartbeat) -> Vec<TaskId> {
     let slots = machine.slots.iter();
     slots
@@ -21,16 +21,17 @@
 }
 
 /// Whether no start of an attempt that the message doesn't list can take effect any
-/// more. Absence from the list alone is no evidence: the start may still be on its way.
+/// more. Absence from the list alone is no evidence, as the start may still be in flight.
+/// Either of two conditions suffices:
 ///
-/// - The worker has seen a token at least as high as the last one that carried the
-///   start. It refuses commands below the highest token it has seen, each command has a
-///   token of its own, and no heartbeat response carries the token of a command that is
-///   on its way. So the start was executed before this message, or will be refused.
-/// - Or its incarnation is later than the one that the start was sent to. A restarted
+/// - The worker has seen a token at least as high as the last one that was sent with the
+///   start. It refuses commands below the highest token that it has seen, each batch of
+///   commands has its own token, and no heartbeat response carries the token of a batch in
+///   flight. So the start was executed before this message, or will be refused.
+/// - The worker's incarnation is later than the one that the start was sent to. A restarted
 ///   worker has killed and forgotten its tasks, and it refuses commands that are meant
-///   for another incarnation. This holds for starts of this term alone: of those of
-///   earlier terms the incarnation isn't known (`start_incarnation` is 0).
+///   for another incarnation. This applies to starts of this term only: the incarnation
+///   for starts of earlier terms isn't known (`start_incarnation` is 0).
 fn start_cannot_take_effect(slot: &Slot, heartbeat: &Heartbeat) -> bool {
     let is_token_seen = slot.start_token > 0 && heartbeat.token >= slot.start_token;
     let is_later_incarnation = slot.start_incarnation > 0 && heartbeat.incarnation > slot.start_incarnation;
--- a/src/core/evidence/heartbeats/exit.rs
+++ b/src/core/evidence/heartbeats/exit.rs
@@ -1,4 +1,4 @@
-//! What follows from the end of an attempt.
+//! Applies the end of an attempt to its slot, job and machine.
 
 use std::time::{Duration, Instant};
 
@@ -11,23 +11,25 @@
 use crate::core::storage::wal::{LogEntry, WriteAheadLog};
 use crate::wire::{ExitReason, JobKind, ReportedTask};
 
-/// How long nothing more is placed on a machine that refused a start for want of room:
-/// long enough for the tasks that still hold the room to end or to be reported.
+/// How long no task is placed on a machine that refused a start for lack of free
+/// resources: long enough for the tasks that still hold the resources to end or to be
+/// reported.
 const FULL_MACHINE_PAUSE: Duration = Duration::from_secs(3);
-/// How long a job pauses after a worker didn't know one of its tasks.
+/// How long no task of a job is placed after a worker reported one of its attempts as
+/// unknown.
 const UNKNOWN_TASK_PAUSE: Duration = Duration::from_secs(2);
 
-/// What the end of an attempt means to its machine.
+/// What the end of an attempt means for its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ExitEffect {
-    /// Nothing further.
+    /// The machine needs no check for faults.
     None,
-    /// The attempt failed, so that the machine may be faulty.
+    /// The attempt failed, so the machine may be faulty.
     AttemptFailed,
 }
 
-/// Takes in that an attempt has ended. Its slot stays until the outcome is stored and
-/// the worker has acknowledged that; its task is placed again unless it is done.
+/// Records that an attempt has ended. Its slot stays until the outcome is stored and the
+/// worker has received the acknowledgement. Its task is placed again unless it is done.
 pub(super) fn apply_exit(
     machine: &mut Machine,
     job: Option<&mut Job>,
@@ -74,9 +76,9 @@
     effect
 }
 
-/// Notes that a task of a batch or gang job is done. Returns the mark of the log entry
-/// that says so; `None` for a service, which is never done, or a task that the job
-/// doesn't have.
+/// Records that a task of a batch or gang job is done. Returns the mark of the log entry
+/// that records it; `None` for a service, whose tasks are never done, or for a task that
+/// the job doesn't have.
 fn record_done(
     job: &mut Job,
     log: &mut WriteAheadLog,
@@ -97,8 +99,8 @@
     Some(mark)
 }
 
-/// Counts a failure against both the machine and the job: which of the two is at fault
-/// shows by the failures elsewhere.
+/// Counts a failure against both the machine and the job. Failures elsewhere show which
+/// of the two is faulty.
 fn record_failure(machine: &mut Machine, job: &mut Job, ran: Option<Duration>, now: Instant) {
     job.failures.record(&machine.id, ran.unwrap_or_default(), now);
     machine.failures += 1;
--- a/src/core/evidence/heartbeats/machine.rs
+++ b/src/core/evidence/heartbeats/machine.rs
@@ -1,4 +1,4 @@
-//! What a message says of its machine: order, identity, token and spot notice.
+//! Applies what a message says about its machine: order, identity, token and spot notice.
 
 use std::time::{Duration, Instant};
 
@@ -7,12 +7,12 @@
 use crate::core::state::machine::{Machine, MachinePhase, MessageOrder};
 use crate::wire::Heartbeat;
 
-/// Whether a message is newer than all taken in before, by incarnation and sequence.
-/// If so, the worker is known to have been alive now.
+/// Accepts a message if it is newer than all accepted before, by incarnation and sequence,
+/// and returns whether it was. An accepted message shows that the worker is alive now.
 ///
-/// Rests on the worker: it counts its messages, and a restarted worker has a higher
-/// incarnation. A message that is not newer may be a copy that the network held back,
-/// and the tasks that it lists may have ended since.
+/// Relies on the worker to number its messages and to have a higher incarnation after a
+/// restart. A message that is not newer may be a copy that was delayed in the network, and
+/// the tasks that it lists may have ended since.
 pub(super) fn accept_message(machine: &mut Machine, heartbeat: &Heartbeat, now: Instant) -> bool {
     if MessageOrder::of(heartbeat) <= machine.newest_message {
         return false;
@@ -28,8 +28,8 @@
     true
 }
 
-/// Takes in where the machine is. Returns whether that has changed, so that it has to
-/// be logged: the next leader probes the address that the log names.
+/// Updates the machine if its worker reports another address or machine type. Returns
+/// whether it did, so that the change is logged: the next leader probes the logged address.
 pub(super) fn update_identity(machine: &mut Machine, heartbeat: &Heartbeat) -> bool {
     if machine.addr == heartbeat.addr && machine.machine_type == heartbeat.machine_type {
         return false;
@@ -41,9 +41,9 @@
     true
 }
 
-/// Takes in the highest token that the worker has seen, and when the cloud reclaims
-/// the machine. A worker that has seen no token of this term has to be probed, as a
-/// command of an earlier leader may still reach it.
+/// Updates the highest token that the worker has seen, and when the cloud reclaims the
+/// machine. A worker that has seen no token of this term has to be probed, as a command of
+/// an earlier leader may still reach it.
 pub(super) fn update_token_and_notice(machine: &mut Machine, heartbeat: &Heartbeat, term: u64, now: Instant) {
     machine.seen_token = machine.seen_token.max(heartbeat.token);
     let reclaim_at = heartbeat
@@ -51,7 +51,11 @@
         .and_then(|seconds| Duration::try_from_secs_f64(seconds.max(0.0)).ok())
         .map(|notice| now + notice);
     if machine.reclaim_at.is_none() && reclaim_at.is_some() {
-        debug!(machine = %heartbeat.machine, notice_s = heartbeat.reclaim_in_s, "spot notice");
+        debug!(
+            machine = %heartbeat.machine,
+            notice_s = heartbeat.reclaim_in_s,
+            "spot notice: the cloud is going to reclaim the machine"
+        );
     }
     machine.reclaim_at = reclaim_at;
     if !machine.is_fenced_by(term) {
--- a/src/core/evidence/heartbeats/mod.rs
+++ b/src/core/evidence/heartbeats/mod.rs
@@ -1,15 +1,16 @@
-//! What a message of a worker changes: a heartbeat, or the response to a command,
-//! which has the same form.
+//! Applies messages of workers: heartbeats, and the responses to commands, which have the
+//! same form.
 //!
-//! A message is taken in by these steps, in this order:
+//! A message is applied in these steps, in this order:
 //!
-//! 1. `machine`: is it newer than what is known, and what does it say of the machine?
-//! 2. `absence`: which attempts does it prove to be gone?
-//! 3. `reported_task`, `exit`: what does it say of each task that it lists?
+//! 1. `machine`: ignore the message unless it is newer than all applied before, and update
+//!    the machine.
+//! 2. `absence`: remove the attempts that it proves to be gone.
+//! 3. `reported_task`, `exit`: apply the state of each task that it lists.
 //!
-//! Everything rests on two orders. Messages of one worker are ordered by incarnation
-//! and sequence; of a late copy nothing is taken in. Commands to one machine are
-//! ordered by fencing token; a worker refuses those below the highest token it has seen.
+//! The steps rely on two orders. Messages of one worker are ordered by incarnation and
+//! sequence, so that delayed copies are ignored. Commands to one machine are ordered by
+//! fencing token: a worker refuses those below the highest token that it has seen.
 
 mod absence;
 mod exit;
@@ -25,34 +26,34 @@
 use crate::core::state::token;
 use crate::wire::{Heartbeat, MachineId, TaskState};
 
-/// What came of a message of a worker.
+/// Whether a message of a worker was applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    /// Ignored: its machine is released for certain.
+    /// Ignored: the release of its machine is confirmed.
     MachineReleased,
     /// Ignored: a newer message of the same worker, or a later incarnation, is known.
     Outdated,
-    /// Taken in.
+    /// Applied to the model.
     Applied,
 }
 
-/// A message while it is applied, and what holds for all its tasks.
+/// A message that is being applied, with what holds for all its tasks.
 struct AcceptedHeartbeat<'a> {
     heartbeat: &'a Heartbeat,
     /// Whether the worker had seen a token of this term when it sent the message.
-    /// Otherwise it may be a late copy from before the term.
+    /// Otherwise it may be a delayed copy from before the term.
     fenced: bool,
-    /// Room for images on the machine, in GB.
+    /// Size of the machine's image cache, in GB.
     cache_gb: f64,
-    /// When it arrived.
+    /// When the message arrived.
     now: Instant,
 }
 
 impl ClusterModel {
-    /// Takes in a message of a worker: a heartbeat, or the response to a command.
+    /// Applies a message of a worker: a heartbeat, or the response to a command.
     ///
-    /// Messages may come late, twice and in any order; one that is not newer than
-    /// what is known changes nothing.
+    /// Messages may arrive late, twice and in any order. One that is not newer than all
+    /// applied before changes nothing.
     pub fn apply_heartbeat(&mut self, heartbeat: &Heartbeat, now: Instant) -> HeartbeatOutcome {
         if self.released_machines.contains(&heartbeat.machine) {
             return HeartbeatOutcome::MachineReleased;
@@ -72,7 +73,7 @@
         machine::update_token_and_notice(machine, heartbeat, self.term, now);
         let absent = absence::absent_attempts(machine, heartbeat);
         for task in absent {
-            debug!(%task, machine = %heartbeat.machine, "attempt is gone from its machine");
+            debug!(%task, machine = %heartbeat.machine, "attempt is gone from its machine, slot removed");
             self.remove_slot(&heartbeat.machine, task, now);
         }
         self.apply_reported_tasks(&AcceptedHeartbeat {
@@ -85,17 +86,18 @@
         HeartbeatOutcome::Applied
     }
 
-    /// Room for images on machines of a type; unlimited while the type is not known.
+    /// Size of the image cache on machines of a type, in GB; unlimited while the type is
+    /// not known.
     fn image_cache_gb(&self, machine_type: &str) -> f64 {
         let known = self.machine_types.iter().find(|t| t.name == machine_type);
         known.map_or(f64::MAX, |t| t.cache_gb)
     }
 
-    /// Adds a machine that reports though neither the log nor the cloud has named
-    /// it yet: it was rented by an earlier leader, or its rental is not confirmed.
+    /// Adds a machine whose worker sends heartbeats although neither the log nor the cloud
+    /// has listed it yet: an earlier leader rented it, or its rental is not confirmed.
     fn adopt_unknown_machine(&mut self, id: &MachineId, now: Instant) {
         if !self.machines.contains_key(id) {
-            info!(machine = %id, "unknown machine reports, adopted");
+            info!(machine = %id, "heartbeat of an unknown machine, machine adopted");
             self.machines.insert(id.clone(), Machine::new(id.clone(), now));
         }
     }
--- a/src/core/evidence/heartbeats/reported_task.rs
+++ b/src/core/evidence/heartbeats/reported_task.rs
@@ -1,4 +1,4 @@
-//! What a message says of each task that it lists.
+//! Applies what a message says about each task that it lists.
 
 use std::collections::btree_map::{BTreeMap, Entry};
 use std::sync::Arc;
@@ -21,12 +21,17 @@
         };
         let mut job = self.jobs.get_mut(&task.task.job);
         if let Entry::Vacant(vacant) = machine.slots.entry(task.task) {
-            // A message from before this term's fence may be a late copy: the task may
-            // have ended since, so it makes no slot.
+            // A message sent before the worker saw a token of this term may be a delayed
+            // copy. The task may have ended since, so no slot is added for it.
             if !accepted.fenced {
                 return;
             }
-            debug!(task = %task.task, attempt = task.attempt, machine = %machine.id, "unexpected task");
+            debug!(
+                task = %task.task,
+                attempt = task.attempt,
+                machine = %machine.id,
+                "heartbeat lists a task that has no slot, slot added to stop it"
+            );
             let spec = job.as_ref().map(|job| job.spec.clone());
             vacant.insert(unexpected_slot(task, spec, self.term, accepted.now));
             machine.idle_since = None;
@@ -44,9 +49,10 @@
         }
     }
 
-    /// A task runs as another attempt than the model has there: that one, too, takes
-    /// room and may run, until the worker no longer lists it. The slot is stopped, and
-    /// if its own attempt has ended, it stands for the other from now on.
+    /// Handles a listed attempt that differs from the one in its task's slot. The listed
+    /// one, too, may run and takes resources until the worker no longer lists it. The slot
+    /// is to be stopped, and if its own attempt has ended, it holds the listed attempt from
+    /// now on.
     pub(super) fn track_unexpected_attempt(&mut self, machine: &MachineId, task: &ReportedTask) {
         let slots = self.machines.get_mut(machine).map(|machine| &mut machine.slots);
         let Some(slot) = slots.and_then(|slots| slots.get_mut(&task.task)) else {
@@ -67,18 +73,19 @@
     }
 }
 
-/// A slot for a task that is on the machine though the model has none for it: its job
-/// is complete or cancelled, or it is an attempt of another leader. It takes room until
-/// it is gone, and is stopped.
+/// A slot for a task that is on the machine although the model has no slot for it: its job
+/// is complete or cancelled, or another leader started the attempt. The task takes
+/// resources until it is gone, and is to be stopped.
 fn unexpected_slot(task: &ReportedTask, spec: Option<Arc<JobSpec>>, term: u64, now: Instant) -> Slot {
     let mut slot = Slot::unknown(task.attempt, spec, term, now);
     slot.order_stop(Duration::ZERO, now);
     slot
 }
 
-/// The slot that a reported task updates: that of the same attempt, unless its end is
-/// known already. An attempt ends once, whatever is reported of it afterwards; another
-/// attempt is one that has ended and is not acknowledged yet, beside a new one.
+/// The slot that a reported task updates: the slot of the same attempt, unless the attempt
+/// has ended already. An attempt ends once, whatever is reported about it afterwards. A
+/// slot of a different attempt is not updated: the reported attempt either has ended and is
+/// not acknowledged yet, beside a new one, or is left to `track_unexpected_attempt`.
 pub(super) fn reported_slot<'a>(
     slots: &'a mut BTreeMap<TaskId, Slot>,
     task: &ReportedTask,
@@ -89,7 +96,7 @@
     (slot.attempt == task.attempt && slot.takes_resources()).then_some(slot)
 }
 
-/// Takes in the state of an attempt that has not ended.
+/// Applies the reported state of an attempt that has not ended.
 fn apply_progress(
     machine: &mut Machine,
     job: Option<&mut Job>,
--- a/src/core/evidence/invariants.rs
+++ b/src/core/evidence/invariants.rs
@@ -1,15 +1,14 @@
-//! What must hold whatever happens, checked while the program runs. A violation is
-//! logged as an error with its evidence; it doesn't end the process, which has workers
-//! to serve.
+//! Invariants that are checked at run time. A violation is logged as an error with its
+//! evidence; it doesn't end the process, which has workers to serve.
 
 use crate::core::state::model::ClusterModel;
 use crate::wire::{Heartbeat, ReportedTask, TaskState};
 
 impl ClusterModel {
     /// Tasks that a heartbeat lists as alive although the model has no slot for that
-    /// attempt on that machine, or knows no such job. To be called once the heartbeat is
-    /// applied. Empty until the machine obeys this term: before, its heartbeats may be
-    /// late copies.
+    /// attempt on that machine, or has no such job. To be called after the heartbeat was
+    /// applied. Empty until the machine is fenced by this term: before, its heartbeats may
+    /// be delayed copies.
     pub fn unknown_tasks<'a>(&'a self, heartbeat: &'a Heartbeat) -> impl Iterator<Item = &'a ReportedTask> {
         let machine = self.machines.get(&heartbeat.machine);
         let machine = machine.filter(|machine| machine.is_fenced_by(self.term));
--- a/src/core/evidence/liveness.rs
+++ b/src/core/evidence/liveness.rs
@@ -1,4 +1,4 @@
-//! Silence of machines, and the expiry of their workers' leases.
+//! Detects silent machines and expired leases of workers.
 
 use std::time::{Duration, Instant};
 
@@ -8,14 +8,15 @@
 use crate::core::state::model::ClusterModel;
 use crate::wire::MachineId;
 
-/// Added to the life of a worker's lease before it counts as expired.
+/// Time after the end of a worker's lease before the lease counts as expired.
 const LEASE_MARGIN: Duration = Duration::from_secs(1);
-/// Also added is the lease's life divided by this, for the drift of the worker's clock.
+/// The lease's lifetime divided by this is added as well, for the drift of the worker's
+/// clock.
 const LEASE_DRIFT_DIVISOR: u32 = 500;
 
 impl ClusterModel {
-    /// This process was paused until now: heartbeats that it missed meanwhile don't
-    /// count as silence.
+    /// Records that this process was paused until now: heartbeats that it missed meanwhile
+    /// don't count as silence.
     pub fn ignore_silence_before(&mut self, now: Instant) {
         self.listening_since = Some(now);
     }
@@ -27,8 +28,9 @@
         last.map_or(Duration::ZERO, |last| now.saturating_duration_since(last))
     }
 
-    /// Whether all machines that were up when this term began obey it: each has reported
-    /// a token of this term, so it refuses commands of earlier leaders.
+    /// Whether no machine that is up still needs a probe to be fenced. A fenced machine has
+    /// reported a token of this term, so it refuses commands of earlier leaders. A machine
+    /// with a probe in flight counts as needing none.
     pub fn all_machines_fenced(&self) -> bool {
         let machines = self.machines.values();
         let mut up = machines.filter(|machine| machine.phase == MachinePhase::Up);
@@ -37,10 +39,10 @@
 
     /// Whether the lease of a machine's worker has expired for certain.
     ///
-    /// Rests on the worker obeying this term, so that no other leader's responses renew
-    /// its lease, and on the last response or heartbeat of this term being longer ago
-    /// than the lease lasts by the slowest clock allowed. A worker whose lease expires
-    /// kills all its tasks and forgets them.
+    /// Two conditions make it certain. The worker is fenced by this term, so that no other
+    /// leader's responses renew its lease. And the last response or heartbeat of this term
+    /// is longer ago than the lease lasts by the slowest clock allowed. A worker whose lease
+    /// expires kills all its tasks and forgets them.
     pub(in crate::core) fn is_lease_expired(&self, machine: &Machine, now: Instant) -> bool {
         let lease = self.config.worker_lease + self.config.worker_lease / LEASE_DRIFT_DIVISOR + LEASE_MARGIN;
         let last = machine.last_heartbeat_response.max(machine.last_heartbeat);
@@ -49,9 +51,9 @@
             && last.is_some_and(|last| now.saturating_duration_since(last) > lease)
     }
 
-    /// Drops the slots of machines whose lease has expired: their workers have killed
-    /// and forgotten all tasks. From then on no message of that incarnation is taken in,
-    /// as it can only be a late copy from before the expiry.
+    /// Removes the slots of machines whose lease has expired: their workers have killed
+    /// and forgotten all tasks. Later messages of that incarnation are ignored, as they can
+    /// only be delayed copies from before the expiry.
     pub fn expire_leases(&mut self, now: Instant) {
         let expired: Vec<MachineId> = self
             .machines
@@ -62,7 +64,7 @@
         if !expired.is_empty() {
             info!(
                 machines = expired.len(),
-                "worker leases expired, their tasks are placed again"
+                "worker leases expired; their tasks are placed again"
             );
         }
         for id in expired {
--- a/src/core/evidence/permission.rs
+++ b/src/core/evidence/permission.rs
@@ -1,9 +1,9 @@
-//! Whether a command may still be sent.
+//! Checks whether a command may still be sent.
 //!
-//! A command is decided in a scheduling round and sent later: it may wait for a socket
-//! behind machines that hang. What it was decided on is old by then, so it is checked
-//! again at the moment of sending. Only that check makes the [`SendPermit`] that sending
-//! takes.
+//! A command is decided in a scheduling round and sent later, as it may wait for a socket
+//! behind machines that hang. The state that the decision was based on may be outdated by
+//! then, so the command is checked again at the moment of sending. Only that check creates
+//! the [`SendPermit`] that is needed for sending.
 
 use std::collections::BTreeMap;
 
@@ -13,49 +13,50 @@
 use crate::core::state::model::ClusterModel;
 use crate::wire::{Command, CommandBatch, JobId, MachineId, TaskId};
 
-/// The right to send one batch of commands now. Only [`ClusterModel::permit_send`] makes
-/// one; sending consumes it.
+/// Permission to send one batch of commands now. Only [`ClusterModel::permit_send`]
+/// creates one; sending consumes it.
 #[derive(Debug)]
 pub struct SendPermit(());
 
 impl SendPermit {
-    /// Uses the permit up, when the batch is sent.
+    /// Consumes the permit when the batch is sent.
     pub fn consume(self) {}
 }
 
-/// Why a task may not be started. What is not known counts as not allowed.
+/// Why a task may not be started. A start is refused whenever the model doesn't know
+/// that it is allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StartRefusal {
-    /// No such unfinished job is known.
-    #[error("its job is not known")]
+    /// The model has no such unfinished job.
+    #[error("its job is unknown")]
     JobUnknown,
     /// The job is cancelled, or its cancellation is being stored.
     #[error("its job is cancelled")]
     JobCancelled,
-    /// A job that it depends on is not known to be done.
-    #[error("its job waits for others")]
+    /// A job that its job depends on is not known to be done.
+    #[error("its job waits for dependencies")]
     DependenciesNotDone,
-    /// The task has no slot on that machine, or one of another attempt.
-    #[error("it has no place there")]
+    /// The machine is unknown or being released, or has no slot for this attempt.
+    #[error("this attempt is not placed on the machine")]
     NotPlaced,
-    /// It is to be stopped there.
-    #[error("it is to be stopped")]
+    /// A stop of this attempt is ordered.
+    #[error("this attempt is to be stopped")]
     Stopping,
 }
 
-/// Why a command is not sent.
+/// Why a batch of commands is not sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SendRefusal {
-    /// The right to act has ended.
-    #[error("the right to act has ended")]
+    /// The leader may no longer act, see [`crate::core::evidence::authority`].
+    #[error("the leader may no longer act")]
     NoAuthority,
-    /// It would start a task that may not be started any more.
-    #[error("{0} may not be started: {1}")]
+    /// The batch would start a task that may not be started any more.
+    #[error("task {0} may not be started: {1}")]
     Start(TaskId, StartRefusal),
 }
 
-/// Whether a job's tasks may be started, as far as that depends on the job and its
-/// dependencies and not on any machine.
+/// Checks whether a job's tasks may be started, as far as that depends on the job and
+/// its dependencies and not on any machine.
 pub(in crate::core) fn check_job(
     jobs: &BTreeMap<JobId, Job>,
     dependencies: &Dependencies,
@@ -72,8 +73,8 @@
 }
 
 impl ClusterModel {
-    /// Checks commands that were decided earlier by what is known now; `may_act` says
-    /// whether the leader may still act. Stops and acknowledgements need only that.
+    /// Checks commands that were decided earlier against the present state. `may_act` says
+    /// whether the leader may still act, which is all that stops and acknowledgements need.
     pub fn permit_send(
         &self,
         machine: &MachineId,
@@ -92,7 +93,7 @@
         Ok(SendPermit(()))
     }
 
-    /// Whether an attempt that was placed may be started now.
+    /// Checks whether an attempt that was placed may be started now.
     fn check_start(&self, machine: &MachineId, task: TaskId, attempt: u64) -> Result<(), StartRefusal> {
         check_job(&self.jobs, &self.dependencies, task.job)?;
         let machine = self
@@ -109,8 +110,8 @@
         Ok(())
     }
 
-    /// A command was not sent after all: nothing is in doubt, and the next may be due at
-    /// once.
+    /// Records that a batch of commands was not sent after all. The worker can't have
+    /// executed it, so no probe is needed, and the next batch may be due at once.
     pub fn command_withheld(&mut self, machine: &MachineId) {
         if let Some(state) = self.machines.get_mut(machine) {
             state.command_in_flight = false;
--- a/src/core/evidence/probation.rs
+++ b/src/core/evidence/probation.rs
@@ -1,4 +1,4 @@
-//! How many tasks a job on probation may have placed.
+//! Limits how many tasks of a job on probation are placed at once.
 
 use std::time::Instant;
 
@@ -8,9 +8,10 @@
 use crate::wire::TaskId;
 
 impl ClusterModel {
-    /// How many tasks of a job may be placed at once. Of a job on probation, that grows
-    /// with the tasks that have run for longer than its trial, by what their machines
-    /// report; see [`crate::core::state::probation`]. Other jobs are not limited.
+    /// How many tasks of a job may be placed at once. For a job on probation the limit
+    /// grows with the number of tasks that have run for longer than its trial according to
+    /// their machines' heartbeats, see [`crate::core::state::probation`]. Other jobs are not
+    /// limited.
     pub fn placement_limit(&self, job: &Job, now: Instant) -> u32 {
         if !job.on_probation(now) {
             return u32::MAX;
--- a/src/core/evidence/reachability.rs
+++ b/src/core/evidence/reachability.rs
@@ -1,22 +1,23 @@
-//! Machines that send heartbeats but don't answer commands.
+//! Detects machines that send heartbeats but don't answer commands.
 //!
-//! Heartbeats may arrive by way of other controllers while the leader's own links to
-//! the workers are cut.
+//! Heartbeats may arrive through other controllers while the network between the leader
+//! and the workers is partitioned.
 
 use std::time::{Duration, Instant};
 
 use crate::core::state::machine::{Machine, MachinePhase};
 use crate::core::state::model::ClusterModel;
 
-/// For this long a machine must ignore commands to count against the leader's links,
-/// and for this long an answer to a command counts in their favour.
+/// A machine that has ignored commands for this long is evidence of a partition, and one
+/// that has answered a command within this time is evidence against it.
 const PARTITION_WINDOW: Duration = Duration::from_secs(5);
-/// More machines than this must ignore commands: fewer may be at fault themselves.
+/// Up to this many machines that ignore commands may be faulty themselves; only more are
+/// taken for a partition.
 const MAX_FAULTY_MACHINES: usize = 2;
 
 impl ClusterModel {
-    /// Whether a machine sends heartbeats but has answered no command for `at_least`,
-    /// counted while this process listened.
+    /// Whether a machine sends heartbeats but has left commands unanswered for `at_least`,
+    /// not counting time before the end of this process's last pause.
     pub fn ignores_commands(&self, machine: &Machine, now: Instant, at_least: Duration) -> bool {
         let is_within = |at: Instant, span: Duration| now.saturating_duration_since(at) < span;
         let max_silence = self.config.heartbeat_interval * 2;
@@ -31,12 +32,12 @@
             && unanswered_since.is_some_and(|since| !is_within(since, at_least))
     }
 
-    /// Whether more machines ignore commands than have answered one of late. Then this
+    /// Whether more machines ignore commands than have answered one recently. Then this
     /// leader alone is partitioned from the workers: it would go on renewing their
     /// leases while its stops never arrive, so another controller should lead.
     pub fn is_partitioned_from_workers(&self, now: Instant) -> bool {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < PARTITION_WINDOW;
-        // Idle machines are sent no commands, so they count on neither side.
+        // Idle machines are sent no commands, so they don't count.
         let answering = self.machines.values().filter(|machine| {
             machine.commands_unanswered_since.is_none() && machine.last_command_answer.is_some_and(is_recent)
         });
--- a/src/core/storage/atomic_write.rs
+++ b/src/core/storage/atomic_write.rs
@@ -1,27 +1,28 @@
-//! Changes of the state service that are made together or not at all.
+//! Changes in the state service that are made together or not at all.
 
 use std::collections::HashSet;
 
 use serde_json::Value;
 
-/// Changes that belong together, guarded by what the leader knows of the keys.
+/// Changes that are made together, on condition that the keys are as the leader knows them.
 #[derive(Debug, Default)]
 pub struct AtomicWrite {
-    /// Keys and their new values (`None`: to be deleted).
+    /// Keys and their new values; `None` deletes the key.
     pub changes: Vec<(String, Option<Value>)>,
-    /// Keys that must not exist, whether they change or not.
+    /// Keys that must not exist beforehand, whether they are changed or not.
     pub absent: Vec<String>,
-    /// A user waits for it: it goes before the log and final states.
+    /// A user or other jobs wait for this write, so it is sent before the log and other
+    /// final states.
     pub urgent: bool,
 }
 
 impl AtomicWrite {
-    /// The keys that it names.
+    /// All keys that are changed or must not exist.
     pub(crate) fn keys(&self) -> impl Iterator<Item = &String> {
         self.changes.iter().map(|change| &change.0).chain(&self.absent)
     }
 
-    /// Whether it names one of the keys.
+    /// Whether one of `keys` is changed or must not exist.
     pub(crate) fn uses_any(&self, keys: &HashSet<String>) -> bool {
         self.keys().any(|key| keys.contains(key))
     }
--- a/src/core/storage/mod.rs
+++ b/src/core/storage/mod.rs
@@ -1,11 +1,11 @@
-//! What survives a leader: records in the state service and the write-ahead log.
+//! State that outlives a leader: records in the state service and the write-ahead log.
 //!
 //! - [`record`]: keys and values of jobs, final states and the election.
 //! - [`wal`]: the log of machines, starts and done tasks; only the model pushes to it.
 //! - [`atomic_write`]: changes that are made together or not at all.
 //! - [`pending_writes`]: which writes of the model are due.
 //!
-//! Nothing here does I/O: the leader sends the writes.
+//! These modules do no I/O: the leader sends the writes.
 
 pub mod atomic_write;
 pub mod pending_writes;
--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -15,31 +15,31 @@
 use crate::core::storage::wal::{LogAppend, LogEntry};
 use crate::wire::{JobId, JobKind, JobState, MachineId, TaskId};
 
-/// Entries of the log that no start waits for are written at most so often.
+/// Least time between an append to the log and a next one that no start waits for.
 const NON_URGENT_APPEND_PAUSE: Duration = Duration::from_millis(800);
-/// Bytes of the log in one transaction, below the protocol's 64 KiB.
+/// Most bytes of the log in one transaction, below the protocol's limit of 64 KiB.
 const MAX_LOG_BYTES: usize = 44 * 1024;
-/// Bytes that a machine takes in the log, about.
+/// Approximate size of a machine in the log.
 const MACHINE_ENTRY_BYTES: usize = 90;
-/// Bytes that the start of a task takes in the log, about.
+/// Approximate size of the start of a task in the log.
 const START_ENTRY_BYTES: usize = 50;
-/// Bytes that a done task takes in the log, about.
+/// Approximate size of a done task in the log.
 const DONE_TASK_BYTES: usize = 6;
 /// Least time between two writes of the teams' ratios.
 const MIN_RATIOS_INTERVAL: Duration = Duration::from_secs(3);
 
-/// A write that is due.
+/// A write to the state service that is due.
 #[derive(Debug, Clone)]
 pub enum PendingWrite {
     /// Segments of the write-ahead log.
     Append(LogAppend),
-    /// A job's final state, in place of its unfinished record.
+    /// A job's final state, which replaces the record of the unfinished job.
     Final {
-        /// The job.
+        /// Id of the job.
         id: JobId,
-        /// What is written.
+        /// The record that is written.
         record: FinalRecord,
-        /// Other jobs wait for it, so that the write is urgent.
+        /// Other jobs depend on this one and it is done, so the write is urgent.
         has_dependents: bool,
     },
     /// The teams' run-to-estimate ratios (Last Model).
@@ -47,7 +47,7 @@
 }
 
 impl PendingWrite {
-    /// The changes of the state service that make up this write.
+    /// The changes in the state service that this write consists of.
     pub fn to_atomic_write(&self) -> AtomicWrite {
         let put = |v: Result<serde_json::Value, _>| v.ok();
         let changes = match self {
@@ -77,8 +77,8 @@
 }
 
 impl ClusterModel {
-    /// Takes the writes that are due now. Each is taken once: its end is reported by
-    /// [`ClusterModel::write_finished`].
+    /// Takes the writes that are due now. Each is taken once; the caller reports its end
+    /// to [`ClusterModel::write_finished`].
     pub fn take_due_writes(&mut self, now: Instant) -> Vec<PendingWrite> {
         let mut writes = Vec::new();
         writes.extend(self.take_log_append(now).map(PendingWrite::Append));
@@ -88,8 +88,8 @@
         writes
     }
 
-    /// Adds the final states of the jobs that have ended to `writes`, and learns the
-    /// run times of those that are done.
+    /// Adds the final states of the jobs that have ended to `writes`, and updates the
+    /// run-to-estimate ratios of their teams by those that are done.
     fn take_final_states(&mut self, writes: &mut Vec<PendingWrite>, now: Instant) {
         let mut learned_ratios = Vec::new();
         let mut cancelled_remaining = self.max_new_cancelled_states();
@@ -125,9 +125,9 @@
         }
     }
 
-    /// How many cancelled jobs' final states may be taken besides those that are
-    /// being written: a long chain is cancelled at once, and its many final states
-    /// must not hold up the log.
+    /// How many final states of cancelled jobs may be taken in addition to those that are
+    /// being written. A long chain of dependent jobs is cancelled at once, and its many
+    /// final states must not delay the log.
     fn max_new_cancelled_states(&self) -> usize {
         let pending = self
             .jobs
@@ -137,7 +137,7 @@
         self.config.max_transaction_changes.max(2).saturating_sub(pending)
     }
 
-    /// Takes the teams' ratios if they changed, at most once in
+    /// Takes the teams' ratios if they have changed, at most once per
     /// [`MIN_RATIOS_INTERVAL`].
     fn take_run_time_ratios(&mut self, now: Instant) -> Option<BTreeMap<String, f64>> {
         let is_due = self
@@ -151,8 +151,8 @@
         Some(self.ratios_that_fit())
     }
 
-    /// The ratios, as many as fit into a value: a team without one is predicted
-    /// by its estimates.
+    /// As many of the ratios as fit into one value. Run times of a team without a ratio are
+    /// predicted from its estimates.
     fn ratios_that_fit(&self) -> BTreeMap<String, f64> {
         let bytes = |entry: &(&String, &f64)| serde_json::to_string(entry).map_or(0, |text| text.len());
         let mut left = self.config.max_value_bytes;
@@ -163,9 +163,9 @@
         fitting.map(|(team, ratio)| (team.clone(), *ratio)).collect()
     }
 
-    /// Stops what may be left of jobs that were cancelled with one that they need.
-    /// They have no tasks, unless a version that knows of no dependencies led
-    /// meanwhile.
+    /// Stops tasks that may be left of jobs whose cancellation is stored, such as those
+    /// cancelled with a job that they depend on. The latter have no tasks, unless a version
+    /// that doesn't know of dependencies led meanwhile.
     fn stop_tasks_of_cancelled_jobs(&mut self, now: Instant) {
         let left = |j: &&Job| j.cancellation_is_stored() && !j.places.is_empty();
         let ids: Vec<JobId> = self.jobs.values().filter(left).map(|j| j.spec.id).collect();
@@ -197,14 +197,14 @@
         Some(append)
     }
 
-    /// About how many bytes of the log say what is still true.
+    /// Approximate size of the log entries that are still true.
     fn live_log_bytes(&self) -> usize {
         let slots: usize = self.machines.values().map(|machine| machine.slots.len()).sum();
         let done: usize = self.jobs.values().map(|job| job.done.count() as usize).sum();
         self.machines.len() * MACHINE_ENTRY_BYTES + slots * START_ENTRY_BYTES + done * DONE_TASK_BYTES
     }
 
-    /// A write is stored, or was not.
+    /// Records that a write has ended, and whether it is stored.
     pub fn write_finished(&mut self, write: &PendingWrite, stored: bool, now: Instant) {
         match write {
             PendingWrite::Append(append) if stored => self.log.append_stored(append),
@@ -218,7 +218,11 @@
                     self.remove_job(*id);
                 } else if let Some(job) = self.jobs.get_mut(id) {
                     job.final_write_pending = false;
-                    info!(job = %id, state = ?record.state, "its final state is not stored yet");
+                    info!(
+                        job = %id,
+                        state = ?record.state,
+                        "final state of the job was not stored, to be written again"
+                    );
                 }
             }
             PendingWrite::Append(_) | PendingWrite::Ratios(_) => {}
@@ -226,7 +230,7 @@
     }
 }
 
-/// The final state of a job without any place left; `None`: it has not ended.
+/// The final state of a job that has no task placed; `None` if the job has not ended.
 fn final_state(job: &Job) -> Option<JobState> {
     if job.cancellation_is_stored() {
         return Some(JobState::Cancelled);
@@ -234,7 +238,7 @@
     (job.is_complete() && !job.cancelled).then_some(JobState::Done)
 }
 
-/// What of a log entry is still true, to be kept by a compaction.
+/// The part of a log entry that is still true and that a compaction has to keep.
 fn live_part(
     entry: &LogEntry,
     machines: &BTreeMap<MachineId, Machine>,
@@ -266,8 +270,8 @@
     }
 }
 
-/// The run-to-estimate ratio of a finished job. Only what ended `done` counts,
-/// never errors or stops: a job that fails at once says nothing of run times.
+/// The run-to-estimate ratio of a finished job. Only tasks that ended `done` count, not
+/// failures or stops: a job that fails at once says nothing about run times.
 fn run_time_ratio(job: &Job) -> Option<f64> {
     if job.spec.kind == JobKind::Service || job.spec.estimate_s <= 0.0 || job.counted_runs == 0 {
         return None;
--- a/src/core/storage/record.rs
+++ b/src/core/storage/record.rs
@@ -1,23 +1,24 @@
-//! What is kept in the state service: enough for a new leader to know every
-//! accepted job; what may be on which machine is in the log, see [`crate::core::storage::wal`].
+//! Records in the state service, from which a new leader learns every accepted job. Which
+//! task may be on which machine is in the log, see [`crate::core::storage::wal`].
 
 use serde::{Deserialize, Serialize};
 
 use crate::wire::{JobId, JobSpec, JobState};
 
-/// Key of the leader's election.
+/// Key of the leader's election, a [`LeaderRecord`].
 pub const LEADER_KEY: &str = "leader";
-/// Prefix of unfinished jobs.
+/// Prefix of the keys of unfinished jobs, each a [`JobRecord`].
 pub const JOB_PREFIX: &str = "jobs/";
-/// Prefix of finished jobs.
+/// Prefix of the keys of finished jobs, each a [`FinalRecord`].
 pub const FINAL_PREFIX: &str = "final/";
-/// Prefix of the segments of the write-ahead log.
+/// Prefix of the keys of the write-ahead log's segments.
 pub const SEGMENT_PREFIX: &str = "wal/";
-/// Prefix of jobs stored by a follower, for the leader to pick up.
+/// Prefix of the inbox marks: one for each job that a follower stored, for the leader to
+/// pick up.
 pub const INBOX_PREFIX: &str = "inbox/";
-/// The teams' run-to-estimate ratios.
+/// Key of the teams' run-to-estimate ratios.
 pub const RATIOS_KEY: &str = "ratios";
-/// The machine types, once read.
+/// Key of the machine types, stored once a leader has read them from the cloud.
 pub const MACHINE_TYPES_KEY: &str = "types";
 
 /// Key of an unfinished job.
@@ -32,17 +33,18 @@
 pub fn inbox_key(id: JobId) -> String {
     format!("{INBOX_PREFIX}{id}")
 }
-/// Key of a segment of the log; their order is that of their numbers.
+/// Key of a segment of the log. The number is padded, so that keys sort by it.
 pub fn segment_key(number: u64) -> String {
     format!("{SEGMENT_PREFIX}{number:012}")
 }
 
-/// The election.
+/// The elected leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
-    /// The leading controller.
+    /// Name of the leading controller.
     pub host: String,
-    /// Drawn by each process, to tell it from its earlier self.
+    /// Random number of its process, to tell a restarted controller from its earlier
+    /// process.
     pub nonce: u64,
 }
 
@@ -51,10 +53,10 @@
 pub struct JobRecord {
     /// What its user submitted.
     pub spec: JobSpec,
-    /// When, in milliseconds of the time of day.
+    /// When the job was accepted, in milliseconds since the Unix epoch.
     #[serde(rename = "at")]
     pub accepted_at_ms: u64,
-    /// Cancelled; tasks may still have to go.
+    /// Whether the job is cancelled; some of its tasks may not have ended yet.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub cancelled: bool,
 }
@@ -62,13 +64,13 @@
 /// A finished job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinalRecord {
-    /// `done` or `cancelled`.
+    /// Either `done` or `cancelled`.
     pub state: JobState,
-    /// Tasks done.
+    /// How many of its tasks are done.
     pub done: u32,
-    /// When it ended, in milliseconds of the time of day: the times of jobs that
-    /// wait for it count from then, also for a later leader. Earlier versions
-    /// neither write nor need it.
+    /// When the job ended, in milliseconds since the Unix epoch. The times of jobs that
+    /// depend on it, such as their waiting time, count from then, also for a later leader.
+    /// Earlier versions neither write nor need this field.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended_at: Option<u64>,
 }
--- a/src/core/storage/wal/compaction.rs
+++ b/src/core/storage/wal/compaction.rs
@@ -1,29 +1,29 @@
-//! Compaction: the live entries of the oldest segment are written again at the end,
-//! and the segment is deleted with the last of them.
+//! Compaction: the entries of the oldest segment that are still true (live) are written
+//! again at the end of the log, and the segment is deleted with the last of them.
 
 use std::collections::BTreeSet;
 
 use crate::core::storage::wal::entry::{merge_entries, LogEntry};
 use crate::core::storage::wal::WriteAheadLog;
 
-/// A transaction of so few changes has no room for both new entries and a whole
-/// step of a compaction.
+/// A transaction of at most this many changes can't hold both new entries and a whole step
+/// of a compaction.
 const SMALL_TRANSACTION: usize = 2;
 
-/// The oldest segment on its way out: what is live of it is written again at the
-/// end, over as many appends as that takes, and the last of them deletes it. It
-/// may be larger than the limits allow by now. Until it is deleted, what was
-/// moved stands twice, which changes nothing of a replay.
+/// A compaction in progress. The live entries of the oldest segment are written again at
+/// the end, over as many appends as necessary, and the last append deletes the segment. The
+/// segment may be larger than the present limits allow. Until it is deleted, the moved
+/// entries are stored twice, which doesn't change a replay.
 #[derive(Debug)]
 pub(super) struct Compaction {
     segment: u64,
-    /// Entries that are still to be moved.
+    /// Entries of the segment that are still to be moved.
     remaining: Vec<LogEntry>,
 }
 
 impl WriteAheadLog {
-    /// Takes a step of a compaction, if one is due; the segment that is to be
-    /// deleted once this append is stored, if the step is the last.
+    /// Takes a step of a compaction, if one is due. If it is the last step, returns the
+    /// number of the segment, which this append is to delete.
     pub(super) fn compact(
         &mut self,
         max_segments: usize,
@@ -41,7 +41,7 @@
             .take()
             .or_else(|| self.next_compaction(live_bytes))?;
         self.compacted_last_append = true;
-        // One change is kept for the deletion, one for what is new.
+        // One change is reserved for the deletion, and one for new entries.
         let max_changed = max_segments.saturating_sub(2).max(1);
         let entries = merge_entries(
             compaction.remaining.iter().filter_map(live),
@@ -62,7 +62,8 @@
         Some(segment)
     }
 
-    /// The compaction of the oldest segment, if the log is longer than it needs to be.
+    /// The compaction of the oldest segment, if the log has more segments than its live
+    /// entries need, with an allowance.
     fn next_compaction(&self, live_bytes: usize) -> Option<Compaction> {
         let max_segment_count = 4 + 2 * live_bytes.div_ceil(self.max_segment_bytes);
         if self.segments.len() <= max_segment_count {
--- a/src/core/storage/wal/entry.rs
+++ b/src/core/storage/wal/entry.rs
@@ -10,29 +10,31 @@
 /// An entry of the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogEntry {
-    /// A machine: name, address (empty if not known yet), type, zone, spot.
+    /// A rented machine: id, address (empty if not known yet), type, zone, whether it is a
+    /// spot machine.
     #[serde(rename = "m")]
     Machine(MachineId, String, String, String, bool),
-    /// A machine that is gone for good, and all on it.
+    /// Id of a machine that is released, and with it everything on it.
     #[serde(rename = "g")]
     Released(MachineId),
-    /// Tasks that may be on a machine from now on, under one attempt.
+    /// Machine, job, attempt number, and indices of the tasks that may be on the machine
+    /// from now on.
     #[serde(rename = "s")]
     Start(MachineId, JobId, u64, Vec<u32>),
-    /// Tasks that are done.
+    /// A job and the indices of tasks that are done.
     #[serde(rename = "d")]
     Done(JobId, Vec<u32>),
-    /// An entry of a later version. It means nothing here, and is kept.
+    /// An entry of a later version, which this version keeps but doesn't interpret.
     #[serde(untagged)]
     Unknown(Value),
 }
 
-/// Names of the entries that this version knows.
+/// Stored names of the entries that this version knows.
 const KNOWN_ENTRIES: [&str; 4] = ["m", "g", "s", "d"];
 
 impl LogEntry {
-    /// An entry that this version ought to know, and can't read: what it names is
-    /// in doubt.
+    /// Whether this version ought to know the entry but can't read it, so that the state
+    /// of what it lists is in doubt.
     pub(super) fn is_damaged(&self) -> bool {
         let LogEntry::Unknown(value) = self else {
             return false;
@@ -43,18 +45,18 @@
             .is_none_or(|fields| fields.keys().any(|name| known(name)))
     }
 
-    /// Bytes that it takes in a segment.
+    /// Bytes that the entry takes in a segment.
     pub(super) fn bytes(&self) -> usize {
         serde_json::to_string(self).map_or(0, |s| s.len() + 1)
     }
 }
 
-/// The entries with those of done tasks put together by job: a huge array ends
-/// task by task between all others, and an entry for each would make its log
-/// several times as long as what it says.
+/// Merges the entries of done tasks by job. The tasks of a huge job end one by one, between
+/// those of other jobs, and an entry for each would make the log several times as long as
+/// necessary.
 ///
-/// No entry holds more than so many task numbers: earlier ones may be larger than
-/// the limits allow by now.
+/// Entries with more than `max_entry_indices` task indices are split: the limits may have
+/// become smaller since the entries were written.
 pub(super) fn merge_entries(
     entries: impl Iterator<Item = LogEntry>,
     max_entry_indices: usize,
--- a/src/core/storage/wal/mod.rs
+++ b/src/core/storage/wal/mod.rs
@@ -1,11 +1,13 @@
-//! The write-ahead log: which machines there are, which task may be on which,
-//! and which tasks are done. It lies in the state service in numbered segments.
+//! The write-ahead log: which machines exist, which task may be on which machine, and which
+//! tasks are done. It is stored in the state service in numbered segments.
 //!
-//! A start is sent only after the entry that names it is stored, and a worker
-//! gets the acknowledgement of a done task only after its `done` is stored. So the log
-//! may name more than is there, never less. Segments are filled one after the other;
-//! the live entries of the oldest are written again at the end in the transaction that
-//! deletes it, so the log stays in proportion to what is live.
+//! A start is sent only after its entry is stored, and a worker gets the acknowledgement of
+//! a done task only after the entry that records it as done is stored. So the log may list
+//! tasks that are not on a machine, but lacks neither a task that is on one nor a done task
+//! that its worker has forgotten. Segments are filled one after the other. The entries of
+//! the oldest segment that are still true (live) are written again at the end, before or in
+//! the transaction that deletes the segment, so the log's length stays in proportion to the
+//! live entries.
 
 mod compaction;
 mod entry;
@@ -19,65 +21,65 @@
 pub use self::entry::LogEntry;
 pub use self::replay::{LogReplay, LoggedMachine};
 
-/// Most task numbers in an entry, where a segment holds as many.
+/// Most task indices in an entry, if a segment has space for as many.
 const MAX_ENTRY_INDICES: usize = 200;
-/// Bytes of a task number in an entry: five digits, as many as the largest job
-/// has, a comma, and one to spare.
+/// Bytes of a task index in an entry: five digits, which suffice for the largest job, a
+/// comma, and one to spare.
 const INDEX_BYTES: usize = 7;
-/// Bytes of all else in an entry: the names of a machine and a job, an attempt.
+/// Bytes of everything else in an entry: ids of a machine and a job, an attempt number.
 const ENTRY_OVERHEAD_BYTES: usize = 160;
-/// Bytes of a value that a segment leaves free.
+/// Bytes of a value of the state service that a segment leaves unused.
 const VALUE_MARGIN_BYTES: usize = 256;
-/// Least bytes of a segment.
+/// Lower bound of a segment's size limit.
 const MIN_SEGMENT_BYTES: usize = 512;
 
-/// A segment as it is stored, or will be by the append on its way.
+/// A segment as it is stored, or will be once the append in flight is stored.
 #[derive(Debug, Default, Clone)]
 struct Segment {
     entries: Vec<LogEntry>,
     bytes: usize,
 }
 
-/// An append on its way: segments to be written, or to be deleted (`None`).
+/// An append to the log: segments to be written, or to be deleted (`None`).
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogAppend {
-    /// Segments by number.
+    /// Numbers of the segments and their new values.
     pub segments: Vec<(u64, Option<Value>)>,
-    /// Mark up to which all entries are stored once it is.
+    /// Mark up to which all entries are stored once the append is.
     pub stored_up_to: u64,
 }
 
-/// The log as its writer knows it.
+/// The log as the leader that writes it knows it.
 #[derive(Debug)]
 pub struct WriteAheadLog {
-    /// Most bytes of a segment.
+    /// Most bytes in a segment.
     max_segment_bytes: usize,
-    /// Most task numbers in an entry, so that none outgrows a segment.
+    /// Most task indices in an entry, so that every entry fits into a segment.
     max_entry_indices: usize,
-    /// The compaction that is under way.
+    /// The compaction in progress.
     compaction: Option<Compaction>,
-    /// The last append took a step of a compaction.
+    /// Whether the last append included a step of a compaction.
     compacted_last_append: bool,
     /// Segments by number, in the order in which they were begun.
     segments: BTreeMap<u64, Segment>,
-    /// The segment that is being filled; those of earlier terms stay as they are.
+    /// The segment that is being filled. Segments of earlier terms are never extended.
     open_segment: Option<u64>,
-    /// Number of the next new segment; numbers are never used again.
+    /// Number of the next new segment; numbers are never reused.
     next_segment: u64,
-    /// Entries to be written, each with the mark of its last push.
+    /// Entries to be written, each with the mark of the last push that added to it.
     pending: Vec<(LogEntry, u64)>,
-    /// A start is pending.
+    /// Whether a start is among the pending entries.
     has_pending_start: bool,
     /// Mark of the last push.
     last_pushed_mark: u64,
-    /// Everything up to this mark is stored.
+    /// Mark up to which everything that was pushed is stored.
     stored_mark: u64,
-    /// An append is on its way; there is never more than one.
+    /// Whether an append is in flight; there is at most one.
     in_flight: bool,
 }
 
 impl WriteAheadLog {
-    /// An empty log whose segments hold at most `value_bytes`.
+    /// An empty log whose segments fit into values of `value_bytes`.
     pub fn new(value_bytes: usize) -> Self {
         let max_segment_bytes = value_bytes
             .saturating_sub(VALUE_MARGIN_BYTES)
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Takes a stored segment of an earlier term. False: it can't be read.
+    /// Loads a stored segment of an earlier term. Returns whether it could be read.
     pub fn load(&mut self, number: u64, value: Value) -> bool {
         let Ok(entries) = serde_json::from_value::<Vec<LogEntry>>(value) else {
             return false;
@@ -109,12 +111,12 @@
         }
         let bytes = entries.iter().map(LogEntry::bytes).sum();
         self.segments.insert(number, Segment { entries, bytes });
-        // Numbers are never used again.
+        // Numbers are never reused.
         self.next_segment = self.next_segment.max(number + 1);
         true
     }
 
-    /// What the stored segments say.
+    /// Replays the entries of all segments in order.
     pub fn replay(&self) -> LogReplay {
         let mut replay = LogReplay::default();
         for entry in self.segments.values().flat_map(|s| &s.entries) {
@@ -123,7 +125,8 @@
         replay
     }
 
-    /// Adds an entry; the mark that [`WriteAheadLog::is_stored`] is asked with.
+    /// Adds an entry. Returns its mark, by which [`WriteAheadLog::is_stored`] tells whether
+    /// it is stored.
     pub fn push(&mut self, entry: LogEntry) -> u64 {
         self.has_pending_start |= matches!(entry, LogEntry::Start(..));
         self.last_pushed_mark += 1;
@@ -150,19 +153,20 @@
         self.last_pushed_mark
     }
 
-    /// Whether what was pushed at `mark` is stored.
+    /// Whether the entry that was pushed with `mark` is stored.
     pub fn is_stored(&self, mark: u64) -> bool {
         mark <= self.stored_mark
     }
 
-    /// Whether an append is due: at once for starts, else when the pause after the last append is over.
+    /// Whether an append is due: at once for starts, otherwise when the pause after the last
+    /// append is over.
     pub fn append_is_due(&self, pause_is_over: bool) -> bool {
         !self.in_flight && !self.pending.is_empty() && (self.has_pending_start || pause_is_over)
     }
 
-    /// Takes what is pending, with at most so many segments written or deleted.
-    /// The oldest segment is compacted with it if the log has grown well past
-    /// `live_bytes`; `live` gives what of an entry is still true.
+    /// Takes pending entries as an append that writes or deletes at most `max_segments`. The
+    /// oldest segment is compacted with it if the log has grown well past `live_bytes`;
+    /// `live` returns the part of an entry that is still true.
     pub fn take_append(
         &mut self,
         max_segments: usize,
@@ -173,7 +177,7 @@
             return None;
         }
         let mut changed: BTreeSet<u64> = BTreeSet::new();
-        // What is written again comes first: it is older than what is new.
+        // Entries that are written again come first, as they are older than the new ones.
         let deleted = self.compact(max_segments, live_bytes, live, &mut changed);
         let max_changed = (max_segments - usize::from(deleted.is_some())).max(1);
         let mut stored_up_to = self.stored_mark;
@@ -197,8 +201,8 @@
         })
     }
 
-    /// Writes an entry to the open segment or a new one, if no more segments are
-    /// changed by that than may be. Whether it did.
+    /// Adds an entry to the open segment or a new one, unless that would change more than
+    /// `max_changed` segments. Returns whether it was added.
     fn write(&mut self, entry: &LogEntry, changed: &mut BTreeSet<u64>, max_changed: usize) -> bool {
         let bytes = entry.bytes();
         let may_change = |n: &u64| changed.contains(n) || changed.len() < max_changed;
@@ -221,7 +225,7 @@
         true
     }
 
-    /// An append is stored.
+    /// Records that an append is stored.
     pub fn append_stored(&mut self, append: &LogAppend) {
         self.in_flight = false;
         self.stored_mark = self.stored_mark.max(append.stored_up_to);
--- a/src/core/storage/wal/replay.rs
+++ b/src/core/storage/wal/replay.rs
@@ -1,11 +1,11 @@
-//! What the stored entries say together.
+//! Replay: the machines and tasks that result from all entries of the log.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::core::storage::wal::entry::LogEntry;
 use crate::wire::{JobId, MachineId, TaskId};
 
-/// What the newest entry of a machine says of it.
+/// A machine as its newest entry describes it.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct LoggedMachine {
     /// Where its worker takes commands; empty if not known yet.
@@ -18,16 +18,16 @@
     pub spot: bool,
 }
 
-/// What the log says, replayed in order.
+/// The state that results from applying the log's entries in order.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct LogReplay {
     /// Machines that are not known to be released.
     pub machines: BTreeMap<MachineId, LoggedMachine>,
     /// Tasks that may be on each machine, and their attempts.
     pub starts: BTreeMap<MachineId, BTreeMap<TaskId, u64>>,
-    /// Done tasks.
+    /// Indices of the tasks that are done.
     pub done: BTreeMap<JobId, BTreeSet<u32>>,
-    /// Machines that are gone.
+    /// Machines that are known to be released.
     pub released_machines: BTreeSet<MachineId>,
 }
 
