--- a/src/core/scheduling/round.rs
+++ b/src/core/scheduling/round.rs
@@ -36,13 +36,13 @@
 
         let mut planner = Planner::new(self, ranks, strategy, now);
         let in_order = planner.place_in_order(&queue);
-        summary.in_order = in_order.started;
+        summary.started_in_order = in_order.started;
         let Some(head) = in_order.head else {
             self.clear_shadow_load();
             return summary;
         };
         let preemption = planner.preempt_for_head(queue[head]);
-        summary.in_order += preemption.started;
+        summary.started_in_order += preemption.started;
         summary.preempted = preemption.preempted;
         summary.backfilled = planner.backfill(queue[head].job, &queue[head + 1..]);
 
--- a/src/core/scheduling/round_summary.rs
+++ b/src/core/scheduling/round_summary.rs
@@ -4,7 +4,7 @@
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct RoundSummary {
     /// Started in the order of the queue, or for the head by preemption.
-    pub in_order: u32,
+    pub started_in_order: u32,
     /// Started by backfilling.
     pub backfilled: u32,
     /// Shadow tasks preempted for the head.
--- a/tests/planner/backfilling.rs
+++ b/tests/planner/backfilling.rs
@@ -31,7 +31,10 @@
     short.estimate_s = 20.0;
     model.add_job(record(short), now + secs(1));
     let round = model.plan(now + secs(1));
-    assert_eq!((round.in_order, round.backfilled, round.preempted), (0, 1, 0));
+    assert_eq!(
+        (round.started_in_order, round.backfilled, round.preempted),
+        (0, 1, 0)
+    );
     assert!(
         tasks_on(&model, "i-1").contains(&"job-000004/0".into()),
         "the short one, though it came later"
@@ -83,7 +86,7 @@
     }
     model.apply_heartbeat(&message, now + secs(2));
     let round = model.plan(now + secs(2));
-    assert_eq!((round.preempted, round.in_order), (1, 1));
+    assert_eq!((round.preempted, round.started_in_order), (1, 1));
     // The stop goes out before the start, in one command.
     let writes = model.take_due_writes(now + secs(2));
     writes
--- a/tests/planner/ranking.rs
+++ b/tests/planner/ranking.rs
@@ -32,7 +32,7 @@
     model.add_job(record(job(2, 3, 8.0)), now);
     let round = model.plan(now);
     assert_eq!(
-        (round.in_order, round.backfilled),
+        (round.started_in_order, round.backfilled),
         (8, 0),
         "5 of red's (limit 40), then 3 of blue's"
     );
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -136,7 +136,11 @@
             .iter()
             .for_each(|write| model.write_finished(write, true, at));
         let (round, done) = count_allocations(|| model.plan(at));
-        assert_eq!(done.in_order + done.backfilled, 1, "the free place is taken");
+        assert_eq!(
+            done.started_in_order + done.backfilled,
+            1,
+            "the free place is taken"
+        );
         let writes = model.take_due_writes(at + secs(1));
         writes
             .iter()
@@ -247,7 +251,7 @@
     message.token += 5;
     model.apply_heartbeat(&message, now);
     let round = model.plan(now);
-    assert!(round.in_order + round.backfilled > 0);
+    assert!(round.started_in_order + round.backfilled > 0);
     for write in model.take_due_writes(now) {
         model.write_finished(&write, true, now);
     }
@@ -358,7 +362,7 @@
             model.add_job(record(job(n, tasks, 1.0)), now);
         }
         let round = model.plan(now);
-        assert_eq!(round.in_order + round.backfilled, 40 * 32);
+        assert_eq!(round.started_in_order + round.backfilled, 40 * 32);
         count_allocations(|| model.plan(now + std::time::Duration::from_millis(1))).0
     });
     assert!(many <= few + 64, "{many} for {few}");
