--- a/src/core/scheduling/eligibility.rs
+++ b/src/core/scheduling/eligibility.rs
@@ -1,5 +1,5 @@
-//! What may be placed now: which machines take tasks, how many tasks a job may
-//! start, and what each team's tasks use.
+//! Which machines accept tasks now, how many tasks a job may start, and how much each
+//! team's tasks use.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -10,7 +10,8 @@
 use crate::core::state::resources::TeamUsage;
 
 impl ClusterModel {
-    /// What each team's tasks use, or may use, wherever they may be.
+    /// Resources that each team's placed tasks use. A task that may be on several machines
+    /// counts once for each of them.
     pub(in crate::core) fn team_usage(&self) -> HashMap<String, TeamUsage> {
         let mut usage_by_team: HashMap<String, TeamUsage> = HashMap::new();
         for job in self.jobs.values().filter(|job| job.place_count > 0) {
@@ -22,23 +23,23 @@
         usage_by_team
     }
 
-    /// Whether tasks may be placed on a machine: it is up, obeys this term, is
-    /// reachable in both directions, and is neither cordoned nor full.
+    /// Whether tasks may be placed on a machine: it is up, fenced by this term, reachable
+    /// in both directions, not cordoned, and has not just refused a start for want of room.
     pub fn is_schedulable(&self, machine: &Machine, now: Instant) -> bool {
         machine.phase == MachinePhase::Up
             && machine.is_fenced_by(self.term)
             && machine.cordoned_since.is_none()
             && !machine.addr.is_empty()
             && machine.no_placement_before.is_none_or(|end| end <= now)
-            // It may hang, or receive nothing of what it is sent.
+            // Unanswered commands: the worker hangs, or they don't reach it.
             && machine.commands_unanswered_since.is_none()
             && machine.last_heartbeat.is_some()
             && self.silence(machine, now) < self.config.heartbeat_interval * 2
     }
 
-    /// How many more tasks the job's own state lets start now: none while it is
-    /// cancelled or pauses, and on probation as many as are admitted beyond those
-    /// that are placed. Its team's limit is left out.
+    /// How many more tasks a job may start now: none while it is cancelled or paused, and
+    /// on probation its placement limit less the tasks that are placed. The team's limit
+    /// is not considered.
     pub(in crate::core) fn start_allowance(&self, job: &Job, now: Instant) -> u32 {
         if job.cancelled || job.pause_until.is_some_and(|end| end > now) {
             return 0;
--- a/src/core/scheduling/gang_repair.rs
+++ b/src/core/scheduling/gang_repair.rs
@@ -1,4 +1,4 @@
-//! Gang repair: a gang that lost a task is stopped as a whole.
+//! Gang repair: if a task of a gang is lost, the other tasks are stopped.
 
 use std::time::{Duration, Instant};
 
@@ -6,8 +6,8 @@
 use crate::wire::{JobId, MachineId, TaskId};
 
 impl ClusterModel {
-    /// Stops the remaining tasks of each gang that lost one, so that it can be placed
-    /// again as a whole.
+    /// Stops the remaining tasks of each gang that lost one, so that all of its tasks can
+    /// be placed again together.
     pub(super) fn stop_broken_gangs(&mut self, now: Instant) {
         let broken: Vec<(JobId, u32, MachineId)> = self
             .jobs
--- a/src/core/scheduling/mod.rs
+++ b/src/core/scheduling/mod.rs
@@ -1,14 +1,17 @@
-//! PV-EASY: the order of the queue, placement on machines, and preemption.
+//! Scheduling by PV-EASY, a published algorithm that extends EASY backfilling with
+//! preemption: the order of the queue, placement on machines, and preemption.
 //!
-//! - [`round`] is one scheduling round, [`round_summary`] what it did.
-//! - [`ranking`] orders the queue; `eligibility` says what may be placed now.
-//! - `placement` finds and takes machines for tasks.
-//! - `over_quota`, `shadow_load` and `gang_repair` are the rules on running tasks.
+//! - [`round`] runs a scheduling round, [`round_summary`] counts what it did.
+//! - [`ranking`] orders the queue; `eligibility` decides which machines and jobs a round
+//!   may use.
+//! - `placement` finds machines for tasks and places the tasks on them.
+//! - `over_quota`, `shadow_load` and `gang_repair` hold the rules for tasks that are
+//!   placed already.
 //! - [`admission`] decides whether a submitted job can ever run.
 //!
-//! A round changes the model's slots in `placement::claims`, and asks for stops by
-//! [`ClusterModel::stop`](crate::core::ClusterModel::stop). `core::fleet` may use this
-//! folder; `core::state` and `core::storage` may not.
+//! A round adds slots to the model only in `placement::claims`, and orders stops only with
+//! [`ClusterModel::stop`](crate::core::ClusterModel::stop). `core::fleet` may depend on
+//! this module; `core::state` and `core::storage` may not.
 
 pub mod admission;
 mod eligibility;
--- a/src/core/scheduling/over_quota.rs
+++ b/src/core/scheduling/over_quota.rs
@@ -1,10 +1,10 @@
-//! Over-quota load: tasks of low priority that a team runs beyond its quota.
+//! Over-quota load: tasks of lower priority that a team runs beyond its quota.
 //!
-//! Backfilled tasks are shadow load until nothing that waits outranks them. A
-//! team without a quota may also fill free machines in order, with tasks that run
-//! for minutes, right before urgent work arrives that has no room then. Such
-//! over-quota tasks are treated as shadow load of a blocked head of higher
-//! priority as long as they are young, so that little work is lost with them.
+//! Backfilled tasks are shadow load until no waiting job outranks them. But a team
+//! without a quota may also fill the free machines in the order of the queue, with tasks
+//! that run for minutes, right before urgent work arrives, which then finds no free
+//! capacity. A blocked head of higher priority may therefore preempt such over-quota
+//! tasks like shadow load while they are young, so that little work is lost.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -15,18 +15,19 @@
 use crate::core::state::slot::Slot;
 use crate::wire::{JobId, JobKind};
 
-/// A task is young until it has run for this share of its predicted run time.
-const YOUNG_SHARE: f64 = 0.25;
+/// A task is young, and may be preempted as over-quota load, until it has run for this
+/// share of its predicted run time.
+const YOUNG_RUN_TIME_SHARE: f64 = 0.25;
 
-/// A job whose over-quota tasks were preempted starts no others for so long: they
-/// would only fill the next gap to be preempted again. Well under the time that a
-/// job may wait beside room.
+/// How long a job starts no tasks after its over-quota tasks were preempted: they would
+/// take the next free capacity, only to be preempted again. This is well below the limit
+/// on how long a job may wait while a machine has free capacity for it.
 const PAUSE_AFTER_PREEMPTION: Duration = Duration::from_secs(20);
 
 impl ClusterModel {
-    /// Pauses a job whose over-quota tasks were preempted. Further preemptions
-    /// don't prolong the pause: its other tasks may have room where the head
-    /// has none, and would wait beside it for as long as the preemptions go on.
+    /// Pauses a job whose over-quota tasks were preempted. Further preemptions don't extend
+    /// the pause: other tasks of the job may fit where the head's don't, and would leave
+    /// that capacity unused for as long as the preemptions go on.
     pub(super) fn pause_after_preemption(&mut self, id: JobId, now: Instant) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -37,23 +38,24 @@
     }
 }
 
-/// The jobs whose tasks are over-quota load to a blocked head.
+/// The jobs whose young tasks a blocked head may preempt as over-quota load.
 #[derive(Debug, Default)]
 pub(super) struct OverQuotaLoad {
     jobs: HashSet<JobId>,
-    /// Tasks of each job that were passed over so that the job stays begun.
-    spared: HashMap<JobId, u32>,
+    /// How many tasks of each job were spared so far, so that the job keeps some placed.
+    spared_tasks: HashMap<JobId, u32>,
 }
 
 impl OverQuotaLoad {
-    /// What is over quota from the head's point of view: running work of lower
-    /// priority beyond its team's quota and without a deadline, if the head can
-    /// still meet its own earliest deadline.
+    /// The over-quota load that the head may preempt: arrays of lower priority, beyond
+    /// their team's quota and without a deadline. There is none unless the head's tier
+    /// is [`Tier::WithinQuota`] or [`Tier::InTime`]: a head in [`Tier::Late`] or
+    /// [`Tier::Missed`] can't meet its earliest deadline any more.
     pub(super) fn for_head(model: &ClusterModel, head: JobId, ranks: &BTreeMap<JobId, Rank>) -> Self {
-        let served_in_time = ranks
+        let head_in_time = ranks
             .get(&head)
             .is_some_and(|rank| matches!(rank.tier, Tier::WithinQuota | Tier::InTime));
-        let Some(head) = model.jobs.get(&head).filter(|_| served_in_time) else {
+        let Some(head) = model.jobs.get(&head).filter(|_| head_in_time) else {
             return Self::default();
         };
         let head_priority = model.priority(head);
@@ -70,18 +72,19 @@
             .collect();
         Self {
             jobs,
-            spared: HashMap::new(),
+            spared_tasks: HashMap::new(),
         }
     }
 
-    /// Whether no job runs over quota.
+    /// Whether there is no over-quota load.
     pub(super) fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Whether a task may be preempted for the head. To be called once for each
-    /// task: the first few of a job are spared, so that a job once begun stays so.
-    pub(super) fn admits_preemption(
+    /// Whether a task may be preempted for the head. It must be called only once for each
+    /// task, as it counts: the first [`STARVED_FIRST_TASKS`] tasks of a job are spared, so
+    /// that a job that has started keeps some tasks placed.
+    pub(super) fn check_preemptible(
         &mut self,
         model: &ClusterModel,
         job: JobId,
@@ -91,13 +94,13 @@
         if !self.jobs.contains(&job) {
             return false;
         }
-        let spared = self.spared.entry(job).or_default();
-        if *spared < STARVED_FIRST_TASKS {
-            *spared += 1;
+        let spared_tasks = self.spared_tasks.entry(job).or_default();
+        if *spared_tasks < STARVED_FIRST_TASKS {
+            *spared_tasks += 1;
             return false;
         }
         let Some(spec) = &slot.spec else { return false };
         let since = slot.running_since.unwrap_or(slot.placed_at);
-        now.saturating_duration_since(since) < model.predict(spec).mul_f64(YOUNG_SHARE)
+        now.saturating_duration_since(since) < model.predict(spec).mul_f64(YOUNG_RUN_TIME_SHARE)
     }
 }
--- a/src/core/scheduling/placement/backfilling.rs
+++ b/src/core/scheduling/placement/backfilling.rs
@@ -1,4 +1,5 @@
-//! Venture backfilling: starting jobs behind the blocked head.
+//! Venture backfilling: starts jobs behind the blocked head, even where that may delay the
+//! head, since backfilled tasks can be preempted for it.
 
 use std::time::Duration;
 
@@ -8,11 +9,11 @@
 use crate::wire::JobId;
 
 impl Planner<'_> {
-    /// Places tasks of the jobs behind the head: first, by predicted run time, those
-    /// that end before its reservation; then, by rank, whatever there is room for.
-    /// Returns how many were placed.
+    /// Places tasks of the jobs behind the head: first, by predicted run time, those that
+    /// are predicted to end by its reservation; then, by rank, all that fit. Returns the
+    /// number of tasks placed.
     pub(in crate::core::scheduling) fn backfill(&mut self, head: JobId, behind: &[Rank]) -> u32 {
-        if !behind.iter().any(|rank| self.fits_somewhere(rank.job)) {
+        if !behind.iter().any(|rank| self.fits_any_open_machine(rank.job)) {
             return 0;
         }
         let mut backfilled = 0;
@@ -31,7 +32,7 @@
         backfilled
     }
 
-    /// The jobs by the run time that is predicted for each of their tasks.
+    /// The jobs with the predicted run time of their tasks, the shortest first.
     fn by_predicted_run_time(&self, queue: &[Rank]) -> Vec<(Duration, Rank)> {
         let mut by_run_time: Vec<(Duration, Rank)> = queue
             .iter()
--- a/src/core/scheduling/placement/batches.rs
+++ b/src/core/scheduling/placement/batches.rs
@@ -1,5 +1,5 @@
-//! Placing the waiting tasks of one job: one by one, a gang as a whole, or many tasks
-//! to which the same rules apply at once.
+//! Placing the waiting tasks of one job: one by one, all tasks of a gang together, or many
+//! tasks to which the same rules apply at once.
 
 use std::cmp::Ordering;
 use std::collections::VecDeque;
@@ -14,33 +14,35 @@
 /// Why the placement of a job's tasks ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PlacementOutcome {
-    /// All tasks that were to be placed are.
+    /// All tasks that were to be placed were placed.
     Placed,
-    /// No machine has room for the next one.
-    NoRoom,
-    /// Its team's limit, its own pause, or its placement rules forbid it now.
+    /// No machine that the job may use has free capacity for the next task, or there is not
+    /// enough for all tasks of a gang.
+    NoFreeCapacity,
+    /// The team's limit, a pause, probation, or the repair of a gang forbids further starts
+    /// of the job now.
     NotAllowedNow,
 }
 
-/// What became of the tasks that were to be placed.
+/// How many tasks were placed, and why the placement ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct PlacementResult {
-    /// How many were placed.
+    /// Number of tasks placed.
     pub(super) placed: u32,
     pub(super) outcome: PlacementOutcome,
 }
 
-/// In which step of the round, and how many, tasks of a job are to be placed.
+/// The step of the round that places tasks of a job, and its bound on them.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum PlacementMode {
     /// In the order of the queue.
     InOrder {
-        /// So many at most.
+        /// At most this many tasks are placed.
         max_tasks: u32,
     },
     /// By backfilling.
     Backfill {
-        /// Only where they are predicted to end by then, if it is given.
+        /// Only tasks that are predicted to end by this time are placed, if it is given.
         ends_by: Option<Instant>,
     },
 }
@@ -48,14 +50,14 @@
 /// Tasks of one job to which the same rules apply.
 struct TaskGroup {
     spec: Arc<JobSpec>,
-    /// Numbers of the tasks that are still to be placed.
+    /// Indices of the tasks that are still to be placed.
     waiting: VecDeque<u32>,
     attempt: u64,
     kind: PlacementKind,
     placed: u32,
 }
 
-/// No further task of the group may start now.
+/// The team's limit lets no further task of the group start now.
 struct TeamLimitReached;
 
 impl PlacementMode {
@@ -82,16 +84,16 @@
 }
 
 impl PlacementResult {
-    fn none(outcome: PlacementOutcome) -> Self {
+    fn nothing_placed(outcome: PlacementOutcome) -> Self {
         Self { placed: 0, outcome }
     }
 }
 
 impl Planner<'_> {
-    /// Places as many of a job's waiting tasks as fit and the mode allows, a
-    /// gang's all or none.
+    /// Places as many of a job's waiting tasks as fit and the mode allows; of a gang all or
+    /// none.
     pub(super) fn place_tasks(&mut self, id: JobId, mode: PlacementMode) -> PlacementResult {
-        if self.strategy == PlacementStrategy::Grouped && self.same_rules_apply(id) {
+        if self.strategy == PlacementStrategy::Grouped && self.has_uniform_rules(id) {
             return self.place_group(id, mode);
         }
         let mut placed = 0;
@@ -105,8 +107,8 @@
             if !self.may_start(id, batch.len()) {
                 break PlacementOutcome::NotAllowedNow;
             }
-            let Some(placements) = self.find(id, &batch, mode.scope()) else {
-                break PlacementOutcome::NoRoom;
+            let Some(placements) = self.find_placements(id, &batch, mode.scope()) else {
+                break PlacementOutcome::NoFreeCapacity;
             };
             placed += placements.len() as u32;
             self.claim_all(id, placements, mode.kind());
@@ -114,7 +116,7 @@
         PlacementResult { placed, outcome }
     }
 
-    /// What is to be placed together: one task, or all of a gang.
+    /// The tasks to place next: one, or all tasks of a gang together; `None` if none waits.
     pub(super) fn next_batch(&self, id: JobId) -> Option<Vec<u32>> {
         let job = self.model.jobs.get(&id)?;
         let first = job.waiting.first()?;
@@ -125,9 +127,9 @@
         })
     }
 
-    /// Whether the same rules apply to all of a job's tasks, whatever became of the
-    /// others: then they are placed together.
-    fn same_rules_apply(&self, id: JobId) -> bool {
+    /// Whether the same rules apply to all of a job's tasks, regardless of where the others
+    /// are placed, so that they can be placed as a group.
+    fn has_uniform_rules(&self, id: JobId) -> bool {
         self.model.jobs.get(&id).is_some_and(|job| {
             job.spec.kind != JobKind::Gang
                 && !job.spec.one_zone
@@ -136,22 +138,23 @@
         })
     }
 
-    /// [`Planner::place_tasks`] for tasks to which the same rules apply: the machines
-    /// are judged once, then filled from the best on, as one by one would do it.
+    /// [`Planner::place_tasks`] for tasks to which the same rules apply. The machines are
+    /// evaluated once, then filled from the best on, which gives the same placements as
+    /// placing the tasks one by one.
     fn place_group(&mut self, id: JobId, mode: PlacementMode) -> PlacementResult {
         let Some(job) = self.model.jobs.get(&id) else {
-            return PlacementResult::none(PlacementOutcome::Placed);
+            return PlacementResult::nothing_placed(PlacementOutcome::Placed);
         };
         if job.waiting.count() == 0 || mode.max_tasks() == 0 {
-            return PlacementResult::none(PlacementOutcome::Placed);
+            return PlacementResult::nothing_placed(PlacementOutcome::Placed);
         }
         if !self.may_start(id, 1) {
-            return PlacementResult::none(PlacementOutcome::NotAllowedNow);
+            return PlacementResult::nothing_placed(PlacementOutcome::NotAllowedNow);
         }
         let spec = job.spec.clone();
-        let candidates = self.best_first(&spec, mode.scope());
+        let candidates = self.candidates_best_first(&spec, mode.scope());
         if candidates.is_empty() {
-            return PlacementResult::none(PlacementOutcome::NoRoom);
+            return PlacementResult::nothing_placed(PlacementOutcome::NoFreeCapacity);
         }
         let waiting = job.waiting.iter().take(mode.max_tasks() as usize).collect();
         let mut group = TaskGroup {
@@ -168,14 +171,14 @@
         }
     }
 
-    /// Open machines that a task of the job may go to, the best first.
-    fn best_first(&self, spec: &JobSpec, scope: SearchScope) -> Vec<(Score, usize)> {
+    /// Open machines that a task of the job may be placed on, the best first.
+    fn candidates_best_first(&self, spec: &JobSpec, scope: SearchScope) -> Vec<(Score, usize)> {
         let mut candidates: Vec<(Score, usize)> = self
             .open_machines
             .iter()
-            .filter_map(|index| {
-                let candidate = self.evaluate(&self.machines[*index], spec, None, scope)?;
-                Some((candidate.score, *index))
+            .filter_map(|position| {
+                let candidate = self.evaluate(&self.machines[*position], spec, None, scope)?;
+                Some((candidate.score, *position))
             })
             .collect();
         candidates.sort_unstable_by(|a, b| a.partial_cmp(b).unwrap_or(Ordering::Equal));
@@ -183,9 +186,9 @@
     }
 
     fn fill_machines(&mut self, candidates: Vec<(Score, usize)>, group: &mut TaskGroup) -> PlacementOutcome {
-        let mut outcome = PlacementOutcome::NoRoom;
-        for (_, index) in candidates {
-            if let Err(TeamLimitReached) = self.fill_machine(index, group) {
+        let mut outcome = PlacementOutcome::NoFreeCapacity;
+        for (_, position) in candidates {
+            if let Err(TeamLimitReached) = self.fill_machine(position, group) {
                 outcome = PlacementOutcome::NotAllowedNow;
                 break;
             }
@@ -195,42 +198,42 @@
             }
         }
         self.close_full_machines();
-        // A job at its team's limit is skipped, whatever room there is.
-        if outcome == PlacementOutcome::NoRoom && !self.within_team_limit(&group.spec, 1) {
+        // A job at its team's limit is skipped, whether or not it would fit.
+        if outcome == PlacementOutcome::NoFreeCapacity && !self.is_within_team_limit(&group.spec, 1) {
             return PlacementOutcome::NotAllowedNow;
         }
         outcome
     }
 
-    /// Places tasks of the group on one machine until it is full or none is left.
-    fn fill_machine(&mut self, index: usize, group: &mut TaskGroup) -> Result<(), TeamLimitReached> {
-        let mut passed_over = Vec::new();
-        while self.machines[index].fits(&group.spec) {
-            let Some(number) = group.waiting.pop_front() else {
+    /// Places tasks of the group on a machine until none fits or none is left.
+    fn fill_machine(&mut self, position: usize, group: &mut TaskGroup) -> Result<(), TeamLimitReached> {
+        let mut skipped = Vec::new();
+        while self.machines[position].fits(&group.spec) {
+            let Some(task_index) = group.waiting.pop_front() else {
                 break;
             };
             let task = TaskId {
                 job: group.spec.id,
-                index: number,
+                index: task_index,
             };
-            if self.holds_attempt(&self.machines[index], task) {
-                passed_over.push(number);
+            if self.has_attempt(&self.machines[position], task) {
+                skipped.push(task_index);
                 continue;
             }
-            if !self.within_team_limit(&group.spec, 1) {
+            if !self.is_within_team_limit(&group.spec, 1) {
                 return Err(TeamLimitReached);
             }
             group.placed += 1;
             let placement = Placement {
-                machine: index,
+                machine_index: position,
                 task,
                 victims: Vec::new(),
             };
             self.claim(placement, &group.spec, group.attempt, group.kind);
         }
-        // They may go to the next machine.
-        for number in passed_over.into_iter().rev() {
-            group.waiting.push_front(number);
+        // Tasks that were skipped for an earlier attempt may fit on the next machine.
+        for task_index in skipped.into_iter().rev() {
+            group.waiting.push_front(task_index);
         }
         Ok(())
     }
--- a/src/core/scheduling/placement/in_order.rs
+++ b/src/core/scheduling/placement/in_order.rs
@@ -6,36 +6,40 @@
 use crate::core::scheduling::ranking::{Rank, Tier};
 use crate::wire::JobKind;
 
-/// What was started in order, and which job blocks those behind it.
+/// How many tasks were started in order, and which job blocks those behind it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::core::scheduling) struct InOrderResult {
-    /// Tasks started.
+    /// Number of tasks started.
     pub(in crate::core::scheduling) started: u32,
-    /// Position in the queue of the head: the first job for which there is no room.
-    /// Jobs that may not start now are passed over.
-    pub(in crate::core::scheduling) head: Option<usize>,
+    /// Position in the queue of the head: the first job that is blocked for lack of free
+    /// capacity. Jobs that may not start now are skipped.
+    pub(in crate::core::scheduling) head_position: Option<usize>,
 }
 
 impl Planner<'_> {
-    /// Places jobs in order until one is blocked for want of room.
+    /// Places tasks of the jobs in order until a job is blocked for lack of free capacity.
     pub(in crate::core::scheduling) fn place_in_order(&mut self, queue: &[Rank]) -> InOrderResult {
         let mut started = 0;
         for (position, rank) in queue.iter().enumerate() {
-            let max_tasks = self.max_first_tasks(*rank);
+            let max_tasks = self.max_tasks_at_rank(*rank);
             let result = self.place_tasks(rank.job, PlacementMode::InOrder { max_tasks });
             started += result.placed;
-            if result.outcome == PlacementOutcome::NoRoom {
+            if result.outcome == PlacementOutcome::NoFreeCapacity {
                 return InOrderResult {
                     started,
-                    head: Some(position),
+                    head_position: Some(position),
                 };
             }
         }
-        InOrderResult { started, head: None }
+        InOrderResult {
+            started,
+            head_position: None,
+        }
     }
 
-    /// How many tasks of a job may start in its present place in the queue.
-    pub(super) fn max_first_tasks(&self, rank: Rank) -> u32 {
+    /// How many tasks of a job may start at its present rank: of a starved job only the
+    /// first few, see [`STARVED_FIRST_TASKS`].
+    pub(super) fn max_tasks_at_rank(&self, rank: Rank) -> u32 {
         match self.model.jobs.get(&rank.job) {
             Some(job) if rank.tier == Tier::Starved && job.spec.kind != JobKind::Gang => STARVED_FIRST_TASKS,
             _ => u32::MAX,
--- a/src/core/scheduling/placement/mod.rs
+++ b/src/core/scheduling/placement/mod.rs
@@ -1,12 +1,14 @@
 //! Placement of tasks on machines within one scheduling round.
 //!
-//! - [`planner`] holds the round's view of the machines, the [`Planner`].
-//! - `free_capacity` is what one machine has free, and what its load may give back.
-//! - `rules` and `search` judge machines for a task; `claims` takes them.
+//! - [`planner`] defines the [`Planner`], which tracks the machines during the round.
+//! - `free_capacity` is the free capacity of one machine, and the load that may release
+//!   more.
+//! - `rules` and `search` evaluate machines for a task; `claims` places the task.
 //! - `batches` places a job's tasks; `in_order`, `preemption`, `reservation` and
 //!   `backfilling` are the steps of a round.
 //!
-//! Only a round creates a [`Planner`]; only `claims` changes the model.
+//! Only a round creates a [`Planner`]; of these modules only `claims` changes the model's
+//! slots.
 
 mod backfilling;
 mod batches;
--- a/src/core/scheduling/placement/planner.rs
+++ b/src/core/scheduling/placement/planner.rs
@@ -1,4 +1,4 @@
-//! One scheduling round's view of the machines.
+//! The state of one scheduling round.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
@@ -10,48 +10,48 @@
 use crate::core::state::resources::{Resources, TeamUsage, AMOUNT_TOLERANCE};
 use crate::wire::{JobId, MachineType};
 
-/// How the tasks of an array or a service are placed. Both give the same placements.
+/// How the tasks of an array or a service are placed. Both strategies give the same
+/// placements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::core::scheduling) enum PlacementStrategy {
-    /// Tasks to which the same rules apply are placed together: the machines are
-    /// judged once for all of them.
+    /// Tasks to which the same rules apply are placed together: the machines are evaluated
+    /// once for all of them.
     Grouped,
-    /// Each task is placed by itself.
+    /// Each task is placed separately.
     OneByOne,
 }
 
-/// Places tasks during one round. Its copy of the free capacity is kept in step with
+/// Places tasks during one round. It keeps its copy of the free capacity consistent with
 /// the placements that it makes in the model.
 pub(in crate::core::scheduling) struct Planner<'m> {
     pub(super) model: &'m mut ClusterModel,
     pub(super) now: Instant,
     pub(super) ranks: BTreeMap<JobId, Rank>,
     pub(super) strategy: PlacementStrategy,
-    /// The schedulable machines.
+    /// Free capacity of the schedulable machines.
     pub(super) machines: Vec<FreeCapacity>,
-    /// Positions in `machines` that may still fit something that waits.
+    /// Positions in `machines` of those that a waiting task may still fit.
     pub(super) open_machines: Vec<usize>,
-    /// Whether the machines' running load is filled in. It is needed for a blocked
-    /// head alone.
-    pub(super) running_load_known: bool,
-    pub(super) usage: HashMap<String, TeamUsage>,
-    pub(super) types: Vec<MachineType>,
-    /// Names of the zones that [`FreeCapacity::zone`] is a position in.
+    /// Whether [`FreeCapacity::running`] is filled in, which only a blocked head needs.
+    pub(super) running_load_collected: bool,
+    pub(super) usage_by_team: HashMap<String, TeamUsage>,
+    pub(super) machine_types: Vec<MachineType>,
+    /// Names of the zones, by [`FreeCapacity::zone_index`].
     pub(super) zone_names: Vec<String>,
-    /// Tasks of a job by zone, for jobs that have a placement rule on zones.
+    /// How many tasks of a job are placed in each zone, for jobs with a rule on zones.
     pub(super) tasks_by_zone: HashMap<JobId, BTreeMap<String, u32>>,
 }
 
 impl<'m> Planner<'m> {
-    /// Takes in what is free on the schedulable machines.
+    /// Starts a round with the present free capacity of the schedulable machines.
     pub(in crate::core::scheduling) fn new(
         model: &'m mut ClusterModel,
         ranks: BTreeMap<JobId, Rank>,
         strategy: PlacementStrategy,
         now: Instant,
     ) -> Self {
-        let usage = model.team_usage();
-        let types = model.machine_types.clone();
+        let usage_by_team = model.team_usage();
+        let machine_types = model.machine_types.clone();
         let mut planner = Self {
             model,
             now,
@@ -59,9 +59,9 @@
             strategy,
             machines: Vec::new(),
             open_machines: Vec::new(),
-            running_load_known: false,
-            usage,
-            types,
+            running_load_collected: false,
+            usage_by_team,
+            machine_types,
             zone_names: Vec::new(),
             tasks_by_zone: HashMap::new(),
         };
@@ -69,16 +69,16 @@
         planner
     }
 
-    /// Ends the round, and hands back the ranks that it was made with.
+    /// Ends the round and returns the ranks that were passed to [`Planner::new`].
     pub(in crate::core::scheduling) fn into_ranks(self) -> BTreeMap<JobId, Rank> {
         self.ranks
     }
 
-    /// Whether some machine has free capacity for a task of a job.
-    pub(super) fn fits_somewhere(&self, id: JobId) -> bool {
+    /// Whether some open machine has free capacity for a task of a job.
+    pub(super) fn fits_any_open_machine(&self, id: JobId) -> bool {
         self.model.jobs.get(&id).is_some_and(|job| {
-            let mut open = self.open_machines.iter();
-            open.any(|index| self.machines[*index].fits(&job.spec))
+            let mut open_machines = self.open_machines.iter();
+            open_machines.any(|index| self.machines[*index].fits(&job.spec))
         })
     }
 
@@ -97,14 +97,18 @@
             .fold(f64::MAX, f64::min);
         let schedulable = model.machines.values().filter(|m| model.is_schedulable(m, now));
         for machine in schedulable {
-            let Some(type_index) = self.types.iter().position(|t| t.name == machine.machine_type) else {
+            let Some(type_index) = self
+                .machine_types
+                .iter()
+                .position(|t| t.name == machine.machine_type)
+            else {
                 continue;
             };
-            let zone = zone_index(&mut self.zone_names, machine);
-            let capacity = Resources::of_type(&self.types[type_index]);
+            let zone_index = zone_index(&mut self.zone_names, machine);
+            let capacity = Resources::of_type(&self.machine_types[type_index]);
             let free_capacity = FreeCapacity {
-                machine: machine.id.clone(),
-                zone,
+                machine_id: machine.id.clone(),
+                zone_index,
                 spot: machine.spot,
                 type_index,
                 free: capacity - machine.used_resources(),
@@ -120,7 +124,7 @@
     }
 }
 
-/// Position of a machine's zone among the names, added if it is new.
+/// Position of a machine's zone in `zone_names`; a new zone is added.
 fn zone_index(zone_names: &mut Vec<String>, machine: &Machine) -> usize {
     let known = zone_names.iter().position(|name| *name == machine.zone);
     known.unwrap_or_else(|| {
--- a/src/core/scheduling/placement/preemption.rs
+++ b/src/core/scheduling/placement/preemption.rs
@@ -1,4 +1,4 @@
-//! Shadow load preemption: stopping shadow tasks for the blocked head.
+//! Shadow load preemption: stops shadow tasks so that the blocked head can start.
 
 use std::time::Instant;
 
@@ -12,18 +12,19 @@
 use crate::core::state::resources::Resources;
 use crate::core::state::slot::{Slot, SlotState};
 
-/// What was done for the head by preemption.
+/// How many tasks preemption started and stopped.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub(in crate::core::scheduling) struct PreemptionResult {
-    /// Tasks of the head that were started.
+    /// Number of tasks of the head that were started.
     pub(in crate::core::scheduling) started: u32,
-    /// Shadow tasks that were stopped.
+    /// Number of shadow and over-quota tasks that were stopped.
     pub(in crate::core::scheduling) preempted: u32,
 }
 
 impl Planner<'_> {
-    /// Stops shadow tasks if that starts tasks of the head (a gang: all of
-    /// them) at once; lowest priority first, where the least work is lost.
+    /// Stops shadow and over-quota tasks if that starts tasks of the head (of a gang: all of
+    /// them) at once. It chooses the machine where the least work is lost, and there the
+    /// tasks of the lowest rank first.
     pub(in crate::core::scheduling) fn preempt_for_head(&mut self, head: Rank) -> PreemptionResult {
         let mut result = PreemptionResult::default();
         let over_quota = OverQuotaLoad::for_head(self.model, head.job, &self.ranks);
@@ -32,38 +33,43 @@
         }
         self.collect_running_load(head, over_quota);
         let mut running = self.machines.iter().flat_map(|machine| &machine.running);
-        if !running.any(RunningLoad::is_shadow) {
+        if !running.any(RunningLoad::is_preemptible) {
             return result;
         }
-        let mut left = self.max_first_tasks(head);
-        while left > 0 {
+        let mut remaining_tasks = self.max_tasks_at_rank(head);
+        while remaining_tasks > 0 {
             let Some(batch) = self.next_batch(head.job) else {
                 break;
             };
             if !self.may_start(head.job, batch.len()) {
                 break;
             }
-            let Some(placements) = self.find(head.job, &batch, SearchScope::Preempting) else {
+            let Some(placements) = self.find_placements(head.job, &batch, SearchScope::Preempting) else {
                 break;
             };
             let started = placements.len() as u32;
             result.preempted += placements.iter().map(|p| p.victims.len() as u32).sum::<u32>();
             result.started += started;
-            left = left.saturating_sub(started);
+            remaining_tasks = remaining_tasks.saturating_sub(started);
             self.claim_all(head.job, placements, PlacementKind::InOrder);
         }
         result
     }
 
-    /// Fills in what runs on the machines; as shadow load only what the head outranks.
+    /// Fills in the running load of the machines. Only tasks that the head outranks may be
+    /// shadow or over-quota load.
     pub(super) fn collect_running_load(&mut self, head: Rank, mut over_quota: OverQuotaLoad) {
-        self.running_load_known = true;
+        self.running_load_collected = true;
         let (model, now) = (&*self.model, self.now);
         for machine in &mut self.machines {
-            let Some(known) = model.machines.get(&machine.machine) else {
+            let Some(model_machine) = model.machines.get(&machine.machine_id) else {
                 continue;
             };
-            for (task, slot) in known.slots.iter().filter(|(_, slot)| slot.takes_resources()) {
+            for (task, slot) in model_machine
+                .slots
+                .iter()
+                .filter(|(_, slot)| slot.takes_resources())
+            {
                 let Some(spec) = &slot.spec else { continue };
                 let rank = self.ranks.get(&task.job).copied();
                 let outranked = !is_stopping(slot) && rank.is_some_and(|rank| rank > head);
@@ -71,7 +77,7 @@
                     LoadClass::Sunny
                 } else if slot.backfilled {
                     LoadClass::Shadow
-                } else if over_quota.admits_preemption(model, task.job, slot, now) {
+                } else if over_quota.check_preemptible(model, task.job, slot, now) {
                     LoadClass::OverQuota
                 } else {
                     LoadClass::Sunny
@@ -81,7 +87,7 @@
                     resources: Resources::of_task(spec),
                     class,
                     rank,
-                    started: slot.running_since.unwrap_or(slot.placed_at),
+                    started_at: slot.running_since.unwrap_or(slot.placed_at),
                     predicted_end: predicted_end(model, slot, now),
                     grace: spec.grace(),
                 });
@@ -90,12 +96,13 @@
     }
 }
 
-/// Whether a task is about to end for another reason already.
+/// Whether a task is being stopped already, so that preempting it would gain nothing.
 fn is_stopping(slot: &Slot) -> bool {
     slot.stop_grace.is_some() || matches!(slot.state, SlotState::Saving)
 }
 
-/// When a task gives back its resources; one that is being stopped, at once.
+/// When a task is predicted to release its resources. A task with a stop order counts as
+/// releasing them at once.
 fn predicted_end(model: &ClusterModel, slot: &Slot, now: Instant) -> Instant {
     if slot.stop_grace.is_some() {
         now
--- a/src/core/scheduling/placement/rules.rs
+++ b/src/core/scheduling/placement/rules.rs
@@ -1,5 +1,5 @@
-//! What forbids a placement: limits of teams, and the rules of jobs on zones and
-//! machines.
+//! Rules that forbid a placement: limits of teams, and the requirements of jobs on zones
+//! and machines.
 
 use std::collections::BTreeMap;
 
@@ -10,8 +10,8 @@
 use crate::wire::{JobId, JobSpec};
 
 impl Planner<'_> {
-    /// Whether so many more tasks of a job may start now, as far as its own state and
-    /// its team's limit go.
+    /// Whether the job's own state lets tasks start now, and its team's limit lets `tasks`
+    /// more start.
     pub(super) fn may_start(&self, id: JobId, tasks: usize) -> bool {
         let Some(job) = self.model.jobs.get(&id) else {
             return false;
@@ -19,16 +19,17 @@
         self.model.is_ready(job)
             && !job.is_broken_gang()
             && self.model.start_allowance(job, self.now) > 0
-            && self.within_team_limit(&job.spec, tasks)
+            && self.is_within_team_limit(&job.spec, tasks)
     }
 
-    /// Whether the team's limit leaves room for so many more tasks.
-    pub(super) fn within_team_limit(&self, spec: &JobSpec, tasks: usize) -> bool {
+    /// Whether the job's team stays within its limit with `tasks` more tasks of the job. A
+    /// limit of 0 means unlimited.
+    pub(super) fn is_within_team_limit(&self, spec: &JobSpec, tasks: usize) -> bool {
         let tasks = tasks as f64;
         let Some(team) = self.model.config.teams.get(&spec.team) else {
             return false;
         };
-        let used = self.usage.get(&spec.team).copied().unwrap_or_default();
+        let used = self.usage_by_team.get(&spec.team).copied().unwrap_or_default();
         let within = |limit: f64, used: f64, per_task: f64| {
             limit <= 0.0 || used + per_task * tasks <= limit + AMOUNT_TOLERANCE
         };
@@ -50,14 +51,15 @@
         })
     }
 
-    /// Tasks by zone that the job's rules on zones refer to; `None` if it has none.
+    /// [`Planner::tasks_by_zone`] if the job's rules on zones depend on it: its tasks must
+    /// all be in one zone, or be spread over zones; `None` otherwise.
     pub(super) fn zone_constraint(&mut self, spec: &JobSpec) -> Option<BTreeMap<String, u32>> {
         (spec.one_zone || spec.spread).then(|| self.tasks_by_zone(spec.id).clone())
     }
 
-    /// Whether the job's rules allow its next task in a zone, given where its other
-    /// tasks are. A job that is spread has at most half of its tasks in each zone.
-    pub(super) fn zone_allowed(
+    /// Whether the job's rules allow its next task in a zone, given the zones of its other
+    /// tasks. A spread job has at most half of its tasks, rounded up, in each zone.
+    pub(super) fn is_zone_allowed(
         spec: &JobSpec,
         tasks_by_zone: Option<&BTreeMap<String, u32>>,
         zone: &str,
@@ -80,11 +82,12 @@
         true
     }
 
-    /// Whether a task of the job may run on the machine if there is room: its type is
-    /// allowed, and the task is predicted to end before the cloud reclaims it.
-    pub(super) fn machine_allowed(&self, spec: &JobSpec, machine: &FreeCapacity) -> bool {
+    /// Whether a task of the job may run on the machine if it fits: the job allows the
+    /// machine's type and, for a spot machine, spot; the search doesn't exclude the machine;
+    /// and the task is predicted to end before the cloud reclaims it.
+    pub(super) fn is_machine_allowed(&self, spec: &JobSpec, machine: &FreeCapacity) -> bool {
         (spec.spot || !machine.spot)
-            && fits_machine_type(spec, &self.types[machine.type_index])
+            && fits_machine_type(spec, &self.machine_types[machine.type_index])
             && !machine.excluded
             && machine
                 .reclaim_at
--- a/src/core/scheduling/ranking/quota.rs
+++ b/src/core/scheduling/ranking/quota.rs
@@ -8,14 +8,14 @@
 use crate::wire::JobId;
 
 impl ClusterModel {
-    /// Jobs that fit into their team's quota along with the team's earlier
-    /// unfinished ones, by the time since which they are ready.
+    /// The jobs that fit into their team's quota together with all unfinished jobs of
+    /// the team that became ready before them.
     pub(super) fn jobs_within_quota(&self) -> HashSet<JobId> {
-        let mut by_arrival: Vec<&Job> = self.ready_jobs().collect();
-        by_arrival.sort_by_cached_key(|job| (self.ready_since(job), job.spec.id));
+        let mut by_ready_time: Vec<&Job> = self.ready_jobs().collect();
+        by_ready_time.sort_by_cached_key(|job| (self.ready_since(job), job.spec.id));
         let mut needed_by_team: HashMap<&str, TeamUsage> = HashMap::new();
         let mut within = HashSet::new();
-        for job in by_arrival {
+        for job in by_ready_time {
             let Some(team) = self.config.teams.get(&job.spec.team) else {
                 continue;
             };
--- a/src/core/scheduling/ranking/starvation.rs
+++ b/src/core/scheduling/ranking/starvation.rs
@@ -1,35 +1,36 @@
-//! Starvation: jobs that have waited long without a start are ranked higher.
+//! Starvation: raises the rank of jobs that have waited long without a start.
 
 use std::time::Duration;
 
 use crate::core::state::job::Job;
 
-/// A job that has not begun after so long comes first in its priority...
+/// A job that has not started this long after it became ready comes first within its
+/// priority.
 pub const STARVED_AFTER: Duration = Duration::from_secs(100);
-/// ...and after so long in all: the users expect even the largest job to begin
-/// within four minutes.
+/// A job that has not started this long after it became ready comes first across all
+/// priorities: users expect even the largest job to start within four minutes.
 pub const STARVED_ACROSS_PRIORITIES_AFTER: Duration = Duration::from_secs(150);
-/// So many of a starved job's tasks go first; the rest waits in the job's
-/// ordinary place, so that all starved jobs begin soon.
+/// How many tasks of a starved job come first. The others wait at the job's ordinary
+/// rank, so that all starved jobs start soon.
 pub(in crate::core) const STARVED_FIRST_TASKS: u32 = 2;
 
-/// Whether a job starves, and how far that raises it.
+/// Whether a job is starved, and how far that raises its rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Starvation {
-    /// It has begun, or has not waited long.
+    /// The job has started, or has not waited long.
     No,
-    /// It comes first in its own priority.
+    /// The job comes first within its own priority.
     WithinPriority,
-    /// It comes first among all jobs.
+    /// The job is raised to the highest priority and comes first within it.
     AcrossPriorities,
 }
 
 impl Starvation {
-    /// Judges a job that has been ready to start for `age`.
-    pub(super) fn of(job: &Job, age: Duration) -> Self {
-        if age <= STARVED_AFTER || job.has_started() {
+    /// The starvation of a job that became ready `waited` ago.
+    pub(super) fn of(job: &Job, waited: Duration) -> Self {
+        if waited <= STARVED_AFTER || job.has_started() {
             Self::No
-        } else if age <= STARVED_ACROSS_PRIORITIES_AFTER {
+        } else if waited <= STARVED_ACROSS_PRIORITIES_AFTER {
             Self::WithinPriority
         } else {
             Self::AcrossPriorities
--- a/src/core/scheduling/round.rs
+++ b/src/core/scheduling/round.rs
@@ -1,5 +1,10 @@
-//! A scheduling round of PV-EASY: jobs start in priority order; shadow load is
-//! preempted when that starts the blocked head at once; then venture backfilling.
+//! A scheduling round of PV-EASY.
+//!
+//! 1. Jobs start in the order of the queue until one is blocked, that is, until there is
+//!    no free capacity for its next task (of a gang: for all its tasks). This job is the
+//!    head.
+//! 2. Shadow load preemption stops shadow tasks if that starts tasks of the head at once.
+//! 3. Venture backfilling places tasks of the jobs behind the head.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -11,14 +16,14 @@
 use crate::wire::JobId;
 
 impl ClusterModel {
-    /// One scheduling round. Places and stops tasks in the model; nothing is sent
-    /// until the log that names the placements is stored.
+    /// Runs a scheduling round. It places and stops tasks in the model only; a start is
+    /// sent to a worker once the log entry that names the placement is stored.
     pub fn plan(&mut self, now: Instant) -> RoundSummary {
         self.run_round(PlacementStrategy::Grouped, now)
     }
 
-    /// A round that places every task by itself: the plain rule, which the
-    /// ordinary round is measured by.
+    /// Runs a round that places each task separately. This is the simple reference that
+    /// tests compare [`ClusterModel::plan`] with.
     pub fn plan_one_by_one(&mut self, now: Instant) -> RoundSummary {
         self.run_round(PlacementStrategy::OneByOne, now)
     }
@@ -37,21 +42,21 @@
         let mut planner = Planner::new(self, ranks, strategy, now);
         let in_order = planner.place_in_order(&queue);
         summary.started_in_order = in_order.started;
-        let Some(head) = in_order.head else {
+        let Some(head_position) = in_order.head_position else {
             self.clear_shadow_load();
             return summary;
         };
-        let preemption = planner.preempt_for_head(queue[head]);
+        let preemption = planner.preempt_for_head(queue[head_position]);
         summary.started_in_order += preemption.started;
         summary.preempted = preemption.preempted;
-        summary.backfilled = planner.backfill(queue[head].job, &queue[head + 1..]);
+        summary.backfilled = planner.backfill(queue[head_position].job, &queue[head_position + 1..]);
 
         let ranks = planner.into_ranks();
-        self.settle_shadow_load(&ranks, now);
+        self.reclassify_shadow_load(&ranks, now);
         summary
     }
 
-    /// The jobs that wait for capacity, in the order of their ranks.
+    /// The jobs that wait for capacity, sorted by rank.
     fn queue(&self, ranks: &BTreeMap<JobId, Rank>) -> Vec<Rank> {
         let waiting = self.jobs_waiting_for_capacity();
         let mut queue: Vec<Rank> = waiting
--- a/src/core/scheduling/round_summary.rs
+++ b/src/core/scheduling/round_summary.rs
@@ -1,12 +1,13 @@
-//! What a scheduling round did.
+//! Counts of a scheduling round.
 
-/// Tasks that a scheduling round started and stopped.
+/// How many tasks a scheduling round placed and preempted.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct RoundSummary {
-    /// Started in the order of the queue, or for the head by preemption.
+    /// Placed in the order of the queue, including those of the head that preemption made
+    /// room for.
     pub started_in_order: u32,
-    /// Started by backfilling.
+    /// Placed by backfilling.
     pub backfilled: u32,
-    /// Shadow tasks preempted for the head.
+    /// Shadow and over-quota tasks preempted for the head.
     pub preempted: u32,
 }
--- a/src/core/scheduling/shadow_load.rs
+++ b/src/core/scheduling/shadow_load.rs
@@ -1,7 +1,8 @@
-//! Settling of shadow load: when a backfilled task becomes sunny load.
+//! When shadow load becomes sunny load.
 //!
-//! A backfilled task is shadow load, and may be preempted, as long as a job that
-//! waits for capacity outranks it.
+//! A backfilled task is *shadow load*, which may be preempted, as long as a job that
+//! waits for capacity outranks it. Other tasks are *sunny load*, which is not preempted,
+//! unless they are [over-quota load](super::over_quota).
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -11,7 +12,7 @@
 use crate::wire::JobId;
 
 impl ClusterModel {
-    /// Makes all shadow load sunny: no job is blocked.
+    /// Turns all shadow load into sunny load, for a round in which no job is blocked.
     pub(super) fn clear_shadow_load(&mut self) {
         if !std::mem::take(&mut self.may_have_shadow_load) {
             return;
@@ -22,9 +23,9 @@
         }
     }
 
-    /// Makes those backfilled tasks sunny that no waiting job outranks any more. Jobs
-    /// that pause don't count as waiting.
-    pub(super) fn settle_shadow_load(&mut self, ranks: &BTreeMap<JobId, Rank>, now: Instant) {
+    /// Turns the backfilled tasks that no waiting job outranks any more into sunny load.
+    /// Paused jobs don't count as waiting.
+    pub(super) fn reclassify_shadow_load(&mut self, ranks: &BTreeMap<JobId, Rank>, now: Instant) {
         if !self.may_have_shadow_load {
             return;
         }
