--- a/src/api/routes.rs
+++ b/src/api/routes.rs
@@ -11,7 +11,7 @@
 use super::responses::{rejection_to_http, to_http};
 use crate::controller::Controller;
 use crate::response::ApiResponse;
-use crate::wire::{JobId, BODY_LIMIT};
+use crate::wire::{JobId, MAX_BODY_BYTES};
 
 type Response = warp::http::Response<Bytes>;
 
@@ -41,9 +41,9 @@
     warp::any().map(move || controller.clone())
 }
 
-/// Extracts the body of a request; rejects one of more than [`BODY_LIMIT`] bytes.
+/// Extracts the body of a request; rejects one of more than [`MAX_BODY_BYTES`] bytes.
 fn limited_body() -> impl Filter<Extract = (Bytes,), Error = Rejection> + Clone + Send + Sync + 'static {
-    warp::body::content_length_limit(BODY_LIMIT).and(warp::body::bytes())
+    warp::body::content_length_limit(MAX_BODY_BYTES).and(warp::body::bytes())
 }
 
 /// `GET /up`: whether a load balancer should route users to this controller.
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -11,7 +11,7 @@
 use crate::http::{HttpClient, HttpError};
 use crate::store::rate_limiter::RateLimiter;
 use crate::wire::{
-    ListedMachine, MachineId, MachineNames, MachinePage, MachineType, MachineTypeList, RentalRequest,
+    ListedMachine, MachineId, MachineIds, MachinePage, MachineType, MachineTypeList, RentalRequest,
 };
 
 /// How a request failed, as the client saw it.
@@ -227,7 +227,7 @@
     pub async fn list_machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
         let request = CloudRequest::get("/machine_types");
         let listed: MachineTypeList = self.call(request, always_permitted).await?;
-        Ok(listed.types)
+        Ok(listed.machine_types)
     }
 
     /// Rents machines, if `may_send` returns true when the request is due. Returns the
@@ -238,7 +238,7 @@
         may_send: impl FnOnce() -> bool,
     ) -> Result<Vec<MachineId>, CloudError> {
         let request = CloudRequest::post("/hosts", rental)?;
-        let rented: MachineNames = self.call(request, may_send).await?;
+        let rented: MachineIds = self.call(request, may_send).await?;
         Ok(rented.machines)
     }
 
@@ -249,7 +249,7 @@
         machines: &[MachineId],
         may_send: impl FnOnce() -> bool,
     ) -> Result<(), CloudError> {
-        let machines = MachineNames {
+        let machines = MachineIds {
             machines: machines.to_vec(),
         };
         let request = CloudRequest::post("/hosts/release", &machines)?;
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -120,7 +120,7 @@
 /// Sorts the job's lists of machine types and dependencies, and removes duplicates and types
 /// that don't exist.
 fn normalize(spec: &mut JobSpec, types: &[MachineType]) {
-    if let Some(allowed) = &mut spec.types {
+    if let Some(allowed) = &mut spec.machine_types {
         allowed.retain(|name| types.iter().any(|known| known.name == *name));
         allowed.sort();
         allowed.dedup();
--- a/src/core/evidence/commands/response.rs
+++ b/src/core/evidence/commands/response.rs
@@ -53,7 +53,7 @@
     /// knows of a cancellation must not let its tasks run on. A stop names an attempt and
     /// may be repeated; sending it is no evidence that the task is gone.
     pub fn stops_for_cancelled(&self, heartbeat: &Heartbeat) -> Vec<Command> {
-        let live = heartbeat.tasks.iter().filter(|t| t.state != TaskState::Exited);
+        let live = heartbeat.tasks.iter().filter(|t| t.state != TaskState::Ended);
         live.filter(|t| self.jobs.get(&t.task.job).is_some_and(|job| job.cancelled))
             .map(|t| Command::Stop {
                 task: t.task,
--- a/src/core/evidence/heartbeats/exit.rs
+++ b/src/core/evidence/heartbeats/exit.rs
@@ -62,7 +62,7 @@
                 record_failure(machine, job, ran, now);
                 effect = ExitEffect::AttemptFailed;
             }
-            ExitReason::NoRoom if !was_stopped => {
+            ExitReason::InsufficientResources if !was_stopped => {
                 machine.no_placement_before = Some(now + FULL_MACHINE_PAUSE);
             }
             ExitReason::UnknownTask => job.pause_until = Some(now + UNKNOWN_TASK_PAUSE),
--- a/src/core/evidence/heartbeats/mod.rs
+++ b/src/core/evidence/heartbeats/mod.rs
@@ -108,7 +108,7 @@
             self.apply_reported_task(accepted, task);
         }
         if accepted.fenced {
-            for task in tasks.iter().filter(|task| task.state != TaskState::Exited) {
+            for task in tasks.iter().filter(|task| task.state != TaskState::Ended) {
                 self.track_unexpected_attempt(&accepted.heartbeat.machine, task);
             }
         }
--- a/src/core/evidence/heartbeats/reported_task.rs
+++ b/src/core/evidence/heartbeats/reported_task.rs
@@ -39,7 +39,7 @@
                 job.add_place(task.task.index, &machine.id);
             }
         }
-        if task.state != TaskState::Exited {
+        if task.state != TaskState::Ended {
             apply_progress(machine, job, task, accepted);
             return;
         }
@@ -116,7 +116,7 @@
                 job.running.insert(task.task.index);
             }
         }
-        TaskState::Exited => return,
+        TaskState::Ended => return,
     }
     if let (Some(spec), SlotState::Running | SlotState::Fetching) = (&slot.spec, slot.state) {
         let (image, image_gb) = (spec.image.clone(), spec.image_gb);
--- a/src/core/evidence/invariants.rs
+++ b/src/core/evidence/invariants.rs
@@ -18,7 +18,7 @@
             is_held && self.jobs.contains_key(&task.task.job)
         };
         let tasks = heartbeat.tasks.iter();
-        let alive = tasks.filter(|task| task.state != TaskState::Exited);
+        let alive = tasks.filter(|task| task.state != TaskState::Ended);
         alive.filter(move |task| machine.is_some() && !is_known(task))
     }
 }
--- a/src/core/fleet/actions.rs
+++ b/src/core/fleet/actions.rs
@@ -80,7 +80,7 @@
         );
         self.fleet.pending_rentals.insert(request.clone(), order);
         RentalRequest {
-            request,
+            name: request,
             machine_type: offer.machine_type,
             zone: offer.zone,
             spot: offer.spot,
--- a/src/core/fleet/outcomes.rs
+++ b/src/core/fleet/outcomes.rs
@@ -32,7 +32,7 @@
 impl ClusterModel {
     /// The cloud answered a rental with machines, perhaps with fewer than requested.
     pub fn rental_done(&mut self, rental: &RentalRequest, machines: &[MachineId], now: Instant) {
-        self.fleet.pending_rentals.remove(&rental.request);
+        self.fleet.pending_rentals.remove(&rental.name);
         for id in machines {
             self.add_rented_machine(id.clone(), &rental.machine_type, &rental.zone, rental.spot, now);
         }
@@ -44,7 +44,7 @@
     /// A rental failed. What the cloud may still rent shows up in its list or by the
     /// heartbeats of the worker.
     pub fn rental_failed(&mut self, rental: &RentalRequest, failure: RentalFailure, now: Instant) {
-        self.fleet.pending_rentals.remove(&rental.request);
+        self.fleet.pending_rentals.remove(&rental.name);
         if failure == RentalFailure::NoCapacity {
             self.suspend_offer(rental, now);
         }
--- a/src/core/scheduling/admission.rs
+++ b/src/core/scheduling/admission.rs
@@ -54,7 +54,7 @@
 /// Whether the job allows the machine type and one of its tasks fits an empty machine of
 /// that type.
 pub fn fits_machine_type(spec: &JobSpec, machine_type: &MachineType) -> bool {
-    let allowed = spec.types.as_ref();
+    let allowed = spec.machine_types.as_ref();
     allowed.is_none_or(|names| names.contains(&machine_type.name))
         && Resources::of_task(spec).fits_into(&Resources::of_type(machine_type))
 }
--- a/src/core/state/config.rs
+++ b/src/core/state/config.rs
@@ -56,14 +56,14 @@
             zones: cluster.zones.clone(),
             heartbeat_interval: workers.heartbeat_interval,
             worker_lease: workers.lease,
-            cancel_deadline: workers.cancel_within,
+            cancel_deadline: workers.cancel_deadline,
             silence_limit: operator_settings
                 .silence_timeout
                 .unwrap_or_else(|| default_silence_limit(workers.heartbeat_interval, workers.lease)),
             machine_list_lag: cluster.cloud.list_lag,
             min_log_append_interval: Duration::from_secs_f64(2.0 / cluster.state.write_rps),
-            max_transaction_changes: cluster.state.min_txn_ops(),
-            max_value_bytes: cluster.state.value_bytes(),
+            max_transaction_changes: cluster.state.max_transaction_changes(),
+            max_value_bytes: cluster.state.max_value_bytes(),
             operator_settings,
         }
     }
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -117,7 +117,7 @@
     pub fn record(&self) -> JobRecord {
         let mut spec = (*self.spec).clone();
         if self.cancelled {
-            spec.types = None;
+            spec.machine_types = None;
             spec.awaits.clear();
         }
         JobRecord {
--- a/src/core/state/model/machines.rs
+++ b/src/core/state/model/machines.rs
@@ -7,7 +7,7 @@
 use crate::core::state::machine::{Machine, MachinePhase};
 use crate::core::state::model::ClusterModel;
 use crate::core::storage::wal::LogEntry;
-use crate::wire::{CloudState, ListedMachine, MachineId};
+use crate::wire::{CloudMachineState, ListedMachine, MachineId};
 
 impl ClusterModel {
     /// Adds a machine that was just rented, unless its release is confirmed already.
@@ -59,7 +59,7 @@
                 machine.machine_type = listed.machine_type.clone();
                 machine.zone = listed.zone.clone();
                 machine.spot = listed.spot;
-                if listed.state == CloudState::Running {
+                if listed.state == CloudMachineState::Running {
                     machine.phase = MachinePhase::Up;
                     machine.known_since = now;
                     machine.needs_probe = true;
@@ -70,13 +70,13 @@
                 let entry = machine.log_entry();
                 self.log.push(entry);
             }
-            if listed.state == CloudState::Running && machine.phase == MachinePhase::Booting {
+            if listed.state == CloudMachineState::Running && machine.phase == MachinePhase::Booting {
                 machine.needs_probe = true;
             }
             if machine.needs_probe {
                 self.command_candidates.insert(listed.id.clone());
             }
-            if listed.state == CloudState::Failed {
+            if listed.state == CloudMachineState::Failed {
                 machine.cordoned_since.get_or_insert(now);
                 // The machine has stopped by itself, so nothing runs on it any more.
                 self.remove_all_slots(&listed.id, now, "listed as failed");
--- a/src/leader/active_leader/fleet_actions.rs
+++ b/src/leader/active_leader/fleet_actions.rs
@@ -70,7 +70,7 @@
             }
             match self.controller.cloud().rent(rental, || self.may_act()).await {
                 Ok(machines) => {
-                    info!(request = rental.request, got = machines.len(), "machines rented");
+                    info!(request = rental.name, got = machines.len(), "machines rented");
                     return self.model.lock().rental_done(rental, &machines, Instant::now());
                 }
                 Err(error) if error.is_retryable() && retries < MAX_RENTAL_RETRIES => {
@@ -78,7 +78,7 @@
                     sleep(RENTAL_RETRY_PAUSE).await;
                 }
                 Err(error) => {
-                    info!(request = rental.request, %error, "rental failed");
+                    info!(request = rental.name, %error, "rental failed");
                     let failure = match error {
                         CloudError::NoCapacity { .. } => RentalFailure::NoCapacity,
                         _ => RentalFailure::Other,
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -100,7 +100,7 @@
         let limits = AuthorityLimits {
             leader_lease: controller.operator_settings().leader_lease,
             worker_lease: workers.lease,
-            cancel_deadline: workers.cancel_within,
+            cancel_deadline: workers.cancel_deadline,
             clock_error: controller.deployment().cluster.clock_error,
         };
         Arc::new(Self {
--- a/src/leader/active_leader/rounds.rs
+++ b/src/leader/active_leader/rounds.rs
@@ -51,7 +51,7 @@
             }
             // A round that took long is followed by a longer pause, so that
             // users and workers are answered meanwhile.
-            let pause = self.controller.operator_settings().plan_pause;
+            let pause = self.controller.operator_settings().min_round_pause;
             let longer_pause = (began.elapsed() * PAUSE_PER_ROUND_TIME).min(pause * MAX_PAUSE_FACTOR);
             sleep(pause.max(longer_pause)).await;
         }
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -58,8 +58,8 @@
         workers.heartbeat_interval.as_secs_f64(),
     )?;
     check_positive("cluster.workers.lease_s", workers.lease.as_secs_f64())?;
-    check_positive("cluster.workers.cancel_s", workers.cancel_within.as_secs_f64())?;
-    if workers.cancel_within <= workers.lease {
+    check_positive("cluster.workers.cancel_s", workers.cancel_deadline.as_secs_f64())?;
+    if workers.cancel_deadline <= workers.lease {
         return invalid("cluster.workers.cancel_s", InvalidValue::NotAboveLease);
     }
     Ok(())
--- a/src/settings/cluster.rs
+++ b/src/settings/cluster.rs
@@ -87,7 +87,7 @@
     /// Within this time after its cancellation no task of a job runs any more; above
     /// the lease.
     #[serde(rename = "cancel_s", deserialize_with = "readers::seconds")]
-    pub cancel_within: Duration,
+    pub cancel_deadline: Duration,
 }
 
 /// Limits of the cloud's API.
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -14,7 +14,7 @@
     /// leader's lease at the state service.
     pub leader_lease: Duration,
     /// `plan.pause_ms`, 1 to 5,000: least time between two scheduling rounds.
-    pub plan_pause: Duration,
+    pub min_round_pause: Duration,
     /// `fleet.idle_s`, 0 to 86,400: an idle machine that isn't needed as spare capacity
     /// is released after so long.
     pub idle_timeout: Duration,
@@ -35,7 +35,7 @@
     fn default() -> Self {
         Self {
             leader_lease: Duration::from_millis(2000),
-            plan_pause: Duration::from_millis(50),
+            min_round_pause: Duration::from_millis(50),
             idle_timeout: Duration::from_secs(90),
             silence_timeout: None,
             max_machines: 10_000,
@@ -73,7 +73,7 @@
     fn set(&mut self, key: &str, value: &str) -> Result<(), InvalidValue> {
         match key {
             "leader.lease_ms" | "leader.hold_ms" => self.leader_lease = millis(value, 500.0, 60_000.0)?,
-            "plan.pause_ms" => self.plan_pause = millis(value, 1.0, 5_000.0)?,
+            "plan.pause_ms" => self.min_round_pause = millis(value, 1.0, 5_000.0)?,
             "fleet.idle_s" => self.idle_timeout = seconds(value, 0.0, 86_400.0)?,
             "fleet.silent_s" => self.silence_timeout = Some(seconds(value, 1.0, 600.0)?),
             "fleet.most" => self.max_machines = number(value, 1.0, 100_000.0)? as usize,
--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -42,23 +42,23 @@
 
 impl StateLimits {
     /// Largest value, in bytes, that is taken now and later.
-    pub fn value_bytes(&self) -> usize {
+    pub fn max_value_bytes(&self) -> usize {
         let kib = lower(self.value_kb, self.next.value_kb, f64::min);
         (kib * BYTES_PER_KIB) as usize
     }
 
     /// Most puts and deletes in a transaction that is taken now and later.
-    pub fn min_txn_ops(&self) -> usize {
+    pub fn max_transaction_changes(&self) -> usize {
         lower(self.txn_ops, self.next.txn_ops, usize::min)
     }
 
     /// Requests per second that are taken now and later.
-    pub fn min_rps(&self) -> f64 {
+    pub fn max_requests_per_s(&self) -> f64 {
         lower(self.rps, self.next.rps, f64::min)
     }
 
     /// Puts and deletes per second that are taken now and later.
-    pub fn min_write_rps(&self) -> f64 {
+    pub fn max_changes_per_s(&self) -> f64 {
         lower(self.write_rps, self.next.write_rps, f64::min)
     }
 }
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -122,8 +122,8 @@
     /// limits take effect without notice; a refusal is the only sign of it.
     fn lower_rates(&self) {
         let now = Instant::now();
-        let request_rate = self.limits.min_rps() * REQUEST_SHARE;
-        let change_rate = self.limits.min_write_rps() * CHANGE_SHARE;
+        let request_rate = self.limits.max_requests_per_s() * REQUEST_SHARE;
+        let change_rate = self.limits.max_changes_per_s() * CHANGE_SHARE;
         let lowered = [
             self.request_budget.lower_rate(request_rate, now),
             self.change_budget.lower_rate(change_rate, now),
--- a/src/store/transactions.rs
+++ b/src/store/transactions.rs
@@ -68,14 +68,14 @@
     /// Checks a transaction against the limits on sizes that hold now and the announced
     /// ones. Every transaction is checked here.
     fn check_size(&self, transaction: &Transaction) -> Result<(), StoreError> {
-        let max_bytes = self.limits.value_bytes();
+        let max_bytes = self.limits.max_value_bytes();
         let is_too_large = |change: &Change| match change {
             Change::Put { value, .. } => {
                 serde_json::to_vec(value).map_or(true, |json| json.len() > max_bytes)
             }
             Change::Delete { .. } => false,
         };
-        if transaction.changes.len() > self.limits.min_txn_ops()
+        if transaction.changes.len() > self.limits.max_transaction_changes()
             || transaction.changes.iter().any(is_too_large)
         {
             return Err(StoreError::TooLarge {
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -46,7 +46,7 @@
 pub struct MachineTypeList {
     /// All types on offer.
     #[serde(rename = "rigs")]
-    pub types: Vec<MachineType>,
+    pub machine_types: Vec<MachineType>,
 }
 
 /// Body of `POST /hosts`: rents machines of one kind.
@@ -54,7 +54,7 @@
 pub struct RentalRequest {
     /// Name of the request, never used twice.
     #[serde(rename = "hire")]
-    pub request: String,
+    pub name: String,
     /// Name of the machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
@@ -71,7 +71,7 @@
 /// Machine names: the response to `POST /hosts`, and the body of
 /// `POST /hosts/release`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MachineNames {
+pub struct MachineIds {
     /// The names.
     #[serde(rename = "racks")]
     pub machines: Vec<MachineId>,
@@ -80,7 +80,7 @@
 /// State of a machine in the cloud's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum CloudState {
+pub enum CloudMachineState {
     /// It is rented and not up yet.
     #[serde(rename = "starting")]
     Booting,
@@ -110,7 +110,7 @@
     pub spot: bool,
     /// Its state.
     #[serde(rename = "standing")]
-    pub state: CloudState,
+    pub state: CloudMachineState,
     /// Time since its rental, as of the list, in seconds.
     #[serde(default)]
     pub age_s: f64,
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -18,4 +18,4 @@
 pub use workers::*;
 
 /// Largest request body in bytes.
-pub const BODY_LIMIT: u64 = 64 * 1024;
+pub const MAX_BODY_BYTES: u64 = 64 * 1024;
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -71,7 +71,7 @@
     pub image_gb: f64,
     /// Names of the allowed machine types; `None`: all.
     #[serde(rename = "rigs", default, skip_serializing_if = "Option::is_none")]
-    pub types: Option<Vec<String>>,
+    pub machine_types: Option<Vec<String>>,
     /// Name of the only allowed zone; `None`: all.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
@@ -108,7 +108,7 @@
 }
 
 /// Most tasks of a job.
-pub const MAX_TASKS: u32 = 100_000;
+pub const MAX_TASKS_PER_JOB: u32 = 100_000;
 
 impl JobSpec {
     /// Time that a task is given for a checkpoint when it is stopped: none if it saves
@@ -142,7 +142,7 @@
         if !(self.cpus.is_finite() && self.cpus > 0.0 && self.cpus <= 1e9) {
             return Err("cpus");
         }
-        if self.tasks == 0 || self.tasks > MAX_TASKS {
+        if self.tasks == 0 || self.tasks > MAX_TASKS_PER_JOB {
             return Err("lots");
         }
         for (name, s) in [
@@ -157,7 +157,7 @@
         if self.zone.as_ref().is_some_and(|z| z.is_empty() || z.len() > 256) {
             return Err("yard");
         }
-        if let Some(types) = &self.types {
+        if let Some(types) = &self.machine_types {
             if types.is_empty() || types.iter().any(|t| t.is_empty() || t.len() > 256) {
                 return Err("rigs");
             }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -22,7 +22,7 @@
     Saving,
     /// It ended, see [`ExitReason`]; listed until it is acknowledged.
     #[serde(rename = "ended")]
-    Exited,
+    Ended,
 }
 
 /// Why an attempt of a task ended, or was not started.
@@ -39,7 +39,7 @@
     Failed,
     /// Refused: not enough free resources.
     #[serde(rename = "full")]
-    NoRoom,
+    InsufficientResources,
     /// Refused: another attempt of it is on the machine.
     #[serde(rename = "in_use")]
     OtherAttemptPresent,
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -251,6 +251,12 @@
 #[test]
 fn settings_without_announced_limits_work_as_ever() {
     let limits = deployment().cluster.state;
-    assert_eq!((limits.value_bytes(), limits.min_txn_ops()), (4096, 12));
-    assert_eq!((limits.min_rps(), limits.min_write_rps()), (200.0, 100.0));
+    assert_eq!(
+        (limits.max_value_bytes(), limits.max_transaction_changes()),
+        (4096, 12)
+    );
+    assert_eq!(
+        (limits.max_requests_per_s(), limits.max_changes_per_s()),
+        (200.0, 100.0)
+    );
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -20,7 +20,7 @@
             "[a-z]{1,9}",
             0..3u8,
             0..4u8,
-            1..=MAX_TASKS,
+            1..=MAX_TASKS_PER_JOB,
         ),
         (1..64u32, 0..8u32, 0..512u32, any::<[bool; 3]>()),
         (
@@ -54,7 +54,7 @@
                     memory_gb: f64::from(memory) / 8.0,
                     image: "img-07".into(),
                     image_gb: 6.2,
-                    types,
+                    machine_types: types,
                     zone,
                     one_zone: flags[0],
                     spread: flags[1],
@@ -158,7 +158,7 @@
 fn values_out_of_range_are_named() {
     let valid = support::job(1, 4, 2.0);
     let mut invalid = valid.clone();
-    invalid.tasks = MAX_TASKS + 1;
+    invalid.tasks = MAX_TASKS_PER_JOB + 1;
     assert_eq!(invalid.check(), Err("lots"));
     let mut invalid = valid.clone();
     invalid.cpus = 0.0;
@@ -252,7 +252,10 @@
         .expect("valid")
         .cluster
         .state;
-    assert_eq!((limits.value_bytes(), limits.min_txn_ops()), (4096, 5));
+    assert_eq!(
+        (limits.max_value_bytes(), limits.max_transaction_changes()),
+        (4096, 5)
+    );
     // Optional tables may be missing.
     let text = support::SETTINGS.split("[cluster.state]").next().expect("text");
     assert!(DeploymentSettings::parse(text, "test").is_ok());
--- a/tests/gap/world/mod.rs
+++ b/tests/gap/world/mod.rs
@@ -90,7 +90,7 @@
         let settings = &mut deployment.cluster.workers;
         settings.heartbeat_interval = Duration::from_secs_f64(times.heartbeat_interval);
         settings.lease = Duration::from_secs_f64(times.worker_lease);
-        settings.cancel_within =
+        settings.cancel_deadline =
             settings.lease + CANCELLATION_MARGIN + Duration::from_secs_f64(times.cancel_slack);
         let base = start();
         Self {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -149,7 +149,7 @@
         body["rigs"] = json!(["large"]);
         body["cpus"] = json!(30.0);
         let mut spec: bitternfold::wire::JobSpec = serde_json::from_value(body).expect("a job");
-        spec.types = Some((0..200).map(|n| format!("machine-type-{n}")).collect());
+        spec.machine_types = Some((0..200).map(|n| format!("machine-type-{n}")).collect());
         let record = json!({"spec": spec, "at": bitternfold::clock::unix_time_ms()});
         assert!(record.to_string().len() > 2048);
         site.state.plant("jobs/job-000001", record);
--- a/tests/planner/backfilling.rs
+++ b/tests/planner/backfilling.rs
@@ -76,7 +76,7 @@
             task: *other,
             attempt: slot.attempt,
             state: if slot.attempt == attempt && *other == task {
-                TaskState::Exited
+                TaskState::Ended
             } else {
                 TaskState::Running
             },
--- a/tests/planner/fixtures.rs
+++ b/tests/planner/fixtures.rs
@@ -56,7 +56,7 @@
                     task: *task,
                     attempt: slot.attempt,
                     state: if has_ended {
-                        TaskState::Exited
+                        TaskState::Ended
                     } else {
                         TaskState::Running
                     },
@@ -91,7 +91,7 @@
     let mut message = heartbeat(machine, "small", "north", false, 1, sequence);
     message.tasks = running(model, &id);
     for reported in &mut message.tasks {
-        (reported.state, reported.exit_reason) = (TaskState::Exited, Some(reason));
+        (reported.state, reported.exit_reason) = (TaskState::Ended, Some(reason));
     }
     model.apply_heartbeat(&message, now);
     // The worker has removed them, too.
--- a/tests/planner/generated.rs
+++ b/tests/planner/generated.rs
@@ -94,7 +94,7 @@
             spec.spread = flags[1] && !flags[2] && flags[4];
             spec.team = if flags[3] { "red" } else { "blue" }.into();
             spec.zone = (place == 1).then(|| "south".into());
-            spec.types = (place == 2).then(|| vec!["large".into()]);
+            spec.machine_types = (place == 2).then(|| vec!["large".into()]);
             spec.estimate_s = f64::from(estimate_s);
             spec
         })
--- a/tests/planner/prediction.rs
+++ b/tests/planner/prediction.rs
@@ -50,7 +50,7 @@
         }];
         model.apply_heartbeat(&message, base);
         message.sequence += 1;
-        message.tasks[0].state = TaskState::Exited;
+        message.tasks[0].state = TaskState::Ended;
         message.tasks[0].exit_reason = Some(reason);
         model.apply_heartbeat(&message, base + secs(ran));
         message.sequence += 1;
--- a/tests/safety/cluster/invariants.rs
+++ b/tests/safety/cluster/invariants.rs
@@ -73,7 +73,7 @@
         );
         let slots = &self.model.machines()[&heartbeat.machine].slots;
         let live = heartbeat.tasks.iter();
-        for reported in live.filter(|task| task.state != TaskState::Exited) {
+        for reported in live.filter(|task| task.state != TaskState::Ended) {
             let slot = slots.get(&reported.task);
             let slot = slot.filter(|slot| slot.attempt == reported.attempt);
             let job = self.model.jobs().get(&reported.task.job);
--- a/tests/safety/heartbeats.rs
+++ b/tests/safety/heartbeats.rs
@@ -126,7 +126,7 @@
     assert_eq!(model.unknown_tasks(&message).count(), 1);
     // Ended tasks don't count, nor a heartbeat from before the machine has seen this
     // term's token.
-    message.tasks[0].state = TaskState::Exited;
+    message.tasks[0].state = TaskState::Ended;
     assert_eq!(model.unknown_tasks(&message).count(), 0);
     message.tasks[0].state = TaskState::Running;
     *model.set_up().term = 8;
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -279,7 +279,7 @@
             machine_type: "small".into(),
             zone: "north".into(),
             spot: false,
-            state: CloudState::Running,
+            state: CloudMachineState::Running,
             age_s: 60.0,
         })
         .collect();
@@ -353,7 +353,7 @@
     // Twenty arrays of as many tasks as a job may have, and of as many as there is
     // room for: a round that finds no room costs the same.
     let now = start();
-    let [few, many] = [70, MAX_TASKS].map(|tasks| {
+    let [few, many] = [70, MAX_TASKS_PER_JOB].map(|tasks| {
         let mut model = model(7);
         for i in 0..40 {
             model.apply_heartbeat(&heartbeat(&id(i), "large", "north", true, 7, 1), now);
--- a/tests/support/cloud/commands.rs
+++ b/tests/support/cloud/commands.rs
@@ -133,9 +133,9 @@
                 }
             }
             Command::Stop { task, attempt, .. } => {
-                let live = |t: &&mut Task| t.attempt == attempt && t.state != TaskState::Exited;
+                let live = |t: &&mut Task| t.attempt == attempt && t.state != TaskState::Ended;
                 if let Some(t) = m.tasks.get_mut(&task).filter(live) {
-                    (t.state, t.exit_reason) = (TaskState::Exited, Some(ExitReason::Stopped));
+                    (t.state, t.exit_reason) = (TaskState::Ended, Some(ExitReason::Stopped));
                     self.note(m, task, TaskChange::Ended { done: false });
                 }
             }
--- a/tests/support/cloud/heartbeats.rs
+++ b/tests/support/cloud/heartbeats.rs
@@ -19,7 +19,7 @@
     /// Removes all tasks from a machine, whose live ones end.
     pub(super) fn end_all(&self, m: &mut Machine) {
         for (task, t) in std::mem::take(&mut m.tasks) {
-            if t.state != TaskState::Exited {
+            if t.state != TaskState::Ended {
                 self.note(m, task, TaskChange::Ended { done: false });
             }
         }
@@ -42,7 +42,7 @@
             .collect();
         for task in ended {
             let t = m.tasks.get_mut(&task).expect("just seen");
-            (t.state, t.exit_reason) = (TaskState::Exited, Some(ExitReason::Done));
+            (t.state, t.exit_reason) = (TaskState::Ended, Some(ExitReason::Done));
             self.note(m, task, TaskChange::Ended { done: true });
         }
     }
--- a/tests/support/cloud/mod.rs
+++ b/tests/support/cloud/mod.rs
@@ -125,7 +125,7 @@
             .and(warp::path!("hosts" / "release"))
             .and(warp::body::json())
             .and(with)
-            .map(|r: MachineNames, c: Arc<Cloud>| {
+            .map(|r: MachineIds, c: Arc<Cloud>| {
                 for m in c.machines.lock().iter() {
                     let mut m = m.lock();
                     if r.machines.contains(&m.id) && !m.released {
@@ -139,14 +139,14 @@
     }
 
     pub(super) async fn rent(self: &Arc<Self>, r: RentalRequest) -> Json {
-        if let Some(got) = self.requests.lock().get(&r.request) {
+        if let Some(got) = self.requests.lock().get(&r.name) {
             return (200, json!({"racks": got}));
         }
         let mut names = Vec::new();
         for _ in 0..r.count {
             names.push(self.boot(&r.zone, r.spot).await);
         }
-        self.requests.lock().insert(r.request, names.clone());
+        self.requests.lock().insert(r.name, names.clone());
         (200, json!({"racks": names}))
     }
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -108,7 +108,7 @@
         memory_gb: 1.0,
         image: "img".into(),
         image_gb: 0.0,
-        types: None,
+        machine_types: None,
         zone: None,
         one_zone: false,
         spread: false,
@@ -180,7 +180,7 @@
 pub fn ended(m: &ClusterModel, id: &MachineId, first: usize) -> Vec<ReportedTask> {
     let mut tasks = running(m, id);
     for t in tasks.iter_mut().take(first) {
-        (t.state, t.exit_reason) = (TaskState::Exited, Some(ExitReason::Done));
+        (t.state, t.exit_reason) = (TaskState::Ended, Some(ExitReason::Done));
     }
     tasks
 }
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -21,12 +21,12 @@
 impl WorkerTask {
     /// Whether it takes up resources: it fetches its image or runs.
     pub fn is_live(&self) -> bool {
-        self.state != TaskState::Exited
+        self.state != TaskState::Ended
     }
 
     /// Ends the task for this reason.
     pub fn exit(&mut self, reason: ExitReason) {
-        self.state = TaskState::Exited;
+        self.state = TaskState::Ended;
         self.exit_reason = Some(reason);
     }
 }
