--- a/src/core/fleet/capacity.rs
+++ b/src/core/fleet/capacity.rs
@@ -1,4 +1,5 @@
-//! What the machines of the fleet have.
+//! Capacity of the fleet: its free and used CPUs, their price, and how many of them to
+//! keep free.
 
 use std::time::Instant;
 
@@ -6,13 +7,12 @@
 use crate::core::state::model::ClusterModel;
 use crate::core::state::prices::price_per_cpu;
 
-/// CPUs of the fleet.
+/// CPUs of the fleet's machines whose type is known.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub(super) struct FleetCpus {
-    /// Free on machines that boot, or that are schedulable and not about to be
-    /// reclaimed.
+    /// Free CPUs of the machines with usable capacity.
     pub(super) free: f64,
-    /// Taken by tasks, on all machines.
+    /// CPUs that tasks take, on all machines.
     pub(super) used: f64,
 }
 
@@ -33,32 +33,33 @@
             };
             let used = machine.used_resources().cpus;
             cpus.used += used;
-            if self.adds_capacity(machine, now) {
+            if self.has_usable_capacity(machine, now) {
                 cpus.free += self.machine_types[type_index].cpus - used;
             }
         }
         cpus
     }
 
-    /// Whether what is free on a machine can be counted on: it boots, or it is
-    /// schedulable and not about to be reclaimed.
-    pub(super) fn adds_capacity(&self, machine: &Machine, now: Instant) -> bool {
+    /// Whether the free resources of a machine count as capacity: it boots, or it is
+    /// schedulable and the cloud doesn't reclaim it.
+    pub(super) fn has_usable_capacity(&self, machine: &Machine, now: Instant) -> bool {
         machine.phase == MachinePhase::Booting
             || (self.is_schedulable(machine, now) && machine.reclaim_at.is_none())
     }
 
-    /// Hourly price of a machine for each of its CPUs; 0 if its type is not known.
-    pub(super) fn machine_price(&self, machine: &Machine) -> f64 {
+    /// Hourly price per CPU of a machine; 0 if its type is not known.
+    pub(super) fn machine_price_per_cpu(&self, machine: &Machine) -> f64 {
         let type_index = self.type_index(machine);
         type_index.map_or(0.0, |index| {
             price_per_cpu(&self.machine_types[index], machine.spot)
         })
     }
 
-    /// Share of the load that is kept free. The larger the fleet, the less its
-    /// load varies in proportion.
-    pub(super) fn warm_share(&self) -> f64 {
-        let small = (50.0 / self.machines.len().max(1) as f64).sqrt();
-        self.config.operator_settings.warm_share * small.clamp(0.5, 1.0)
+    /// CPUs to keep free as warm capacity, as a share of the load: the operators' setting,
+    /// scaled down to its half as the fleet grows from 50 to 200 machines. The larger the
+    /// fleet, the less its load varies in proportion.
+    pub(super) fn effective_warm_share(&self) -> f64 {
+        let scale = (50.0 / self.machines.len().max(1) as f64).sqrt();
+        self.config.operator_settings.warm_share * scale.clamp(0.5, 1.0)
     }
 }
--- a/src/core/fleet/demand.rs
+++ b/src/core/fleet/demand.rs
@@ -1,4 +1,4 @@
-//! How much of what waits could start if there were machines for it.
+//! How many of the waiting tasks could start if there were machines for them.
 
 use std::time::Instant;
 
@@ -8,9 +8,9 @@
 use crate::wire::JobKind;
 
 impl ClusterModel {
-    /// How many of a job's waiting tasks may start now if there is room: as many
-    /// as its pause, its probation and its team's limit allow, given what the
-    /// team uses.
+    /// How many of a job's waiting tasks may start now, given enough machines: as many as
+    /// its pause, its probation and its team's limit allow. `team_usage` is what the team
+    /// uses already.
     pub(super) fn startable_tasks(&self, job: &Job, team_usage: TeamUsage, now: Instant) -> u32 {
         let allowance = match self.start_allowance(job, now) {
             0 => return 0,
@@ -35,9 +35,9 @@
         startable
     }
 
-    /// Whether some job waits for nothing but capacity. Jobs that pause, are on
-    /// probation or at their team's limit must not hold the whole fleet: one
-    /// that was submitted with a mistake waits until its user cancels it.
+    /// Whether some job waits for nothing but capacity. A job that is paused, on probation
+    /// or at its team's limit must not keep all idle machines rented: if it was submitted
+    /// with a mistake, it waits until its user cancels it.
     pub(super) fn has_startable_tasks(&self, now: Instant) -> bool {
         let usage_by_team = self.team_usage();
         self.jobs_waiting_for_capacity().any(|job| {
--- a/src/core/fleet/evacuation.rs
+++ b/src/core/fleet/evacuation.rs
@@ -1,4 +1,5 @@
-//! Evacuation of machines that the cloud reclaims.
+//! Evacuation of machines that the cloud reclaims: tasks that can't end in time are
+//! stopped, so that they run elsewhere.
 
 use std::time::{Duration, Instant};
 
@@ -9,8 +10,8 @@
 use crate::core::state::slot::{Slot, SlotState};
 use crate::wire::{MachineId, TaskId};
 
-/// A task is evacuated only if it is predicted to run for this many times the time
-/// that its machine has left: predictions are often wrong by half.
+/// A task is evacuated only if its predicted remaining run time is more than this many
+/// times the time that its machine has left: predictions are often wrong by half.
 const PREDICTION_MARGIN: f64 = 1.5;
 
 /// A task to be stopped on a machine that the cloud reclaims.
@@ -21,8 +22,8 @@
 }
 
 impl ClusterModel {
-    /// Stops tasks on machines that the cloud reclaims before they are predicted to
-    /// end, as far as there is free capacity elsewhere: every second they stay is lost.
+    /// Stops tasks that the cloud is predicted to interrupt by reclaiming their machine, as
+    /// far as there is free capacity elsewhere: the time that they stay longer is lost.
     pub(super) fn evacuate_reclaimed_machines(&mut self, now: Instant) {
         if self.machines.values().all(|machine| machine.reclaim_at.is_none()) {
             return;
@@ -56,7 +57,7 @@
                 let Some(spec) = slot.spec.as_ref().filter(|_| slot.stop_grace.is_none()) else {
                     continue;
                 };
-                if !has_begun(slot) || free < spec.cpus {
+                if !is_fetching_or_running(slot) || free < spec.cpus {
                     continue;
                 }
                 let runs_for = self.predicted_end(slot, now).saturating_duration_since(now);
@@ -75,6 +76,6 @@
     }
 }
 
-fn has_begun(slot: &Slot) -> bool {
+fn is_fetching_or_running(slot: &Slot) -> bool {
     matches!(slot.state, SlotState::Running | SlotState::Fetching)
 }
--- a/src/core/fleet/mod.rs
+++ b/src/core/fleet/mod.rs
@@ -1,16 +1,16 @@
-//! The size of the fleet: enough capacity for what waits, some warm capacity for what
-//! comes, and nothing idle for long.
+//! The size of the fleet: enough capacity for the tasks that wait, some warm capacity (free
+//! CPUs for tasks to come), and no machine that is idle for long.
 //!
-//! - [`actions`] is one round of decisions, made about once a second.
-//! - `rentals` packs what waits onto what there is and rents the rest, by the best of
-//!   the `offers`, into a `rental_plan`.
-//! - `releases` gives up lost machines, `idle` those that are not needed.
+//! - [`actions`] makes a round of decisions, about once a second.
+//! - `rentals` packs the waiting tasks onto the machines that there are, and adds machines
+//!   for the rest to a `rental_plan`, chosen by `offers`.
+//! - `releases` chooses lost machines for release, `idle` those that are not needed.
 //! - `evacuation` moves tasks off machines that the cloud reclaims.
-//! - `capacity`, `demand` and `partitions` measure what the others decide by.
-//! - [`outcomes`] takes in what the cloud answered.
+//! - `capacity`, `demand` and `partitions` compute what these decisions depend on.
+//! - [`outcomes`] applies the cloud's responses.
 //!
-//! Decisions change the phase of a machine and
-//! [`FleetState`](crate::core::state::fleet_state::FleetState) only; the leader sends the
+//! Rentals and releases change only the phase of a machine and
+//! [`FleetState`](crate::core::state::fleet_state::FleetState); the leader sends the
 //! requests. A machine leaves the model once its release is confirmed.
 
 pub mod actions;
--- a/src/core/fleet/offers.rs
+++ b/src/core/fleet/offers.rs
@@ -1,4 +1,4 @@
-//! The choice among the cloud's offers.
+//! The choice among the cloud's offers for a job.
 
 use std::time::Instant;
 
@@ -10,20 +10,21 @@
 use crate::core::state::resources::Resources;
 use crate::wire::{JobSpec, MachineType};
 
-/// How good an offer is for a job, the smaller the better. The first field that
+/// How good an offer is for a job; the smaller score is better. The first field that
 /// differs decides.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 struct OfferScore {
+    /// Whether the offer's zone is partitioned.
     partitioned: bool,
-    /// Hourly price of a machine for each task that it would run.
+    /// Hourly price of a machine, divided by the tasks that it would run.
     price_per_task: f64,
-    /// Spreads the machines over the zones.
+    /// Machines that the zone has already; prefers zones with few of them.
     machines_in_zone: u32,
 }
 
 impl ClusterModel {
-    /// The offer that runs a job's tasks for the least money, among those not
-    /// refused of late; spread over the zones. `tasks` is how many are left to run.
+    /// The best offer for `tasks` tasks of a job by its [`OfferScore`], among those that
+    /// are not suspended; `None` if there is none.
     pub(super) fn best_offer(
         &self,
         spec: &JobSpec,
@@ -57,8 +58,8 @@
         best.map(|(_, offer)| offer)
     }
 
-    /// The offers of a machine type that the job's rules allow: in each zone as a spot
-    /// machine first.
+    /// The offers of a machine type that the job's zone and spot settings allow, zone by
+    /// zone; the spot offer of a zone comes first.
     fn offers<'a>(
         &'a self,
         machine_type: &'a MachineType,
@@ -83,7 +84,7 @@
     }
 }
 
-/// How many of so many tasks an empty machine would run, at least one.
+/// How many of `tasks` tasks an empty machine of the type would run; 1 at least.
 fn tasks_per_machine(machine_type: &MachineType, spec: &JobSpec, tasks: u32) -> f64 {
     let capacity = Resources::of_type(machine_type);
     let fitting = capacity.multiples_of(&Resources::of_task(spec));
--- a/src/core/fleet/outcomes.rs
+++ b/src/core/fleet/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the cloud answered to rentals and releases.
+//! Outcomes of rentals and releases, applied to the model.
 
 use std::time::{Duration, Instant};
 
@@ -7,30 +7,31 @@
 use crate::core::state::model::ClusterModel;
 use crate::wire::{MachineId, RentalRequest};
 
-/// An offer that was refused for want of capacity is not requested again for so long.
-const REFUSED_FOR: Duration = Duration::from_secs(10);
+/// How long an offer is not requested again after the cloud lacked the capacity for it.
+const OFFER_SUSPENSION: Duration = Duration::from_secs(10);
 
-/// Why a rental came to nothing, as far as is known.
+/// Why a rental failed, as far as is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RentalFailure {
     /// The cloud has no capacity for the offer.
     NoCapacity,
-    /// It was given up without an answer, or refused for a reason that says nothing of
+    /// It was given up without a response, or refused for a reason that says nothing about
     /// the offer's capacity, such as the cloud's rate limit.
     Other,
 }
 
-/// What became of a release.
+/// Outcome of a release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseOutcome {
-    /// The cloud confirmed it: the machines and all on them have ended.
+    /// The cloud confirmed it: the machines and all attempts on them are gone.
     Confirmed,
-    /// It was refused, or is not known to have happened.
+    /// It was refused, or it is not known whether it was executed.
     Failed,
 }
 
 impl ClusterModel {
-    /// The cloud answered a rental with machines, perhaps with fewer than requested.
+    /// Adds the machines that the cloud rented. If they are fewer than requested, the
+    /// offer is suspended.
     pub fn rental_done(&mut self, rental: &RentalRequest, machines: &[MachineId], now: Instant) {
         self.fleet.pending_rentals.remove(&rental.name);
         for id in machines {
@@ -41,8 +42,9 @@
         }
     }
 
-    /// A rental failed. What the cloud may still rent shows up in its list or by the
-    /// heartbeats of the worker.
+    /// Removes a rental that failed; suspends the offer if the cloud has no capacity for
+    /// it. Machines that the cloud rents nevertheless become known by its machine list or
+    /// by their workers' heartbeats.
     pub fn rental_failed(&mut self, rental: &RentalRequest, failure: RentalFailure, now: Instant) {
         self.fleet.pending_rentals.remove(&rental.name);
         if failure == RentalFailure::NoCapacity {
@@ -50,8 +52,9 @@
         }
     }
 
-    /// A release was confirmed or failed; machines whose release failed are as before,
-    /// and may be released again in the next round.
+    /// Removes machines whose release was confirmed. Machines whose release failed are up
+    /// again, or booting if no heartbeat of theirs was received, and may be released again
+    /// in the next round.
     pub fn release_done(&mut self, ids: &[MachineId], outcome: ReleaseOutcome, now: Instant) {
         for id in ids {
             if outcome == ReleaseOutcome::Confirmed {
@@ -72,6 +75,6 @@
             zone: rental.zone.clone(),
             spot: rental.spot,
         };
-        self.fleet.suspended_until.insert(offer, now + REFUSED_FOR);
+        self.fleet.suspended_until.insert(offer, now + OFFER_SUSPENSION);
     }
 }
--- a/src/core/fleet/release_reason.rs
+++ b/src/core/fleet/release_reason.rs
@@ -1,33 +1,32 @@
-//! Why machines are released.
-
 /// Why a machine is released.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReleaseReason {
-    /// Rented, but its worker has not spoken in time.
-    NeverCameUp,
-    /// Something may be on it by the log, but its worker has not spoken in time.
-    SilentSinceFound,
-    /// Its heartbeats have stopped.
+    /// It was rented, but its worker sent no heartbeat within the boot timeout.
+    BootTimeout,
+    /// Attempts may be on it according to the log, but its worker sent no heartbeat within
+    /// the boot timeout.
+    NoHeartbeatSinceFound,
+    /// Its heartbeats have stopped for longer than the silence limit.
     Silent,
-    /// Its heartbeats arrive, but it answers no commands.
-    TakesNoCommands,
-    /// It was cordoned, and is empty by now.
+    /// It sends heartbeats, but answers no commands.
+    IgnoresCommands,
+    /// It is cordoned as failed or faulty, and no task on it takes resources any more.
     Cordoned,
-    /// The cloud reclaims it, and it is empty by now.
+    /// The cloud reclaims it, and no task on it takes resources any more.
     SpotNotice,
-    /// It is not needed.
+    /// It is idle and not needed as warm capacity.
     Idle,
 }
 
 impl ReleaseReason {
-    /// The reason as it is logged.
+    /// The text of the reason in log lines.
     pub(super) fn as_str(self) -> &'static str {
         match self {
-            Self::NeverCameUp => "never came up",
-            Self::SilentSinceFound => "silent since it was found",
+            Self::BootTimeout => "no heartbeat within the boot timeout",
+            Self::NoHeartbeatSinceFound => "no heartbeat since it was found in the log",
             Self::Silent => "silent",
-            Self::TakesNoCommands => "takes no commands",
-            Self::Cordoned => "failed or faulty",
+            Self::IgnoresCommands => "ignores commands",
+            Self::Cordoned => "cordoned as failed or faulty",
             Self::SpotNotice => "spot notice",
             Self::Idle => "idle",
         }
--- a/src/core/fleet/releases.rs
+++ b/src/core/fleet/releases.rs
@@ -1,5 +1,5 @@
-//! What to release: machines that are lost to the cluster, and idle ones that are not
-//! needed.
+//! Choice of the machines to release: those that are lost to the cluster, and idle ones
+//! that are not needed.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -11,38 +11,38 @@
 use crate::core::state::model::ClusterModel;
 use crate::wire::MachineId;
 
-/// Machines of a partitioned zone are kept for so long after their lease has expired:
-/// the zone comes back, as a rule sooner than machines could be rented anew, and with
-/// its images.
+/// Machines of a partitioned zone are kept for this long beyond the silence limit and the
+/// worker lease: as a rule the zone is reachable again sooner than machines could be
+/// rented anew, and its machines still have their images.
 const PARTITION_GRACE: Duration = Duration::from_secs(30);
-/// Boot time that is assumed of a machine of unknown type, in seconds.
-const UNKNOWN_BOOT_S: f64 = 30.0;
-/// A machine is given up if it has not come up within this many of its type's usual
-/// boot times...
-const MAX_BOOT_TIMES: f64 = 4.0;
-/// ...and so many seconds.
-const MAX_BOOT_EXTRA_S: f64 = 10.0;
+/// Boot time that is assumed for a machine of unknown type, in seconds.
+const DEFAULT_BOOT_S: f64 = 30.0;
+/// The boot timeout of a machine is its type's usual boot time times this factor...
+const BOOT_TIMEOUT_FACTOR: f64 = 4.0;
+/// ...plus this many seconds.
+const BOOT_TIMEOUT_EXTRA_S: f64 = 10.0;
 
-/// What is to become of a machine.
-enum Disposition {
+/// Whether a machine is released.
+enum ReleaseDecision {
     Keep,
-    /// It is empty and in order, so it is kept or released as the load asks for.
+    /// It is in order and has no slots; whether it is released depends on the load.
     Idle,
     Release(ReleaseReason),
 }
 
-/// What the machines of the fleet, seen together, tell of the network.
+/// State of the network, inferred from all machines of the fleet.
 struct NetworkView {
     partitioned_zones: BTreeSet<String>,
-    /// The silence of machines says nothing, as most of them are silent.
+    /// Most machines are silent, so the silence of one is no reason to release it.
     most_machines_silent: bool,
-    /// Missing responses to commands say nothing, as hardly any arrive.
+    /// This leader is partitioned from the workers, so a missing answer to commands is no
+    /// reason to release a machine.
     partitioned_from_workers: bool,
 }
 
 impl ClusterModel {
-    /// Machines to release now. Tasks may still be on lost ones: their places stay
-    /// until the release is confirmed.
+    /// Machines to release now. Tasks may still be on lost machines: their slots stay until
+    /// the release is confirmed.
     pub(super) fn machines_to_release(&self, now: Instant) -> Vec<MachineId> {
         let network = NetworkView {
             most_machines_silent: self.most_machines_silent(now),
@@ -52,11 +52,11 @@
         let mut release = Vec::new();
         let mut idle: Vec<&Machine> = Vec::new();
         for machine in self.machines.values() {
-            match self.disposition(machine, &network, now) {
-                Disposition::Keep => {}
-                Disposition::Idle => idle.push(machine),
-                Disposition::Release(reason) => {
-                    debug!(machine = %machine.id, reason = reason.as_str(), "releasing");
+            match self.release_decision(machine, &network, now) {
+                ReleaseDecision::Keep => {}
+                ReleaseDecision::Idle => idle.push(machine),
+                ReleaseDecision::Release(reason) => {
+                    debug!(machine = %machine.id, reason = reason.as_str(), "releasing machine");
                     release.push(machine.id.clone());
                 }
             }
@@ -65,51 +65,52 @@
         release
     }
 
-    fn disposition(&self, machine: &Machine, network: &NetworkView, now: Instant) -> Disposition {
+    fn release_decision(&self, machine: &Machine, network: &NetworkView, now: Instant) -> ReleaseDecision {
         match machine.phase {
-            MachinePhase::Releasing => Disposition::Keep,
-            MachinePhase::Booting => self.booting_disposition(machine, now),
-            MachinePhase::Up => self.up_disposition(machine, network, now),
+            MachinePhase::Releasing => ReleaseDecision::Keep,
+            MachinePhase::Booting => self.booting_decision(machine, now),
+            MachinePhase::Up => self.up_decision(machine, network, now),
         }
     }
 
-    fn booting_disposition(&self, machine: &Machine, now: Instant) -> Disposition {
+    fn booting_decision(&self, machine: &Machine, now: Instant) -> ReleaseDecision {
         let type_index = self.type_index(machine);
-        let boot_s = type_index.map_or(UNKNOWN_BOOT_S, |index| self.machine_types[index].boot_s);
-        let max_boot = Duration::from_secs_f64(boot_s * MAX_BOOT_TIMES + MAX_BOOT_EXTRA_S);
-        if now.saturating_duration_since(machine.known_since) <= max_boot + self.config.machine_list_lag {
-            Disposition::Keep
+        let boot_s = type_index.map_or(DEFAULT_BOOT_S, |index| self.machine_types[index].boot_s);
+        let boot_timeout = Duration::from_secs_f64(boot_s * BOOT_TIMEOUT_FACTOR + BOOT_TIMEOUT_EXTRA_S);
+        if now.saturating_duration_since(machine.known_since) <= boot_timeout + self.config.machine_list_lag {
+            ReleaseDecision::Keep
         } else if machine.slots.is_empty() {
-            Disposition::Release(ReleaseReason::NeverCameUp)
+            ReleaseDecision::Release(ReleaseReason::BootTimeout)
         } else {
-            Disposition::Release(ReleaseReason::SilentSinceFound)
+            ReleaseDecision::Release(ReleaseReason::NoHeartbeatSinceFound)
         }
     }
 
-    fn up_disposition(&self, machine: &Machine, network: &NetworkView, now: Instant) -> Disposition {
+    fn up_decision(&self, machine: &Machine, network: &NetworkView, now: Instant) -> ReleaseDecision {
         let silent = self.silence(machine, now) > self.config.silence_limit;
-        if silent && self.awaits_partition_end(machine, network, now) {
-            Disposition::Keep
+        if silent && self.is_kept_during_partition(machine, network, now) {
+            ReleaseDecision::Keep
         } else if silent && !network.most_machines_silent {
-            Disposition::Release(ReleaseReason::Silent)
+            ReleaseDecision::Release(ReleaseReason::Silent)
         } else if !network.partitioned_from_workers
             && self.ignores_commands(machine, now, self.config.silence_limit * 2)
         {
-            Disposition::Release(ReleaseReason::TakesNoCommands)
+            ReleaseDecision::Release(ReleaseReason::IgnoresCommands)
         } else if machine.cordoned_since.is_some() && machine.is_empty() {
-            Disposition::Release(ReleaseReason::Cordoned)
+            ReleaseDecision::Release(ReleaseReason::Cordoned)
         } else if machine.reclaim_at.is_some() && machine.is_empty() {
-            Disposition::Release(ReleaseReason::SpotNotice)
+            ReleaseDecision::Release(ReleaseReason::SpotNotice)
         } else if machine.slots.is_empty() && machine.idle_since.is_some() && !silent {
-            Disposition::Idle
+            ReleaseDecision::Idle
         } else {
-            Disposition::Keep
+            ReleaseDecision::Keep
         }
     }
 
-    /// Whether a silent machine is kept because its zone is partitioned. The expiry of
-    /// its lease frees its tasks without a release, but only if it obeys this term.
-    fn awaits_partition_end(&self, machine: &Machine, network: &NetworkView, now: Instant) -> bool {
+    /// Whether a silent machine is kept because its zone is partitioned. If it is fenced by
+    /// this term, the expiry of its lease frees its tasks without a release. If it is not,
+    /// it is kept only if it has no slots.
+    fn is_kept_during_partition(&self, machine: &Machine, network: &NetworkView, now: Instant) -> bool {
         let max_silence = self.config.silence_limit + self.config.worker_lease + PARTITION_GRACE;
         network.partitioned_zones.contains(&machine.zone)
             && self.silence(machine, now) < max_silence
--- a/src/core/fleet/rentals.rs
+++ b/src/core/fleet/rentals.rs
@@ -1,5 +1,5 @@
-//! What to rent: what waits is packed onto what there is, and the rest onto the
-//! cheapest machines on offer.
+//! Choice of the machines to rent: the waiting tasks are packed onto the machines that
+//! there are, and machines are rented for the rest, by the best offers.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -13,29 +13,30 @@
 use crate::core::state::slot::{Slot, SlotState};
 use crate::wire::{JobSpec, MachineType};
 
-/// Share of a boot within which running tasks are expected to make room.
+/// Tasks that are predicted to end within this share of the shortest boot time count as
+/// gone.
 const SOON_FREE_SHARE: f64 = 0.4;
-/// Longest time within which running tasks are expected to make room, in seconds.
+/// Upper bound of that time, in seconds.
 const MAX_SOON_FREE_S: f64 = 60.0;
 
-/// What is free on a machine that exists, boots or is to be rented.
+/// Free resources of a machine that is schedulable, boots, is being rented or is planned.
 #[derive(Clone)]
 struct OpenMachine {
-    /// Position of its type among the known types.
+    /// Position of its type among the known machine types.
     type_index: usize,
     zone: String,
     spot: bool,
     free: Resources,
 }
 
-/// Packs tasks onto machines, and plans rentals for those that don't fit.
+/// Packs waiting tasks onto open machines, and plans rentals for those that don't fit.
 struct Packing<'m> {
     model: &'m ClusterModel,
     now: Instant,
     open_machines: Vec<OpenMachine>,
     plan: RentalPlan,
     usage_by_team: HashMap<String, TeamUsage>,
-    /// CPUs of all tasks that were to be packed.
+    /// CPUs of all startable tasks so far, whether they fit or not.
     cpus_waiting: f64,
 }
 
@@ -60,7 +61,7 @@
             && fits_machine_type(spec, &types[self.type_index])
     }
 
-    /// Puts as many of so many tasks on the machine as fit; returns how many are left.
+    /// Claims resources for as many of `left` tasks as fit; returns how many are left over.
     fn fill(&mut self, spec: &JobSpec, types: &[MachineType], mut left: u32) -> u32 {
         while left > 0 && self.fits(spec, types) {
             self.claim(spec);
@@ -71,7 +72,8 @@
 }
 
 impl ClusterModel {
-    /// Packs what waits onto what there is; the rest is to be rented.
+    /// The rentals that the waiting tasks need beyond the capacity of the fleet, and those
+    /// for warm capacity. Jobs are packed in the order of their rank.
     pub(super) fn machines_to_rent(&self, now: Instant) -> Vec<RentalOrder> {
         let mut packing = Packing::new(self, now);
         let mut queue: Vec<_> = self.jobs_waiting_for_capacity().collect();
@@ -80,12 +82,12 @@
         for job in queue {
             packing.pack(job);
         }
-        packing.keep_warm();
+        packing.plan_warm_capacity();
         packing.plan.into_orders()
     }
 
-    /// Machines that boot, are schedulable or are being rented, with what is free on
-    /// them: what falls free well before another machine could boot counts as free.
+    /// Machines that boot, are schedulable or are being rented, with their free resources.
+    /// Resources that become free well before another machine could boot count as free.
     fn open_machines(&self, partitioned_zones: &BTreeSet<String>, now: Instant) -> Vec<OpenMachine> {
         let boot_s = self
             .machine_types
@@ -99,7 +101,7 @@
             let Some(type_index) = self.type_index(machine) else {
                 continue;
             };
-            if !self.adds_capacity(machine, now) || partitioned_zones.contains(&machine.zone) {
+            if !self.has_usable_capacity(machine, now) || partitioned_zones.contains(&machine.zone) {
                 continue;
             }
             let machine_type = &self.machine_types[type_index];
@@ -122,7 +124,7 @@
         open_machines
     }
 
-    /// An empty machine of an offer; `None` if its type is not known.
+    /// An empty machine of this offer; `None` if its type is not known.
     fn open_machine(&self, offer: &Offer) -> Option<OpenMachine> {
         let type_index = self
             .machine_types
@@ -164,7 +166,8 @@
         }
     }
 
-    /// Packs a job's startable tasks onto the open machines, and rents for the rest.
+    /// Packs a job's startable tasks onto the open machines, and plans machines for the
+    /// rest.
     fn pack(&mut self, job: &Job) {
         let spec = &job.spec;
         let types = &self.model.machine_types;
@@ -178,11 +181,12 @@
         }
         self.open_machines
             .retain(|open| open.free.cpus > AMOUNT_TOLERANCE);
-        self.rent_for(spec, left);
+        self.plan_machines_for(spec, left);
     }
 
-    /// Plans machines for so many tasks of a job, as long as each of them helps.
-    fn rent_for(&mut self, spec: &JobSpec, mut left: u32) {
+    /// Plans machines for `left` tasks of a job, as long as each machine takes at least one
+    /// of them.
+    fn plan_machines_for(&mut self, spec: &JobSpec, mut left: u32) {
         while left > 0 && self.plan.may_grow() {
             let Some(offer) = self.model.best_offer(spec, left, &self.plan, self.now) else {
                 break;
@@ -200,21 +204,21 @@
         }
     }
 
-    /// Plans machines until a share of the load is free for what comes next: of the
-    /// kind that the largest task of the ready jobs needs.
-    fn keep_warm(&mut self) {
+    /// Plans machines until the warm capacity is free. They are chosen to fit the largest
+    /// task of the ready jobs.
+    fn plan_warm_capacity(&mut self) {
         let used = self.model.fleet_cpus(self.now).used;
         let mut free: f64 = self
             .open_machines
             .iter()
             .map(|open| open.free.cpus.max(0.0))
             .sum();
-        let keep = (used + self.cpus_waiting) * self.model.warm_share();
+        let warm_cpus = (used + self.cpus_waiting) * self.model.effective_warm_share();
         let specs = self.model.ready_jobs().map(|job| job.spec.clone());
         let Some(largest) = specs.max_by(|a, b| a.cpus.total_cmp(&b.cpus).then(a.spot.cmp(&b.spot))) else {
             return;
         };
-        while free + AMOUNT_TOLERANCE < keep && self.plan.may_grow() {
+        while free + AMOUNT_TOLERANCE < warm_cpus && self.plan.may_grow() {
             let Some(offer) = self.model.best_offer(&largest, 1, &self.plan, self.now) else {
                 break;
             };
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,6 @@
 //! The program: reads and checks the settings, then runs one controller until it is
-//! killed. Exit status 2: the settings can't be used; 1: the controller can't run.
+//! killed. The exit status is 2 if the settings can't be used, 1 if the controller can't
+//! run.
 
 #![deny(missing_docs)]
 
@@ -31,7 +32,7 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    start_logging();
+    init_logging();
     let (deployment, operator_settings) = match load_settings(&args) {
         Ok(settings) => settings,
         Err(e) => {
@@ -46,9 +47,10 @@
     run(deployment, operator_settings)
 }
 
-/// Logs to stderr: this program's events from `LOG_LEVEL` (`debug`, `error`, otherwise
-/// `info`) on, those of its dependencies only if they are errors.
-fn start_logging() {
+/// Sets up logging to standard error: this program's events at the level `LOG_LEVEL`
+/// (`debug` or `error`; anything else means `info`) or above, and errors of its
+/// dependencies.
+fn init_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("debug") => tracing::Level::DEBUG,
         Ok("error") => tracing::Level::ERROR,
@@ -57,11 +59,11 @@
     let filter = Targets::new()
         .with_default(LevelFilter::ERROR)
         .with_target("bitternfold", level);
-    let lines = tracing_subscriber::fmt::layer()
+    let layer = tracing_subscriber::fmt::layer()
         .with_writer(std::io::stderr)
         .with_ansi(false);
     tracing_subscriber::registry()
-        .with(lines.with_filter(filter))
+        .with(layer.with_filter(filter))
         .init();
 }
 
@@ -74,12 +76,12 @@
     Ok((deployment, operator_settings))
 }
 
-/// Runs the controller on this thread.
+/// Runs the controller on this thread; returns only if it can't start.
 fn run(deployment: DeploymentSettings, operator_settings: OperatorSettings) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
-            eprintln!("bitternfold: no runtime: {e}");
+            eprintln!("bitternfold: cannot start the async runtime: {e}");
             return ExitCode::FAILURE;
         }
     };
--- a/src/settings/checks.rs
+++ b/src/settings/checks.rs
@@ -1,5 +1,5 @@
-//! The checks of the settings file's values, in the order of its tables. The first
-//! value out of its bounds is reported.
+//! Checks of the values in the settings file, in the order of its tables. The first value
+//! out of its bounds is reported.
 
 use std::collections::HashSet;
 
@@ -10,21 +10,21 @@
 };
 use crate::sockets::MIN_SOCKETS;
 
-/// Least memory that is accepted, in MB. A controller without work takes less.
+/// Least memory that is accepted, in MB. An idle controller takes less.
 const MIN_MEMORY_MB: f64 = 8.0;
 
-/// Least number of changes in a transaction that is accepted.
+/// Least limit on the changes in a transaction that is accepted.
 const MIN_TXN_OPS: usize = 2;
 
-type Checked = Result<(), FieldError>;
+type CheckResult = Result<(), FieldError>;
 
-/// Checks all values.
-pub(super) fn check(settings: &DeploymentSettings) -> Checked {
+/// Checks the values of all fields.
+pub(super) fn check(settings: &DeploymentSettings) -> CheckResult {
     check_names(settings)?;
     check_cluster(&settings.cluster)
 }
 
-fn check_names(settings: &DeploymentSettings) -> Checked {
+fn check_names(settings: &DeploymentSettings) -> CheckResult {
     if settings.host.is_empty() {
         return invalid("host_name", InvalidValue::Empty);
     }
@@ -39,7 +39,7 @@
     Ok(())
 }
 
-fn check_cluster(cluster: &ClusterSettings) -> Checked {
+fn check_cluster(cluster: &ClusterSettings) -> CheckResult {
     check_workers(&cluster.workers)?;
     check_state_limits(&cluster.state)?;
     check_next_state_limits(&cluster.state.next)?;
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-fn check_workers(workers: &WorkerTiming) -> Checked {
+fn check_workers(workers: &WorkerTiming) -> CheckResult {
     check_positive(
         "cluster.workers.report_s",
         workers.heartbeat_interval.as_secs_f64(),
@@ -65,14 +65,14 @@
     Ok(())
 }
 
-fn check_state_limits(limits: &StateLimits) -> Checked {
+fn check_state_limits(limits: &StateLimits) -> CheckResult {
     check_positive("cluster.state.rps", limits.rps)?;
     check_positive("cluster.state.write_rps", limits.write_rps)?;
     check_positive("cluster.state.value_kb", limits.value_kb)?;
     check_txn_ops("cluster.state.txn_ops", limits.txn_ops)
 }
 
-fn check_next_state_limits(next: &NextStateLimits) -> Checked {
+fn check_next_state_limits(next: &NextStateLimits) -> CheckResult {
     let numbers = [
         ("cluster.state.next.rps", next.rps),
         ("cluster.state.next.write_rps", next.write_rps),
@@ -89,14 +89,14 @@
     }
 }
 
-fn check_txn_ops(field: &str, ops: usize) -> Checked {
+fn check_txn_ops(field: &str, ops: usize) -> CheckResult {
     if ops < MIN_TXN_OPS {
         return invalid(field, InvalidValue::BelowMinimum(MIN_TXN_OPS as f64));
     }
     Ok(())
 }
 
-fn check_process_limits(limits: &ProcessLimits) -> Checked {
+fn check_process_limits(limits: &ProcessLimits) -> CheckResult {
     check_positive("cluster.machine_limits.core_share", limits.core_share)?;
     if !limits.memory_mb.is_finite() || limits.memory_mb < MIN_MEMORY_MB {
         return invalid(
@@ -113,7 +113,7 @@
     Ok(())
 }
 
-fn check_teams(teams: &[Team]) -> Checked {
+fn check_teams(teams: &[Team]) -> CheckResult {
     let mut names = HashSet::new();
     for (i, team) in teams.iter().enumerate() {
         if team.name.is_empty() || !names.insert(&team.name) {
@@ -136,7 +136,7 @@
     Ok(())
 }
 
-fn check_objective(i: usize, objective: &Objective) -> Checked {
+fn check_objective(i: usize, objective: &Objective) -> CheckResult {
     let field = |name: &str| format!("cluster.objectives[{i}].{name}");
     let is_negative = |value: f64| !value.is_finite() || value < 0.0;
     if objective.share.is_some_and(|share| !(0.0..=1.0).contains(&share)) {
@@ -151,7 +151,7 @@
     Ok(())
 }
 
-fn check_positive(field: &str, value: f64) -> Checked {
+fn check_positive(field: &str, value: f64) -> CheckResult {
     if value.is_finite() && value > 0.0 {
         Ok(())
     } else {
@@ -159,6 +159,6 @@
     }
 }
 
-fn invalid(field: impl Into<String>, reason: InvalidValue) -> Checked {
+fn invalid(field: impl Into<String>, reason: InvalidValue) -> CheckResult {
     Err(FieldError::new(field, reason))
 }
--- a/src/settings/cluster.rs
+++ b/src/settings/cluster.rs
@@ -1,4 +1,4 @@
-//! The `[cluster]` table of the settings file: what is the same for all controllers.
+//! The `[cluster]` table of the settings file, which is the same for all controllers.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 use super::readers;
 use super::StateLimits;
 
-/// The `[cluster]` table: the same for all controllers.
+/// The `[cluster]` table of the settings file.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ClusterSettings {
-    /// Names of the zones that machines may stand in.
+    /// Names of the zones in which machines may be rented.
     #[serde(default)]
     pub zones: Vec<String>,
     /// Bound on the error of a machine's wall clock (`clock_error_ms`, default 0).
     #[serde(default, rename = "clock_error_ms", deserialize_with = "readers::millis")]
     pub clock_error: Duration,
-    /// The teams, with their quotas and limits.
+    /// The teams of users, with their quotas and limits.
     #[serde(default)]
     pub teams: Vec<Team>,
     /// The users' service-level objectives.
@@ -35,8 +35,7 @@
     pub process_limits: ProcessLimits,
 }
 
-/// A team of users with its quota and its limit; each is absent where it is 0, the
-/// default.
+/// A team of users with its quotas and limits. 0, the default, means none.
 #[derive(Debug, Clone, Deserialize, Default)]
 pub struct Team {
     /// Its name, unique in the cluster.
@@ -58,19 +57,19 @@
 /// A service-level objective on when jobs start or finish.
 #[derive(Debug, Clone, Deserialize, Default)]
 pub struct Objective {
-    /// What it is about: `deadline`, `wait`, `finished`, `guarantee` and others. Kinds
-    /// that this version doesn't know are kept and have no effect.
+    /// Kind of objective: `deadline`, `wait`, `finished`, `guarantee` or another. Kinds
+    /// that this version doesn't know are accepted and have no effect.
     pub kind: String,
-    /// The job class that it applies to, if it applies to one.
+    /// The job class that it applies to, if it is limited to one.
     #[serde(default)]
     pub class: Option<String>,
-    /// Share of the jobs that is to meet it, from 0 to 1.
+    /// Share of the jobs that should meet it, from 0 to 1.
     #[serde(default)]
     pub share: Option<f64>,
-    /// Time within which a job meets it, in seconds.
+    /// Time limit for a job to meet it, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// The job's deadline is multiplied by this.
+    /// Factor by which the job's deadline is multiplied.
     #[serde(default)]
     pub times: Option<f64>,
 }
@@ -84,8 +83,8 @@
     /// Lifetime of a worker's lease.
     #[serde(rename = "lease_s", deserialize_with = "readers::seconds")]
     pub lease: Duration,
-    /// Within this time after its cancellation no task of a job runs any more; above
-    /// the lease.
+    /// Time from a job's cancellation until all of its tasks must have stopped; above the
+    /// lease.
     #[serde(rename = "cancel_s", deserialize_with = "readers::seconds")]
     pub cancel_deadline: Duration,
 }
@@ -116,7 +115,7 @@
 pub struct ProcessLimits {
     /// Processor time that it may use, as a share of one core.
     pub core_share: f64,
-    /// Memory in MB.
+    /// Memory that it may use, in MB.
     pub memory_mb: f64,
     /// Sockets that it may have open at once (`fd_limit`).
     #[serde(rename = "fd_limit", deserialize_with = "readers::count")]
@@ -128,7 +127,7 @@
         Self {
             core_share: 1.0,
             memory_mb: 256.0,
-            // The customary limit of open files of a process.
+            // The usual limit on open files of a process.
             max_sockets: 1024,
         }
     }
--- a/src/settings/deployment.rs
+++ b/src/settings/deployment.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform hands to a controller (TOML).
+//! The TOML settings file that the platform hands to a controller.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,17 +9,16 @@
 use super::error::{FieldError, SettingsError};
 use super::ClusterSettings;
 
-/// The settings file that the platform hands to a controller. Unknown fields are
-/// ignored.
+/// Contents of the settings file. Unknown fields are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct DeploymentSettings {
     /// This controller's name, unique among the controllers.
     #[serde(rename = "host_name")]
     pub host: String,
-    /// Name of the zone that it runs in.
+    /// Name of the zone that this controller runs in.
     #[serde(default)]
     pub zone: String,
-    /// Address that it listens on for users, workers and health checks.
+    /// Address that it listens on for HTTP requests of users and workers and health checks.
     #[serde(rename = "api_addr")]
     pub api_address: SocketAddr,
     /// Address that it listens on for the other controllers.
@@ -30,14 +29,14 @@
     pub peers: Vec<PeerAddress>,
     /// Addresses of the services that it uses.
     pub services: ServiceAddresses,
-    /// What is the same for all controllers.
+    /// Settings that are the same for all controllers.
     pub cluster: ClusterSettings,
 }
 
 /// Another controller of the cluster.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PeerAddress {
-    /// Its name.
+    /// Its name, the `host_name` of its own settings.
     #[serde(rename = "host_name")]
     pub host: String,
     /// Address that it listens on for the other controllers.
@@ -48,14 +47,14 @@
 /// Addresses of the services that a controller uses.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ServiceAddresses {
-    /// The cloud's API.
+    /// Address of the cloud's API.
     pub cloud: SocketAddr,
-    /// The state service.
+    /// Address of the state service.
     pub state: SocketAddr,
 }
 
 impl DeploymentSettings {
-    /// Reads the file and checks it; the first error found names its field.
+    /// Reads the file and checks its values; the error names the first bad field.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let file = path.display().to_string();
         match std::fs::read_to_string(path) {
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,8 +1,9 @@
-//! Why settings can't be used.
+//! Errors in the settings files.
 
 use std::io;
 
-/// Why the settings can't be used; one line that names the file and the field.
+/// Why the settings can't be used. The message is one line that names the file and the
+/// field.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file could not be read.
@@ -10,7 +11,7 @@
     Unreadable {
         /// The file's path.
         file: String,
-        /// Why not.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The file can't be parsed, or a field has a wrong type or value.
@@ -37,13 +38,13 @@
     /// A peer has no name or this controller's own.
     #[error("must name another controller")]
     NotAnotherController,
-    /// A name is empty or stands twice.
+    /// A name is empty or occurs twice.
     #[error("must be present once")]
     NotUnique,
     /// The number is 0, negative or not finite.
     #[error("must be above 0")]
     NotPositive,
-    /// The time for a cancellation doesn't exceed the workers' lease.
+    /// The cancellation deadline doesn't exceed the workers' lease.
     #[error("must be above lease_s")]
     NotAboveLease,
     /// The number is below this minimum.
@@ -58,20 +59,20 @@
     /// A share is outside 0 to 1.
     #[error("must lie in 0 to 1")]
     NotAShare,
-    /// The text is no number in this range.
+    /// The text is not a number in this range.
     #[error("must be a number from {min} to {max}")]
     NotInRange {
-        /// Least value.
+        /// Smallest value that is accepted.
         min: f64,
-        /// Greatest value.
+        /// Greatest value that is accepted.
         max: f64,
     },
-    /// No setting has this key.
+    /// No property has this key.
     #[error("is not a known key")]
     UnknownKey,
 }
 
-/// An error of a field, in a file that the caller knows.
+/// An error in a field, before the name of its file is added.
 #[derive(Debug)]
 pub(super) struct FieldError {
     field: String,
@@ -79,7 +80,7 @@
 }
 
 impl FieldError {
-    /// An error of the field with this dotted path.
+    /// An error in the field with this dotted path.
     pub(super) fn new(field: impl Into<String>, reason: InvalidValue) -> Self {
         Self {
             field: field.into(),
@@ -87,13 +88,13 @@
         }
     }
 
-    /// A field that the parser refused, with the first line of its message.
+    /// An error in a field that the parser refused, with the first line of its message.
     pub(super) fn malformed(field: impl Into<String>, message: &str) -> Self {
         let first_line = message.lines().next().unwrap_or_default();
         Self::new(field, InvalidValue::Malformed(first_line.to_owned()))
     }
 
-    /// A file that can't be parsed.
+    /// An error in a file that can't be parsed at all.
     pub(super) fn whole_file(message: &str) -> Self {
         Self::malformed("(file)", message)
     }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,15 +1,15 @@
-//! The settings of a controller, from two sources. Both are read once, at the start,
-//! and checked; an error names the file and the field. Nothing here changes later.
+//! The settings of a controller, from two files. Both are read and checked once, when the
+//! program starts, and don't change later. An error names the file and the field.
 //!
 //! * [`DeploymentSettings`] (`deployment`, `cluster`, `state_limits`): the TOML file
-//!   that the platform hands over. `checks` holds the bounds of its values, `readers`
-//!   the units.
-//! * [`OperatorSettings`] (`operator`): what operators may set themselves, in a file of
+//!   that the platform hands over. `checks` checks the bounds of its values,
+//!   `readers` deserializes numbers by their units.
+//! * [`OperatorSettings`] (`operator`): the operators' own settings, an optional file of
 //!   Java-style properties.
-//! * [`SettingsError`] (`error`): why either can't be used.
+//! * [`SettingsError`] (`error`): why one of the files can't be used.
 //!
-//! The names of fields in files are the platform's; each is kept by a serde attribute
-//! where the scheduler's own name differs.
+//! The names of the fields in the TOML file are the platform's. Where the Rust name
+//! differs, a serde attribute keeps the name in the file.
 
 mod checks;
 mod cluster;
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,5 +1,5 @@
-//! What operators may set themselves, beyond the file that the platform hands over: a
-//! file of Java-style properties, in which every key is optional.
+//! Operators' own settings, in addition to the file that the platform hands over: a file of
+//! Java-style properties, in which every key is optional.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -7,24 +7,25 @@
 
 use super::error::{FieldError, InvalidValue, SettingsError};
 
-/// Operators' own settings, with defaults that suit any deployment.
+/// Operators' own settings. The defaults suit any deployment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OperatorSettings {
     /// `leader.lease_ms` (earlier: `leader.hold_ms`), 500 to 60,000: lifetime of the
     /// leader's lease at the state service.
     pub leader_lease: Duration,
-    /// `plan.pause_ms`, 1 to 5,000: least time between two scheduling rounds.
+    /// `plan.pause_ms`, 1 to 5,000: shortest pause between two scheduling rounds.
     pub min_round_pause: Duration,
-    /// `fleet.idle_s`, 0 to 86,400: an idle machine that isn't needed as spare capacity
-    /// is released after so long.
+    /// `fleet.idle_s`, 0 to 86,400: longest time that an idle machine is kept if it isn't
+    /// needed as warm capacity. Machines with a higher price per CPU are released sooner.
     pub idle_timeout: Duration,
-    /// `fleet.silent_s`, 1 to 600: a machine that has sent no heartbeat for so long is
-    /// released for its tasks' sake. Unset: derived from the heartbeat interval.
+    /// `fleet.silent_s`, 1 to 600: a machine that has sent no heartbeat for this long is
+    /// released, so that its tasks can run elsewhere. If unset, it is derived from the
+    /// heartbeat interval and the worker lease.
     pub silence_timeout: Option<Duration>,
     /// `fleet.most`, 1 to 100,000: most machines rented at once.
     pub max_machines: usize,
-    /// `fleet.warm`, 0 to 10: spare capacity that is kept, as a share of the CPUs in
-    /// use; half of it in a large fleet.
+    /// `fleet.warm`, 0 to 10: warm capacity (free CPUs for tasks to come), as a share of
+    /// the CPUs in use; half of it in a large fleet.
     pub warm_share: f64,
     /// `users.forward_ms`, 10 to 5,000: how long a follower waits for the leader's
     /// response to a user's request.
@@ -69,7 +70,7 @@
         Ok(settings)
     }
 
-    /// Sets the property with this key.
+    /// Sets the property with this key, if its value is a number in the allowed range.
     fn set(&mut self, key: &str, value: &str) -> Result<(), InvalidValue> {
         match key {
             "leader.lease_ms" | "leader.hold_ms" => self.leader_lease = millis(value, 500.0, 60_000.0)?,
--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -1,11 +1,10 @@
-//! Limits of the state service: those that hold now, and those that are announced.
+//! Limits of the state service: the current ones and the announced ones.
 
 use serde::Deserialize;
 
 const BYTES_PER_KIB: f64 = 1024.0;
 
-/// Limits of the state service that hold now, and those that are announced to hold
-/// later.
+/// Current limits of the state service, and those that are announced for later.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct StateLimits {
@@ -17,11 +16,12 @@
     pub value_kb: f64,
     /// Most puts and deletes in a transaction.
     pub txn_ops: usize,
-    /// Limits that hold from some later moment on, which is not notified.
+    /// Announced limits. When they begin to hold is not notified, so every limit in use is
+    /// the stricter one of both.
     pub next: NextStateLimits,
 }
 
-/// Announced limits of the state service; a limit that is absent stays as it is.
+/// Announced limits of the state service; a limit that is absent doesn't change.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default)]
 pub struct NextStateLimits {
@@ -35,31 +35,31 @@
     pub txn_ops: Option<usize>,
 }
 
-/// The lower of a limit and the one announced for it.
-fn lower<T: Copy>(limit: T, next: Option<T>, min: impl FnOnce(T, T) -> T) -> T {
+/// The lower one of a current limit and the one announced for it, if there is one.
+fn stricter<T: Copy>(limit: T, next: Option<T>, min: impl FnOnce(T, T) -> T) -> T {
     next.map_or(limit, |next| min(next, limit))
 }
 
 impl StateLimits {
-    /// Largest value, in bytes, that is taken now and later.
+    /// Largest value, in bytes, that is accepted by the current and the announced limit.
     pub fn max_value_bytes(&self) -> usize {
-        let kib = lower(self.value_kb, self.next.value_kb, f64::min);
+        let kib = stricter(self.value_kb, self.next.value_kb, f64::min);
         (kib * BYTES_PER_KIB) as usize
     }
 
-    /// Most puts and deletes in a transaction that is taken now and later.
+    /// Most puts and deletes in a transaction by the current and the announced limit.
     pub fn max_transaction_changes(&self) -> usize {
-        lower(self.txn_ops, self.next.txn_ops, usize::min)
+        stricter(self.txn_ops, self.next.txn_ops, usize::min)
     }
 
-    /// Requests per second that are taken now and later.
+    /// Most requests per second by the current and the announced limit.
     pub fn max_requests_per_s(&self) -> f64 {
-        lower(self.rps, self.next.rps, f64::min)
+        stricter(self.rps, self.next.rps, f64::min)
     }
 
-    /// Puts and deletes per second that are taken now and later.
+    /// Most puts and deletes per second by the current and the announced limit.
     pub fn max_changes_per_s(&self) -> f64 {
-        lower(self.write_rps, self.next.write_rps, f64::min)
+        stricter(self.write_rps, self.next.write_rps, f64::min)
     }
 }
 
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,14 +1,14 @@
 //! Bodies of the cloud's API: machine types, rentals, releases and the machine list.
 //!
-//! [`ListedMachine`] and a worker's [`Heartbeat`](super::Heartbeat) name the same
-//! properties of a machine. They share no type: serde's `flatten` buffers the fields,
-//! and a heartbeat is parsed for each worker every few seconds.
+//! [`ListedMachine`] and a worker's [`Heartbeat`](super::Heartbeat) have some fields in
+//! common, but no common type: it would need serde's `flatten`, which buffers all fields,
+//! and each worker's heartbeat is parsed every few seconds.
 
 use serde::{Deserialize, Serialize};
 
 use super::ids::MachineId;
 
-/// A machine type on offer, an item of `GET /machine_types`.
+/// A machine type on offer: an item of the response of `GET /machine_types`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
     /// Its name, unique in the cloud.
@@ -27,16 +27,16 @@
     /// Speed at which an image is fetched, in GB per second.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
-    /// Price of an ordinary machine per hour.
+    /// Hourly price of an on-demand machine.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// Current price of a spot machine per hour.
+    /// Current hourly price of a spot machine; 0: the type has no spot machines.
     #[serde(default)]
     pub spot_price: f64,
     /// Usual boot time in seconds.
     #[serde(rename = "startup_s", default)]
     pub boot_s: f64,
-    /// Names of the zones that it is offered in.
+    /// Names of the zones that it is offered in; none: all zones of the cluster.
     #[serde(rename = "yards", default)]
     pub zones: Vec<String>,
 }
@@ -49,10 +49,11 @@
     pub machine_types: Vec<MachineType>,
 }
 
-/// Body of `POST /hosts`: rents machines of one kind.
+/// Body of `POST /hosts`: rents machines of one type in one zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RentalRequest {
-    /// Name of the request, never used twice.
+    /// Name of the request, never used for another one: the cloud executes a request that
+    /// is repeated under the same name only once.
     #[serde(rename = "hire")]
     pub name: String,
     /// Name of the machine type.
@@ -61,18 +62,18 @@
     /// Name of the zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether spot machines are rented instead of ordinary ones.
+    /// Whether spot machines are rented instead of on-demand ones.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many machines; fewer may be rented.
+    /// Number of machines; the cloud may rent fewer.
     pub count: u32,
 }
 
-/// Machine names: the response to `POST /hosts`, and the body of
-/// `POST /hosts/release`.
+/// Ids of machines: the response of `POST /hosts` (machines rented), and the body of
+/// `POST /hosts/release` (machines to release).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineIds {
-    /// The names.
+    /// Ids of the machines that are rented or to be released.
     #[serde(rename = "racks")]
     pub machines: Vec<MachineId>,
 }
@@ -81,19 +82,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CloudMachineState {
-    /// It is rented and not up yet.
+    /// It is rented and boots.
     #[serde(rename = "starting")]
     Booting,
-    /// It is up.
+    /// It has booted and is up.
     Running,
-    /// It stopped on its own: nothing on it runs any more.
+    /// It stopped by itself: nothing runs on it any more.
     Failed,
 }
 
-/// A machine in the cloud's list, an item of `GET /hosts`.
+/// A machine in the cloud's list: an item of the response of `GET /hosts`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Id that the cloud gave it.
     #[serde(rename = "name_id")]
     pub id: MachineId,
     /// Address (host and port) at which its worker takes commands.
@@ -108,10 +109,10 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Its state.
+    /// Its state when the list was made.
     #[serde(rename = "standing")]
     pub state: CloudMachineState,
-    /// Time since its rental, as of the list, in seconds.
+    /// Time since its rental when the list was made, in seconds.
     #[serde(default)]
     pub age_s: f64,
 }
@@ -119,7 +120,7 @@
 /// Response of `GET /hosts`: one page of the list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachinePage {
-    /// The machines.
+    /// The machines of this page.
     #[serde(rename = "racks")]
     pub machines: Vec<ListedMachine>,
     /// Whether another page follows.
--- a/src/wire/ids.rs
+++ b/src/wire/ids.rs
@@ -1,4 +1,4 @@
-//! Ids of jobs, tasks and machines; on the wire each is a string.
+//! Ids of jobs, tasks and machines; each is a string on the wire.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,14 +6,15 @@
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// A job's id: `job-` and digits. Two ids that differ in leading zeros differ.
+/// A job's id: `job-` and digits. Leading zeros count: `job-1` and `job-01` are two ids.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct JobId {
     number: u64,
+    /// Number of digits, with leading zeros.
     digits: u8,
 }
 
-/// The text isn't a valid id of this kind.
+/// The text is no valid id of a job or task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("malformed id")]
 pub struct MalformedId;
@@ -21,13 +22,13 @@
 impl FromStr for JobId {
     type Err = MalformedId;
     fn from_str(s: &str) -> Result<Self, MalformedId> {
-        let d = s.strip_prefix("job-").ok_or(MalformedId)?;
-        if d.is_empty() || d.len() > 18 || !d.bytes().all(|b| b.is_ascii_digit()) {
+        let digits = s.strip_prefix("job-").ok_or(MalformedId)?;
+        if digits.is_empty() || digits.len() > 18 || !digits.bytes().all(|b| b.is_ascii_digit()) {
             return Err(MalformedId);
         }
         Ok(Self {
-            number: d.parse().map_err(|_| MalformedId)?,
-            digits: d.len() as u8,
+            number: digits.parse().map_err(|_| MalformedId)?,
+            digits: digits.len() as u8,
         })
     }
 }
@@ -44,12 +45,12 @@
     }
 }
 
-/// A task's id: its job and its index in it, `job-000412/3`.
+/// A task's id: its job and its index in the job, as in `job-000412/3`.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskId {
-    /// The job.
+    /// Id of the job that it belongs to.
     pub job: JobId,
-    /// Its index in the job, from 0.
+    /// Its index among the job's tasks, from 0.
     pub index: u32,
 }
 
@@ -76,7 +77,7 @@
     }
 }
 
-macro_rules! serde_by_text {
+macro_rules! serde_as_string {
     ($($t:ty),*) => {$(
         impl Serialize for $t {
             fn serialize<S: Serializer>(&self, s: S) -> Result<S::Ok, S::Error> {
@@ -92,7 +93,7 @@
         }
     )*};
 }
-serde_by_text!(JobId, TaskId);
+serde_as_string!(JobId, TaskId);
 
-/// Name of a machine, given by the cloud.
+/// A machine's id, given by the cloud.
 pub type MachineId = Arc<str>;
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,9 +1,10 @@
-//! Typed JSON bodies of the four protocols: with users, workers, the cloud and the
-//! state service, one module each; `ids` holds the ids that they share. The types only
-//! describe messages, and any module may use them.
+//! JSON bodies of the four protocols, with users, workers, the cloud and the state
+//! service: one module for each, and `ids` with the ids that they share. The types only
+//! describe messages; any module may use them.
 //!
-//! The names on the wire are the platform's, kept by serde attributes; the Rust names
-//! are the standard terms. Durations ending in `_s` are in seconds, sizes in `_gb` in GB.
+//! The names on the wire are the platform's. Where the Rust name of a field or variant
+//! differs, a serde attribute keeps the name on the wire. Fields that end in `_s` are in
+//! seconds, those that end in `_gb` in GB.
 
 mod cloud;
 mod ids;
@@ -17,5 +18,5 @@
 pub use users::*;
 pub use workers::*;
 
-/// Largest request body in bytes.
+/// Largest request body that the HTTP API accepts, in bytes.
 pub const MAX_BODY_BYTES: u64 = 64 * 1024;
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -2,13 +2,13 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A key with its value: the response of `GET /kv/{key}`, and an item of a listing.
+/// A key with its value: the response of `GET /kv/{key}`, and an item of a [`KeyPage`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeyValue<V = serde_json::Value> {
-    /// The key.
+    /// Name of the key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Its value.
+    /// The value stored under it.
     #[serde(rename = "v")]
     pub value: V,
     /// Its version: the store's revision at its last change.
@@ -16,7 +16,7 @@
     pub version: u64,
 }
 
-/// Response of `GET /kv`: one page of a listing.
+/// Response of `GET /kv`: one page of the keys that start with a prefix.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeyPage {
     /// The keys with their values, in key order.
@@ -25,7 +25,7 @@
     /// Whether another page follows.
     #[serde(rename = "has_next", default)]
     pub has_more: bool,
-    /// The store's revision as of this page.
+    /// The store's revision when this page was read.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
@@ -33,10 +33,10 @@
 /// A condition of a [`Transaction`] on the version of one key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
-    /// The key.
+    /// The key whose version is checked.
     #[serde(rename = "path")]
     pub key: String,
-    /// The version that it must have; 0: the key must not exist.
+    /// Version that the key must have; 0: it must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -47,25 +47,25 @@
 pub enum Change {
     /// Writes a value.
     Put {
-        /// The key.
+        /// The key that is written.
         put: String,
-        /// Its value.
+        /// The new value.
         #[serde(rename = "v")]
         value: serde_json::Value,
-        /// The lease with whose end the key is deleted.
+        /// Lease that the key is bound to: when it ends, the key is deleted.
         #[serde(rename = "tenancy", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
     /// Deletes a key.
     Delete {
-        /// The key.
+        /// The key that is deleted.
         #[serde(rename = "drop")]
         delete: String,
     },
 }
 
 impl Change {
-    /// The key that changes.
+    /// The key that is written or deleted.
     pub fn key(&self) -> &str {
         match self {
             Change::Put { put, .. } => put,
@@ -74,13 +74,13 @@
     }
 }
 
-/// Body of `POST /multi`: all changes are made if all conditions hold, else none.
+/// Body of `POST /multi`: if all conditions hold, all changes are made, otherwise none.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold for the changes to be made.
+    /// Conditions that must all hold.
     #[serde(rename = "guards")]
     pub conditions: Vec<Condition>,
-    /// What is changed.
+    /// Changes that are made together.
     #[serde(rename = "writes")]
     pub changes: Vec<Change>,
 }
@@ -88,10 +88,10 @@
 /// Response of `POST /multi`, and of `GET /kv/{key}` for a key that doesn't exist.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransactionResult {
-    /// The store's revision after the transaction or as of the read.
+    /// The store's revision after the transaction or at the read.
     #[serde(rename = "ledger")]
     pub revision: u64,
-    /// Keys whose condition didn't hold (409).
+    /// Keys whose condition didn't hold (status 409).
     #[serde(default)]
     pub failed: Vec<String>,
 }
@@ -99,7 +99,7 @@
 /// Response of `POST /holds`, which grants a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// The lease's id.
+    /// Id of the lease that was granted.
     #[serde(rename = "tenancy")]
     pub lease: u64,
 }
@@ -107,10 +107,10 @@
 /// Response of `GET /watch`, which waits for changes of keys with a prefix.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchResponse {
-    /// Revision up to which the changes are complete.
+    /// Revision up to which `events` is complete.
     #[serde(rename = "ledger")]
     pub revision: u64,
-    /// The changes since the revision that was asked for, in order.
+    /// The changes after the requested revision, in order.
     #[serde(rename = "log", default)]
     pub events: Vec<WatchEvent>,
 }
@@ -124,7 +124,7 @@
     /// The key, if it was deleted.
     #[serde(rename = "drop", default, skip_serializing_if = "Option::is_none")]
     pub delete: Option<String>,
-    /// The value written.
+    /// The value, if the key was written.
     #[serde(rename = "v", default)]
     pub value: serde_json::Value,
     /// The store's revision at the change.
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -7,10 +7,10 @@
 /// How a job's tasks run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
-    /// Independent tasks, each runs to completion.
+    /// Independent tasks, each of which runs to completion.
     #[serde(rename = "batch")]
     Array,
-    /// Tasks that run only together: placed whole.
+    /// Tasks that run only together: either all of them are placed or none.
     #[serde(rename = "group")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -18,19 +18,19 @@
     Service,
 }
 
-/// Priority; the greater comes first.
+/// Priority of a job, in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Priority {
-    /// Runs in what is left over.
+    /// Runs on capacity that other jobs leave over.
     #[serde(rename = "best_effort")]
     Low,
-    /// The ordinary one.
+    /// The usual priority.
     #[serde(rename = "standard")]
     Normal,
-    /// Before the ordinary one.
+    /// Goes before `Normal`.
     #[serde(rename = "high")]
     High,
-    /// Before all others.
+    /// Goes before all others.
     #[serde(rename = "critical")]
     Production,
 }
@@ -38,19 +38,19 @@
 /// A job as its user submits it: the body of `POST /v2/runs`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The job's id, chosen by the user; a repeated submission is recognized by it.
+    /// Id that the user chose; a repeated submission is recognized by it.
     #[serde(rename = "name_id")]
     pub id: JobId,
-    /// Job class, by which objectives apply.
+    /// Job class, which selects the objectives that apply.
     #[serde(rename = "lot_class")]
     pub class: String,
-    /// Team whose quota and limit apply.
+    /// Name of the team whose quota and limit apply.
     #[serde(rename = "desk")]
     pub team: String,
     /// How its tasks run.
     #[serde(rename = "sort")]
     pub kind: JobKind,
-    /// Its priority.
+    /// Priority that the user chose.
     #[serde(rename = "urgency")]
     pub priority: Priority,
     /// Number of tasks.
@@ -63,38 +63,38 @@
     pub gpus: f64,
     /// Memory of each task in GB.
     pub memory_gb: f64,
-    /// Image that a machine must have.
+    /// Image that a machine needs to run a task.
     #[serde(rename = "kit")]
     pub image: String,
     /// The image's size in GB.
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
-    /// Names of the allowed machine types; `None`: all.
+    /// Names of the allowed machine types; `None`: all types.
     #[serde(rename = "rigs", default, skip_serializing_if = "Option::is_none")]
     pub machine_types: Option<Vec<String>>,
-    /// Name of the only allowed zone; `None`: all.
+    /// Name of the only allowed zone; `None`: all zones.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks in the same zone.
+    /// Whether all tasks must be in the same zone.
     pub one_zone: bool,
-    /// At most half of the tasks in one zone.
+    /// Whether at most half of the tasks may be in one zone.
     pub spread: bool,
-    /// May use spot machines.
+    /// Whether its tasks may run on spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// The user's estimate of a task's run time in seconds.
     #[serde(rename = "expected_s")]
     pub estimate_s: f64,
-    /// Interval between two checkpoints of a task in seconds; 0: it saves none.
+    /// Interval between two checkpoints of a task, in seconds; 0: its tasks save none.
     #[serde(rename = "tally_s")]
     pub checkpoint_s: f64,
-    /// Time that a task needs for a checkpoint when it is stopped, in seconds.
+    /// Time that a task needs to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "stow_s")]
     pub checkpoint_grace_s: f64,
     /// Deadline for the whole job, in seconds from its submission.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Ids of the jobs that must be done before any task of this one starts.
+    /// The job's dependencies: ids of the jobs that must be done before its tasks start.
     #[serde(
         default,
         deserialize_with = "null_as_empty",
@@ -107,12 +107,12 @@
     Ok(Option::deserialize(d)?.unwrap_or_default())
 }
 
-/// Most tasks of a job.
+/// Most tasks that a job may have.
 pub const MAX_TASKS_PER_JOB: u32 = 100_000;
 
 impl JobSpec {
-    /// Time that a task is given for a checkpoint when it is stopped: none if it saves
-    /// none.
+    /// Time that a task has for a checkpoint when it is stopped; zero if its job saves no
+    /// checkpoints.
     pub fn grace(&self) -> std::time::Duration {
         let s = if self.checkpoint_s > 0.0 {
             self.checkpoint_grace_s
@@ -122,8 +122,8 @@
         std::time::Duration::from_secs_f64(s)
     }
 
-    /// Checks the values; the error is the JSON name of the first field that is out of
-    /// its bounds.
+    /// Checks the bounds of the values; the error is the JSON name of the first field that
+    /// is found out of its bounds.
     pub fn check(&self) -> Result<(), &'static str> {
         let amounts = [
             ("accelerators", self.gpus),
@@ -166,32 +166,32 @@
     }
 }
 
-/// State of a job in a response to its user.
+/// State of a job, as its user sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobState {
-    /// No task runs.
+    /// No task runs at present.
     Queued,
-    /// A task runs.
+    /// At least one task runs.
     Running,
     /// All tasks are done.
     Done,
-    /// Cancelled by its user.
+    /// Its user cancelled it.
     Cancelled,
 }
 
-/// Response to a user about a job: to its submission, its cancellation and
+/// Status of a job: the response to its submission, to its cancellation and to
 /// `GET /v2/runs/{id}`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// The job.
+    /// Id of the job.
     #[serde(rename = "name_id")]
     pub id: JobId,
-    /// Its state.
+    /// State that is shown to the user.
     #[serde(rename = "standing")]
     pub state: JobState,
-    /// Number of tasks done, for display only.
+    /// Number of tasks that are done, for display only.
     pub done: u32,
-    /// Number of tasks running, for display only.
+    /// Number of tasks that run, for display only.
     pub running: u32,
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -1,26 +1,26 @@
-//! Bodies of the protocol with the workers: heartbeats (`POST /v1/report` at a
-//! controller) and commands (in the response, or `POST /commands` at the worker).
+//! Bodies of the protocol with the workers: heartbeats (`POST /v1/report` to a controller)
+//! and commands (in the response to a heartbeat, or `POST /commands` to the worker).
 
 use serde::{Deserialize, Serialize};
 
 use super::ids::{MachineId, TaskId};
 
-/// State of a task on a machine.
+/// State of an attempt of a task, as its worker reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskState {
-    /// Its image is being fetched.
+    /// The machine fetches its image.
     #[serde(rename = "fetching")]
     Fetching,
-    /// Has its image and waits for the other tasks of its gang.
+    /// Its image is there; it waits for the other tasks of its gang.
     #[serde(rename = "waiting")]
     Waiting,
-    /// It runs.
+    /// Its program runs.
     #[serde(rename = "running")]
     Running,
-    /// It was stopped by a command and saves a checkpoint.
+    /// It was ordered to stop and saves a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
-    /// It ended, see [`ExitReason`]; listed until it is acknowledged.
+    /// It ended for an [`ExitReason`]; it is reported until it is acknowledged.
     #[serde(rename = "ended")]
     Ended,
 }
@@ -28,51 +28,51 @@
 /// Why an attempt of a task ended, or was not started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
-    /// Completed.
+    /// It ran to completion.
     #[serde(rename = "done")]
     Done,
-    /// Stopped by command.
+    /// A command stopped it.
     #[serde(rename = "halted")]
     Stopped,
-    /// Failed.
+    /// It failed by itself.
     #[serde(rename = "error")]
     Failed,
-    /// Refused: not enough free resources.
+    /// The start was refused: the machine lacks free resources.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// Refused: another attempt of it is on the machine.
+    /// The start was refused: another attempt of the task is on the machine.
     #[serde(rename = "in_use")]
     OtherAttemptPresent,
-    /// Refused: the worker has no such attempt.
+    /// The command was refused: the worker has no such attempt.
     #[serde(rename = "no_such")]
     UnknownTask,
     /// Another task of its gang ended or was lost.
     #[serde(rename = "mates_gone")]
     GangMemberLost,
-    /// The other tasks of its gang did not come in time.
+    /// The other tasks of its gang were not ready in time.
     #[serde(rename = "alone")]
     GangIncomplete,
-    /// A reason that this version does not know; treated as a failure.
+    /// A reason that this version doesn't know; it counts as a failure.
     #[serde(other, rename = "other")]
     Other,
 }
 
-/// A task in a heartbeat.
+/// An attempt of a task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReportedTask {
-    /// The task.
+    /// Id of the task.
     #[serde(rename = "lot")]
     pub task: TaskId,
-    /// The attempt; each start of the task has another number.
+    /// Number of the attempt; each start of the task has a different one.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Its state.
+    /// State of the attempt.
     #[serde(rename = "standing")]
     pub state: TaskState,
-    /// Why it ended, if it did.
+    /// Why it ended; absent until then.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub exit_reason: Option<ExitReason>,
-    /// Whether it saved a checkpoint, if it ended.
+    /// Whether it saved a checkpoint; absent until it ends.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
@@ -80,34 +80,35 @@
 /// A worker's heartbeat, the body of `POST /v1/report`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Name of its machine.
+    /// Id of the worker's machine.
     #[serde(rename = "rack")]
     pub machine: MachineId,
-    /// Address (host and port) at which it takes commands.
+    /// Address (host and port) at which the worker takes commands.
     #[serde(rename = "endpoint")]
     pub addr: String,
-    /// Name of its machine type.
+    /// Name of the machine's type.
     #[serde(rename = "rig")]
     pub machine_type: String,
-    /// Name of its zone.
+    /// Name of the machine's zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Incarnation of the worker: the agent's process.
+    /// Incarnation of the worker's process; incremented when the worker restarts or its
+    /// lease expires.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
-    /// Sequence number within the incarnation; a lower one is outdated.
+    /// Sequence number within the incarnation; a message with a lower one is outdated.
     #[serde(rename = "tick")]
     pub sequence: u64,
     /// Highest fencing token that the worker has seen; it refuses lower ones.
     #[serde(rename = "gavel")]
     pub token: u64,
-    /// Time until the cloud reclaims a spot machine, in seconds, once it is announced.
+    /// Time until the cloud reclaims the machine, in seconds; absent before a spot notice.
     #[serde(rename = "recall_s", default, skip_serializing_if = "Option::is_none")]
     pub reclaim_in_s: Option<f64>,
-    /// All tasks on the machine.
+    /// All tasks on the machine, with those that ended and are not acknowledged.
     #[serde(rename = "lots", default)]
     pub tasks: Vec<ReportedTask>,
 }
@@ -118,42 +119,42 @@
 pub enum Command {
     /// Start an attempt of a task.
     Start {
-        /// The task.
+        /// Id of the task.
         #[serde(rename = "lot")]
         task: TaskId,
-        /// The attempt.
+        /// Number of the new attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
     /// Stop an attempt.
     #[serde(rename = "kill")]
     Stop {
-        /// The task.
+        /// Id of the task.
         #[serde(rename = "lot")]
         task: TaskId,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time that it has for a checkpoint, in seconds.
+        /// Time that it has to save a checkpoint, in seconds.
         #[serde(rename = "leeway_s")]
         grace_s: f64,
     },
-    /// List an ended attempt in no more heartbeats.
+    /// Acknowledge an ended attempt: the worker forgets it and reports it no more.
     #[serde(rename = "reap")]
     Acknowledge {
-        /// The task.
+        /// Id of the task.
         #[serde(rename = "lot")]
         task: TaskId,
-        /// The attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// Response to a [`Heartbeat`] (200); it renews the worker's lease.
+/// The leader's response to a [`Heartbeat`] (status 200); it renews the worker's lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// The leader's fencing token.
+    /// The leader's fencing token; the worker refuses tokens lower than it has seen.
     #[serde(rename = "gavel")]
     pub token: u64,
     /// Commands, to be executed in order.
@@ -161,10 +162,10 @@
     pub commands: Vec<Command>,
 }
 
-/// Response to a [`Heartbeat`] that another controller is to get (421).
+/// Response to a [`Heartbeat`] that must go to another controller (status 421).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// Name of the controller that heartbeats are to be sent to, if one is known.
+    /// Name of the controller to send heartbeats to, if it is known.
     #[serde(rename = "answer_to", skip_serializing_if = "Option::is_none", default)]
     pub report_to: Option<String>,
 }
@@ -175,7 +176,7 @@
     /// The leader's fencing token.
     #[serde(rename = "gavel")]
     pub token: u64,
-    /// Incarnation that they are meant for; another one refuses them.
+    /// Worker incarnation that the commands are meant for; any other refuses them.
     #[serde(rename = "tenure")]
     pub incarnation: u64,
     /// Commands, to be executed in order.
