--- a/tests/gap/world/messages.rs
+++ b/tests/gap/world/messages.rs
@@ -1,27 +1,27 @@
-//! Messages between leaders and workers: how they are sent, lost, held back and delivered.
+//! Messages between leaders and workers: how they are sent, delayed, lost and delivered.
 
 use std::time::Duration;
 
 use bitternfold::wire::*;
 use rand::Rng;
 
-use super::{SimulatedSite, FAULTS_FROM, STEP};
+use super::{SimulatedSite, FAULT_FREE_PERIOD, TIME_STEP};
 use crate::worker::RESPONSE_TIMEOUT;
 
-/// After how long the sender of a command gives it up.
+/// How long the sender of a command waits for an answer before it gives the command up.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A message in transit. Controllers and machines are named by their index.
+/// A message in flight. Controllers and machines are given by their index.
 pub(super) enum Message {
     Command {
         to: usize,
         from: usize,
         term: u64,
         commands: CommandBatch,
-        /// Its sender has given it up.
-        late: bool,
+        /// Whether its sender has given it up, or is going to.
+        given_up: bool,
     },
-    /// The response to a command; without a heartbeat the command was given up.
+    /// The end of a command: answered by a heartbeat, or given up (`None`).
     CommandResponse {
         to: usize,
         term: u64,
@@ -37,35 +37,37 @@
 }
 
 impl SimulatedSite {
-    /// Lets a message arrive after a delay.
+    /// Sends a message that arrives after a delay.
     pub(super) fn send(&mut self, delay: Duration, message: Message) {
-        self.in_transit.push((self.now + delay, message));
+        self.in_flight.push((self.now + delay, message));
     }
 
     pub(super) fn send_command(&mut self, from: usize, term: u64, id: &MachineId, commands: CommandBatch) {
         let to = self.workers.iter().position(|worker| worker.id == *id);
         let to = to.expect("known");
-        let faulty = self.now > FAULTS_FROM;
-        let late = faulty && self.rng.random_bool(self.times.commands_late);
-        let mut delay = STEP;
-        if late {
-            // Given up by its sender; it may still arrive, unless nothing does.
-            delay = Duration::from_secs_f64(self.rng.random_range(0.0..self.times.max_delay + 0.1));
-            let given_up = Message::CommandResponse {
+        let faults_have_begun = self.now > FAULT_FREE_PERIOD;
+        let given_up = faults_have_begun && self.rng.random_bool(self.scenario.given_up_share);
+        let mut delay = TIME_STEP;
+        if given_up {
+            // The sender gives the command up. It may still arrive, unless the scenario lets
+            // none arrive.
+            delay =
+                Duration::from_secs_f64(self.rng.random_range(0.0..self.scenario.max_command_delay + 0.1));
+            let unanswered = Message::CommandResponse {
                 to: from,
                 term,
                 machine: id.clone(),
                 heartbeat: None,
             };
-            self.send(COMMAND_TIMEOUT, given_up);
+            self.send(COMMAND_TIMEOUT, unanswered);
         }
-        if !late || self.times.commands_late < 1.0 {
+        if !given_up || self.scenario.given_up_share < 1.0 {
             let command = Message::Command {
                 to,
                 from,
                 term,
                 commands,
-                late,
+                given_up,
             };
             self.send(delay, command);
         }
@@ -73,19 +75,19 @@
 
     pub(super) fn deliver(&mut self, message: Message) {
         match message {
-            Message::Command { to, .. } if self.hangs(to) => {
-                // It waits for a machine that hangs.
+            Message::Command { to, .. } if self.is_hanging(to) => {
+                // The command arrives once the machine no longer hangs.
                 let until = self.reporting[to].hangs_until;
-                self.in_transit.push((until, message));
+                self.in_flight.push((until, message));
             }
             Message::Command {
                 to,
                 from,
                 term,
                 commands,
-                late,
+                given_up,
             } => {
-                let heartbeat = self.execute(to, &commands, late);
+                let heartbeat = self.execute(to, &commands, given_up);
                 if let Some(heartbeat) = heartbeat {
                     let response = Message::CommandResponse {
                         to: from,
@@ -93,7 +95,7 @@
                         machine: heartbeat.machine.clone(),
                         heartbeat: Some(heartbeat),
                     };
-                    self.send(STEP, response);
+                    self.send(TIME_STEP, response);
                 }
             }
             Message::CommandResponse {
@@ -103,8 +105,8 @@
                 heartbeat,
             } => {
                 let now = self.clock(to);
-                let waiting = self.leaders[to].as_mut();
-                if let Some(leader) = waiting.filter(|leader| leader.term == term) {
+                let leader = self.leaders[to].as_mut();
+                if let Some(leader) = leader.filter(|leader| leader.term == term) {
                     leader.model.command_finished(&machine, heartbeat.as_ref(), now);
                 }
             }
@@ -117,8 +119,9 @@
         }
     }
 
-    /// A worker executes commands; its heartbeat, unless their sender has given them up.
-    fn execute(&mut self, machine: usize, commands: &CommandBatch, late: bool) -> Option<Heartbeat> {
+    /// Lets a worker execute commands. Returns its heartbeat as the answer, unless the sender
+    /// gives the commands up.
+    fn execute(&mut self, machine: usize, commands: &CommandBatch, given_up: bool) -> Option<Heartbeat> {
         let worker = &mut self.workers[machine];
         worker.execute(commands);
         for task in worker.tasks.values_mut() {
@@ -126,11 +129,11 @@
                 task.state = TaskState::Running;
             }
         }
-        (!late).then(|| worker.heartbeat())
+        (!given_up).then(|| worker.heartbeat())
     }
 
-    /// Late responses and those for an earlier incarnation or of an earlier leader are
-    /// dropped by the worker.
+    /// Delivers a response to a heartbeat. The worker drops it if it is late, for an earlier
+    /// incarnation, or of an earlier leader, or if its machine hangs.
     fn deliver_heartbeat_response(
         &mut self,
         to: usize,
@@ -138,15 +141,15 @@
         response: HeartbeatResponse,
         heartbeat_sent: Duration,
     ) {
-        let hangs = self.hangs(to);
-        let sent_by_its_clock = self.worker_clock_at(to, heartbeat_sent);
+        let is_hanging = self.is_hanging(to);
+        let sent_by_worker_clock = self.worker_clock_at(to, heartbeat_sent);
         let worker = &mut self.workers[to];
-        let dropped = hangs
+        let dropped = is_hanging
             || self.now > heartbeat_sent + RESPONSE_TIMEOUT
             || incarnation != worker.incarnation
             || response.token < worker.token;
         if !dropped {
-            worker.lease_renewed = worker.lease_renewed.max(sent_by_its_clock);
+            worker.lease_renewed = worker.lease_renewed.max(sent_by_worker_clock);
             worker.execute(&CommandBatch {
                 token: response.token,
                 incarnation,
--- a/tests/gap/world/workers.rs
+++ b/tests/gap/world/workers.rs
@@ -1,4 +1,4 @@
-//! What a worker does on each turn: it sends its heartbeat once that is due.
+//! Workers: each sends its heartbeat when it is due.
 
 use std::time::Duration;
 
@@ -9,42 +9,44 @@
 use super::SimulatedSite;
 use crate::support::*;
 
-/// How a worker reports.
+/// Where and when a worker sends its heartbeats.
 #[derive(Clone, Default)]
 pub(super) struct Reporting {
     /// The controller that it sends heartbeats to.
     pub(super) controller: usize,
     /// When the next heartbeat is due.
-    pub(super) next: Duration,
-    /// Until when the machine hangs: it sends nothing and takes nothing.
+    pub(super) next_due: Duration,
+    /// When the machine stops hanging. Until then it neither sends nor receives anything.
     pub(super) hangs_until: Duration,
 }
 
 impl SimulatedSite {
-    pub(super) fn hangs(&self, machine: usize) -> bool {
+    pub(super) fn is_hanging(&self, machine: usize) -> bool {
         self.now < self.reporting[machine].hangs_until
     }
 
-    /// A worker's turn. Without a response it turns to the next controller.
+    /// Sends the heartbeat of a worker if it is due. If no controller responds, the worker
+    /// sends the next one to the next controller.
     pub(super) fn run_worker(&mut self, machine: usize) {
-        if self.now < self.reporting[machine].next || self.hangs(machine) {
+        if self.now < self.reporting[machine].next_due || self.is_hanging(machine) {
             return;
         }
-        let interval = self.times.heartbeat_interval * self.rng.random_range(0.75..1.25);
-        self.reporting[machine].next = self.now + Duration::from_secs_f64(interval);
+        let interval = self.scenario.heartbeat_interval * self.rng.random_range(0.75..1.25);
+        self.reporting[machine].next_due = self.now + Duration::from_secs_f64(interval);
         let heartbeat = self.workers[machine].heartbeat();
         let controller = self.reporting[machine].controller;
-        // Relayed to the latest leader, if the asked one leads no more.
-        let mut asked = vec![controller];
-        if self.times.peers_connected {
-            asked.extend(self.latest_leader());
+        // A controller that doesn't lead relays the heartbeat to the latest leader.
+        let mut receivers = vec![controller];
+        if self.scenario.peers_connected {
+            receivers.extend(self.latest_leader());
         }
-        for asked in asked {
-            if self.is_paused(asked) {
-                self.clocks(asked);
+        for receiver in receivers {
+            if self.is_paused(receiver) {
+                // Draws from the random generator as `respond` does.
+                self.read_clocks(receiver);
                 break;
             }
-            if let Some(response) = self.respond(asked, &heartbeat) {
+            if let Some(response) = self.respond(receiver, &heartbeat) {
                 let delay = Duration::from_secs_f64(self.rng.random_range(0.0..4.5f64).powi(3) / 20.0);
                 let response = Message::HeartbeatResponse {
                     to: machine,
@@ -57,12 +59,12 @@
             }
         }
         self.reporting[machine].controller = (controller + 1) % 3;
-        self.reporting[machine].next = self.now + secs(1);
+        self.reporting[machine].next_due = self.now + secs(1);
     }
 
-    /// A controller's response to a heartbeat, if it leads and may give one.
+    /// The response of a controller to a heartbeat, if it leads and may renew leases.
     fn respond(&mut self, controller: usize, heartbeat: &Heartbeat) -> Option<HeartbeatResponse> {
-        let clocks = self.clocks(controller);
+        let clocks = self.read_clocks(controller);
         let leader = self.leaders[controller].as_mut();
         let leader = leader.filter(|leader| !leader.deposed)?;
         if !leader.authority.may_renew_leases(clocks) {
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -1,5 +1,5 @@
-//! The write-ahead log under generated crashes and lost responses: its replay
-//! names all tasks that may be on a machine, and its size stays bounded.
+//! The write-ahead log under generated changes of the leader and lost responses: a replay
+//! lists all tasks that may be on a machine, and the size of the log stays bounded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -11,22 +11,23 @@
 use proptest::prelude::*;
 use serde_json::Value;
 
-/// Largest value in the state service, in bytes.
+/// Limit on a value in the state service, in bytes.
 const VALUE_BYTES: usize = 1024;
 
 #[derive(Debug, Clone)]
 enum Operation {
     /// Tasks of a job are placed on a machine.
     Start { machine: u8, job: u8, tasks: u8 },
-    /// The first task on a machine ends, done or not.
+    /// The first task on a machine ends, as done or not.
     End { machine: u8, done: bool },
     /// A machine is released.
     Release(u8),
-    /// A job without running tasks is complete.
+    /// A job becomes complete, unless one of its tasks is on a machine.
     CompleteJob(u8),
-    /// An append is sent; it is stored (and confirmed or not), or never is.
+    /// An append is sent. It is stored or lost; if it is stored, the confirmation arrives or
+    /// is lost.
     Append { stored: bool, confirmed: bool },
-    /// A new leader reads what is stored.
+    /// A new leader loads what is stored.
     Elect,
 }
 
@@ -49,19 +50,20 @@
     format!("job-{number:06}").parse().expect("an id")
 }
 
-/// The bytes that the log needs for so many machines, slots and done tasks.
+/// Approximate number of bytes that the log needs for these machines and slots and this
+/// number of done tasks.
 fn live_bytes(slots: &BTreeMap<MachineId, BTreeMap<TaskId, Slot>>, done: usize) -> usize {
     slots.len() * 60 + slots.values().map(BTreeMap::len).sum::<usize>() * 50 + done * 6
 }
 
-/// A place of a task, and the log's mark of its start.
+/// An attempt on a machine, and the log's mark of its start.
 #[derive(Debug, Clone, Copy)]
 struct Slot {
     attempt: u64,
     mark: u64,
 }
 
-/// The log under test beside a plain model of the cluster and of the state service.
+/// The log under test, with a simple model of the cluster and the state service.
 struct LoggedCluster {
     log: WriteAheadLog,
     /// Segments in the state service, by number.
@@ -71,7 +73,7 @@
     done: BTreeMap<TaskId, u64>,
     open_jobs: BTreeSet<JobId>,
     last_attempt: u64,
-    /// Grows with each release and election, since ids of machines are never reused.
+    /// Incremented by each release and election, so that ids of machines are never reused.
     generation: u64,
     highest_segment: u64,
     max_live_bytes: usize,
@@ -154,14 +156,14 @@
 
     fn complete_job(&mut self, job: u8) {
         let job = job_id(u64::from(job % 10));
-        let is_busy = self.slots.values().flat_map(BTreeMap::keys).any(|t| t.job == job);
-        if !is_busy && self.open_jobs.remove(&job) {
+        let has_tasks_on_machines = self.slots.values().flat_map(BTreeMap::keys).any(|t| t.job == job);
+        if !has_tasks_on_machines && self.open_jobs.remove(&job) {
             self.done.retain(|task, _| task.job != job);
         }
     }
 
-    /// Sends the log's next append, if there is one. Unless it is stored and confirmed, the
-    /// term ends and a new leader is elected.
+    /// Sends the log's next append, if there is one. A new leader is elected unless the append
+    /// is stored and confirmed.
     fn append(&mut self, stored: bool, confirmed: bool) -> Result<(), TestCaseError> {
         let Some(append) = self.take_append() else {
             return Ok(());
@@ -169,7 +171,11 @@
         if stored {
             for (number, value) in &append.segments {
                 if value.is_some() && !self.stored.contains_key(number) {
-                    prop_assert!(*number > self.highest_segment, "number {} is used again", number);
+                    prop_assert!(
+                        *number > self.highest_segment,
+                        "segment number {} is reused",
+                        number
+                    );
                     self.highest_segment = *number;
                 }
             }
@@ -180,7 +186,7 @@
             self.check_replay()?;
             self.check_size()?;
         } else {
-            // The term ends without a confirmation.
+            // Without a confirmation the term ends.
             self.elect();
         }
         Ok(())
@@ -216,7 +222,10 @@
         for (number, value) in &append.segments {
             match value {
                 Some(value) => {
-                    assert!(value.to_string().len() <= VALUE_BYTES, "a segment fits a value");
+                    assert!(
+                        value.to_string().len() <= VALUE_BYTES,
+                        "a segment exceeds the limit on values"
+                    );
                     self.stored.insert(*number, value.clone());
                 }
                 None => drop(self.stored.remove(number)),
@@ -224,19 +233,19 @@
         }
     }
 
-    /// A leader may rely on whatever the log calls stored: a new leader must find
-    /// every stored start and outcome.
+    /// Checks that a new leader would find every start and every done task that the log
+    /// reports as stored, as the leader relies on them.
     fn check_replay(&self) -> Result<(), TestCaseError> {
-        let mut fresh = WriteAheadLog::new(VALUE_BYTES);
+        let mut reader = WriteAheadLog::new(VALUE_BYTES);
         for (number, value) in &self.stored {
-            prop_assert!(fresh.load(*number, value.clone()));
+            prop_assert!(reader.load(*number, value.clone()));
         }
-        let replay = fresh.replay();
+        let replay = reader.replay();
         for (id, on_machine) in &self.slots {
             for (task, slot) in on_machine {
                 if self.log.is_stored(slot.mark) {
-                    let named = replay.starts.get(id).and_then(|s| s.get(task));
-                    prop_assert_eq!(named, Some(&slot.attempt), "{} on {}", task, id);
+                    let replayed_attempt = replay.starts.get(id).and_then(|s| s.get(task));
+                    prop_assert_eq!(replayed_attempt, Some(&slot.attempt), "{} on {}", task, id);
                     prop_assert!(replay.machines.contains_key(id));
                 }
             }
@@ -252,7 +261,8 @@
         Ok(())
     }
 
-    /// Each append drops one segment at the most, and may add some when much is pending.
+    /// Checks the number of segments. The bound has an allowance: an append deletes one
+    /// segment at most, but may add several if many entries are pending.
     fn check_size(&mut self) -> Result<(), TestCaseError> {
         let live = live_bytes(&self.slots, self.done.len());
         self.max_live_bytes = self.max_live_bytes.max(live);
@@ -266,7 +276,7 @@
         Ok(())
     }
 
-    /// A new leader: it knows only what is stored.
+    /// Replaces the leader by a new one, which knows only what is stored.
     fn elect(&mut self) {
         self.log = WriteAheadLog::new(VALUE_BYTES);
         for (number, value) in &self.stored {
@@ -298,7 +308,7 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_replay_names_all_that_may_be_there(operations in proptest::collection::vec(any_operation(), 50..600)) {
+    fn a_replay_lists_every_stored_start_and_done_task(operations in proptest::collection::vec(any_operation(), 50..600)) {
         let mut cluster = LoggedCluster::new();
         for operation in operations {
             cluster.step(operation)?;
@@ -309,10 +319,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 100, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The log takes as much of the budget of changes as it gets; acceptances and
-    /// cancellations, a few a second, are still sent at once, and the log makes progress.
+    /// The log takes as much of the change budget as it gets. Submissions and cancellations, a few
+    /// per second, are still sent at once, and the log makes progress.
     #[test]
-    fn a_full_budget_starves_neither_users_nor_the_log(
+    fn an_exhausted_change_budget_starves_neither_users_nor_the_log(
         rate in 8u32..80,
         sizes in proptest::collection::vec(1u32..16, 50..200),
         users in proptest::collection::vec(0u32..3, 50..200),
@@ -321,21 +331,21 @@
         let limiter = RateLimiter::new(rate, rate);
         let mut now = Instant::now() + Duration::from_secs(10);
         let (mut taken, mut taken_by_log) = (0.0, 0.0);
-        let began = now;
+        let started_at = now;
         for (size, requests) in sizes.iter().zip(&users) {
             // The log always has more to write than the budget allows.
             let size = f64::from(*size).min(rate);
-            let mut tries = 0;
+            let mut waits = 0;
             loop {
                 let wait = limiter.take_above_reserve(size, URGENT_RESERVE, now);
                 if wait.is_zero() { break; }
-                tries += 1;
-                prop_assert!(tries < 10, "the log makes no progress");
+                waits += 1;
+                prop_assert!(waits < 10, "the log makes no progress");
                 now += wait;
             }
             taken_by_log += size;
             taken += size;
-            // Few compared with the budget, as users' requests are.
+            // Requests of users are few compared with the budget.
             if f64::from(*requests) <= rate * URGENT_RESERVE && size <= rate * (1.0 - URGENT_RESERVE) {
                 for _ in 0..*requests {
                     let wait = limiter.take_above_reserve(1.0, 0.0, now);
@@ -344,21 +354,21 @@
                 }
             }
         }
-        let max_taken = rate + rate * now.duration_since(began).as_secs_f64();
-        prop_assert!(taken <= max_taken + 1e-6, "{} taken of {}", taken, max_taken);
+        let max_taken = rate + rate * now.duration_since(started_at).as_secs_f64();
+        prop_assert!(taken <= max_taken + 1e-6, "{} tokens taken, at most {} available", taken, max_taken);
         prop_assert!(taken_by_log > 0.0);
     }
 }
 
 #[test]
-fn a_huge_array_that_ends_task_by_task_keeps_its_log_small() {
-    // Its tasks end in turn with those of another job, so that no two ends of a job are
-    // consecutive: an entry for each would be five times as long as its content.
+fn the_log_stays_small_while_the_tasks_of_two_huge_jobs_end_in_turn() {
+    // The tasks of two jobs end alternately, so no two consecutive entries are of the same
+    // job. With one entry for each task, the log would be five times as long as its content.
     const TASKS: u32 = 50_000;
     let mut log = WriteAheadLog::new(4096);
     let mut stored: BTreeMap<u64, usize> = BTreeMap::new();
     let ids = [1, 2].map(job_id);
-    let mut written = 0;
+    let mut written_segments = 0;
     for i in 0..TASKS {
         for id in ids {
             log.push(LogEntry::Done(id, vec![i]));
@@ -370,7 +380,7 @@
             };
             log.append_stored(&append);
             for (number, value) in &append.segments {
-                written += 1;
+                written_segments += 1;
                 match value {
                     Some(value) => stored.insert(*number, value.to_string().len()),
                     None => stored.remove(number),
@@ -380,7 +390,10 @@
     }
     let bytes: usize = stored.values().sum();
     assert!(bytes < TASKS as usize * 2 * 6 * 2 + 5 * 4096, "{bytes} bytes");
-    assert!(written < TASKS / 20 * 4, "{written} segments written");
+    assert!(
+        written_segments < TASKS / 20 * 4,
+        "{written_segments} segments written"
+    );
     let done = log.replay().done;
     assert!(ids
         .iter()
--- a/tests/safety/cluster/delivery.rs
+++ b/tests/safety/cluster/delivery.rs
@@ -1,4 +1,4 @@
-//! The arrival of a message, once or as a copy of it.
+//! Delivery of a message, or of a copy of it.
 
 use std::time::Instant;
 
@@ -11,7 +11,7 @@
 use crate::worker::{Worker, RESPONSE_TIMEOUT};
 
 impl SimulatedCluster {
-    /// Delivers a message. Responses for an earlier leader arrive nowhere.
+    /// Delivers a message. Responses for an earlier leader are dropped.
     pub fn deliver(&mut self, message: Message) {
         match message {
             Message::Command { to, commands, term } => self.deliver_command(to, &commands, term),
@@ -32,21 +32,23 @@
             Message::StoreCancellation { id, term } if term == self.term => self.store_cancellation(id, term),
             Message::CancellationStored { id, term } if term == self.term => {
                 self.model.cancellation_stored(id);
-                self.confirm(id, JobState::Cancelled);
+                self.record_confirmed_state(id, JobState::Cancelled);
             }
             Message::Write { write, term } => {
-                // Guarded by the leader's key: an earlier leader's is refused.
-                let ok = term == self.term;
-                if ok {
+                // The transaction is conditional on the leader's key: it fails for an
+                // earlier leader.
+                let stored = term == self.term;
+                if stored {
                     self.store(&write);
                 }
-                self.in_transit.push(Message::WriteResponse { write, ok, term });
+                self.in_flight
+                    .push(Message::WriteResponse { write, stored, term });
             }
-            Message::WriteResponse { write, ok, term } if term == self.term => {
-                if let (true, PendingWrite::Final { id, record, .. }) = (ok, &write) {
-                    self.confirm(*id, record.state);
+            Message::WriteResponse { write, stored, term } if term == self.term => {
+                if let (true, PendingWrite::Final { id, record, .. }) = (stored, &write) {
+                    self.record_confirmed_state(*id, record.state);
                 }
-                self.model.write_finished(&write, ok, self.now);
+                self.model.write_finished(&write, stored, self.now);
             }
             _ => {}
         }
@@ -55,7 +57,7 @@
     fn deliver_command(&mut self, to: MachineId, commands: &CommandBatch, term: u64) {
         let takes_commands = |worker: &&mut Worker| worker.takes_commands();
         let Some(worker) = self.worker(&to).filter(takes_commands) else {
-            self.in_transit.push(Message::CommandResponse {
+            self.in_flight.push(Message::CommandResponse {
                 from: to,
                 heartbeat: None,
                 term,
@@ -68,7 +70,7 @@
             self.check_runs_once_within_limit(task);
             self.check_dependencies_are_done(task);
         }
-        self.in_transit.push(Message::CommandResponse {
+        self.in_flight.push(Message::CommandResponse {
             from: to,
             heartbeat,
             term,
@@ -78,13 +80,13 @@
     fn deliver_heartbeat(&mut self, heartbeat: Heartbeat, sent: Instant) {
         let outcome = self.model.apply_heartbeat(&heartbeat, self.now);
         let known = self.model.machines().get(&heartbeat.machine);
-        let incarnation_over = known.is_none_or(|machine| {
+        let incarnation_has_ended = known.is_none_or(|machine| {
             machine.newest_message.incarnation != heartbeat.incarnation
                 || machine.incarnation_ended(heartbeat.incarnation)
         });
         match outcome {
             HeartbeatOutcome::MachineReleased => return,
-            HeartbeatOutcome::Outdated if incarnation_over => return,
+            HeartbeatOutcome::Outdated if incarnation_has_ended => return,
             HeartbeatOutcome::Outdated | HeartbeatOutcome::Applied => {}
         }
         let response = self
@@ -93,8 +95,8 @@
         if let Some(mut response) = response {
             let stops = self.model.stops_for_cancelled(&heartbeat);
             response.commands.extend(stops);
-            self.check_no_task_lives_on_unknown(&heartbeat, &response.commands);
-            self.in_transit.push(Message::HeartbeatResponse {
+            self.check_response_stops_unwanted_tasks(&heartbeat, &response.commands);
+            self.in_flight.push(Message::HeartbeatResponse {
                 to: heartbeat.machine,
                 incarnation: heartbeat.incarnation,
                 response,
@@ -103,8 +105,8 @@
         }
     }
 
-    /// Late responses and those for an earlier incarnation or of an earlier leader are
-    /// dropped by the worker.
+    /// Delivers a response to a heartbeat. The worker drops it if it is late, for an earlier
+    /// incarnation, or of an earlier leader.
     fn deliver_heartbeat_response(
         &mut self,
         to: &MachineId,
@@ -127,22 +129,26 @@
             incarnation,
             commands: response.commands,
         });
-        assert!(started.is_empty(), "a response starts nothing");
+        assert!(
+            started.is_empty(),
+            "a response to a heartbeat started {started:?}"
+        );
     }
 
-    /// Guarded by the leader's key; the client gets its response once this is stored.
+    /// Stores a cancellation, conditional on the leader's key. The client gets the
+    /// confirmation after that.
     fn store_cancellation(&mut self, id: JobId, term: u64) {
         let Some(record) = self.stored_jobs.get_mut(&id) else {
-            panic!("{id} was finished while its cancellation was on its way");
+            panic!("{id} was finished while its cancellation was in flight");
         };
         record.cancelled = true;
-        self.in_transit.push(Message::CancellationStored { id, term });
+        self.in_flight.push(Message::CancellationStored { id, term });
     }
 
     /// Delivers a copy of a message, now or much later than the message itself.
     pub fn deliver_copy(&mut self, message: Message) {
         match message {
-            // Its response reaches nobody.
+            // The response to the copy is dropped.
             Message::Heartbeat { heartbeat, .. } => {
                 self.model.apply_heartbeat(&heartbeat, self.now);
                 let _ = self
@@ -157,8 +163,8 @@
                     }
                 }
             }
-            // A transaction's conditions hold once at the most, and a sender handles the
-            // response, or the lack of one, once.
+            // Copies of these have no effect: a transaction's conditions hold at most once,
+            // and a sender handles one response, or the lack of one.
             Message::HeartbeatResponse { .. }
             | Message::StoreCancellation { .. }
             | Message::CancellationStored { .. }
--- a/tests/safety/cluster/invariants.rs
+++ b/tests/safety/cluster/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold at each moment, judged by what is stored and what workers run.
+//! Invariants, checked against what is stored and what the workers run.
 
 use std::collections::BTreeSet;
 
@@ -8,23 +8,27 @@
 use super::SimulatedCluster;
 use crate::worker::Worker;
 
-/// CPUs that the tasks of the limited team may use together.
-const RED_CPUS: f64 = 40.0;
+/// CPU limit of the team `red`.
+const RED_TEAM_CPU_LIMIT: f64 = 40.0;
 /// CPUs of each machine.
 const MACHINE_CPUS: f64 = 8.0;
 
 impl SimulatedCluster {
-    /// Notes that a job's state is confirmed to a client. A final state stays, and a job
-    /// is done only once all its tasks are.
-    pub fn confirm(&mut self, id: JobId, state: JobState) {
-        if let Some(old) = self.confirmed.insert(id, state) {
-            if matches!(old, JobState::Done | JobState::Cancelled) {
-                assert_eq!(old, state, "{id} went back");
+    /// Records that a job's state is confirmed to a client. A final state must not change,
+    /// and a job may be done only once all its tasks are.
+    pub fn record_confirmed_state(&mut self, id: JobId, state: JobState) {
+        if let Some(previous) = self.confirmed_states.insert(id, state) {
+            if matches!(previous, JobState::Done | JobState::Cancelled) {
+                assert_eq!(previous, state, "the final state of {id} changed");
             }
         }
         if state == JobState::Done {
             let record = &self.final_records[&id];
-            assert_eq!(record.done, self.task_count(id), "{id} is called done too early");
+            assert_eq!(
+                record.done,
+                self.task_count(id),
+                "{id} is reported as done too early"
+            );
         }
     }
 
@@ -33,42 +37,42 @@
         known.map_or_else(|| self.final_records[&id].done, |job| job.spec.tasks)
     }
 
-    /// A start is sent only if the job isn't cancelled, its dependencies are done and the
-    /// stored log names the machine.
+    /// Checks a start that is being sent: its job is not confirmed as cancelled, its
+    /// dependencies are done, and the stored log names the machine.
     pub fn check_start(&self, task: TaskId, machine: &MachineId) {
         assert!(
-            !matches!(self.confirmed.get(&task.job), Some(JobState::Cancelled)),
-            "{task} of a cancelled job is started"
+            !matches!(self.confirmed_states.get(&task.job), Some(JobState::Cancelled)),
+            "{task} is started although its job is cancelled"
         );
         let mut segments = self.wal.values();
-        let named = segments.any(|segment| segment.to_string().contains(&**machine));
+        let is_in_log = segments.any(|segment| segment.to_string().contains(&**machine));
         assert!(
-            named,
+            is_in_log,
             "{task} is started on {machine}, which the log doesn't name"
         );
         self.check_dependencies_are_done(task);
     }
 
-    /// No task starts before all jobs that its job needs are stored as done.
+    /// Checks that all dependencies of a task's job are stored as done.
     pub fn check_dependencies_are_done(&self, task: TaskId) {
-        for needed in &self.dependencies[&task.job] {
-            let state = self.final_records.get(needed).map(|record| record.state);
+        for dependency in &self.dependencies[&task.job] {
+            let state = self.final_records.get(dependency).map(|record| record.state);
             assert_eq!(
                 state,
                 Some(JobState::Done),
-                "{task} starts before {needed} is done"
+                "{task} starts before {dependency} is done"
             );
         }
     }
 
-    /// A response that renews a worker's lease lets no task live on that the leader
-    /// doesn't know of, or whose job is over or cancelled: a direct command may never
-    /// reach that worker.
-    pub fn check_no_task_lives_on_unknown(&self, heartbeat: &Heartbeat, commands: &[Command]) {
+    /// Checks a response that renews a worker's lease: it must stop every live task that the
+    /// leader doesn't know, or whose job has ended or is cancelled. A command with the stop
+    /// might never reach that worker.
+    pub fn check_response_stops_unwanted_tasks(&self, heartbeat: &Heartbeat, commands: &[Command]) {
         let unknown: Vec<_> = self.model.unknown_tasks(heartbeat).collect();
         assert!(
             unknown.is_empty(),
-            "{unknown:?} run on {} unknown",
+            "{unknown:?} run on {} without the leader's knowledge",
             heartbeat.machine
         );
         let slots = &self.model.machines()[&heartbeat.machine].slots;
@@ -77,14 +81,14 @@
             let slot = slots.get(&reported.task);
             let slot = slot.filter(|slot| slot.attempt == reported.attempt);
             let job = self.model.jobs().get(&reported.task.job);
-            let open = job.is_some_and(|job| !job.cancelled);
-            let stopped = commands.iter().any(|command| {
+            let is_open = job.is_some_and(|job| !job.cancelled);
+            let is_stopped = commands.iter().any(|command| {
                 matches!(command, Command::Stop { task, attempt, .. }
                     if *task == reported.task && *attempt == reported.attempt)
             });
             assert!(
-                slot.is_some() && open || stopped,
-                "{} attempt {} lives on with the answer to {}",
+                slot.is_some() && is_open || is_stopped,
+                "{} attempt {} is not stopped by the response to {}",
                 reported.task,
                 reported.attempt,
                 heartbeat.machine
@@ -92,65 +96,68 @@
         }
     }
 
-    /// Whether what is stored says that a job is cancelled, by itself or with a job that
-    /// it needs: the plain rule, walked anew each time.
+    /// Whether a job is cancelled according to the stored records, itself or through a
+    /// dependency. Follows the dependencies anew on each call.
     fn is_cancelled(&self, id: JobId) -> bool {
         match (self.final_records.get(&id), self.stored_jobs.get(&id)) {
             (Some(record), _) => record.state == JobState::Cancelled,
             (None, Some(record)) if record.cancelled => true,
             _ => self.dependencies[&id]
                 .iter()
-                .any(|needed| self.is_cancelled(*needed)),
+                .any(|dependency| self.is_cancelled(*dependency)),
         }
     }
 
-    /// The statuses that the leader gives from memory agree with what is stored, also of
-    /// the jobs that each job needs.
+    /// Checks that the statuses which the leader gives from memory agree with the stored
+    /// records of the jobs and their dependencies.
     pub fn check_statuses_agree_with_storage(&self) {
         for id in self.model.jobs().keys() {
-            let Some(view) = self.model.status(*id) else {
+            let Some(status) = self.model.status(*id) else {
                 continue;
             };
-            let cancelled = view.state == JobState::Cancelled;
+            let cancelled = status.state == JobState::Cancelled;
             assert_eq!(
                 cancelled,
                 self.is_cancelled(*id),
-                "{id} is called {:?}",
-                view.state
+                "{id} is reported as {:?}, contrary to the stored records",
+                status.state
             );
         }
     }
 
-    /// The task that was just started is live on one machine only, and its team is
-    /// within its limit.
+    /// Checks that a task which was just started is live on one machine only, and that the
+    /// team `red` is within its limit.
     pub fn check_runs_once_within_limit(&self, task: TaskId) {
         let runs_task = |worker: &&Worker| {
             let known = worker.tasks.get(&task);
             worker.alive && known.is_some_and(|known| known.is_live())
         };
-        let on = self.workers.iter().filter(runs_task);
-        let live: Vec<_> = on.map(|worker| worker.id.clone()).collect();
-        assert!(live.len() <= 1, "{task} is on {live:?}");
-        let all = self.workers.iter().filter(|worker| worker.alive);
-        let cpus: f64 = all
+        let workers_with_task = self.workers.iter().filter(runs_task);
+        let machines: Vec<_> = workers_with_task.map(|worker| worker.id.clone()).collect();
+        assert!(
+            machines.len() <= 1,
+            "{task} is live on several machines: {machines:?}"
+        );
+        let alive = self.workers.iter().filter(|worker| worker.alive);
+        let cpus: f64 = alive
             .flat_map(|worker| &worker.tasks)
             .filter(|(_, known)| known.is_live())
             .filter_map(|(id, _)| self.stored_jobs.get(&id.job).map(|record| &record.spec))
             .filter(|spec| spec.team == "red")
             .map(|spec| spec.cpus)
             .sum();
-        assert!(cpus <= RED_CPUS, "red uses {cpus} CPUs");
+        assert!(cpus <= RED_TEAM_CPU_LIMIT, "team red uses {cpus} CPUs");
     }
 
-    /// Jobs with a task that is nowhere, though some machine has room for it and its team
-    /// is under its limit.
-    pub fn jobs_waiting_despite_room(&self) -> BTreeSet<JobId> {
+    /// Jobs with a task that is neither done nor on a machine, although the job is ready, a
+    /// machine has enough free CPUs for the task and the team stays within its limit.
+    pub fn jobs_waiting_despite_free_capacity(&self) -> BTreeSet<JobId> {
         let alive: Vec<_> = self.workers.iter().filter(|worker| worker.alive).collect();
         let cpus_of = |task: &TaskId| {
             let record = self.stored_jobs.get(&task.job);
             record.map_or(0.0, |record| record.spec.cpus)
         };
-        let is_red = |task: &&TaskId| {
+        let is_of_red_team = |task: &&TaskId| {
             let record = self.stored_jobs.get(&task.job);
             record.is_some_and(|record| record.spec.team == "red")
         };
@@ -159,17 +166,20 @@
             .map(|worker| MACHINE_CPUS - live_tasks(worker).iter().map(cpus_of).sum::<f64>())
             .fold(0.0, f64::max);
         let live: Vec<TaskId> = alive.iter().flat_map(|worker| live_tasks(worker)).collect();
-        let red_cpus: f64 = live.iter().filter(is_red).map(cpus_of).sum();
+        let red_cpus: f64 = live.iter().filter(is_of_red_team).map(cpus_of).sum();
         let waits = |record: &&JobRecord| {
             let spec = &record.spec;
             let placed = live.iter().filter(|task| task.job == spec.id).count() as u32;
             let known = self.model.jobs().get(&spec.id);
             let done = known.map_or(spec.tasks, |job| job.done.count());
             !record.cancelled
-                && spec.awaits.iter().all(|needed| self.is_stored_as_done(*needed))
+                && spec
+                    .awaits
+                    .iter()
+                    .all(|dependency| self.is_stored_as_done(*dependency))
                 && placed + done < spec.tasks
                 && spec.cpus <= max_free
-                && (spec.team != "red" || red_cpus + spec.cpus <= RED_CPUS)
+                && (spec.team != "red" || red_cpus + spec.cpus <= RED_TEAM_CPU_LIMIT)
         };
         let waiting = self.stored_jobs.values().filter(waits);
         waiting.map(|record| record.spec.id).collect()
--- a/tests/safety/cluster/message.rs
+++ b/tests/safety/cluster/message.rs
@@ -1,11 +1,11 @@
-//! What is in transit between the leader, its state service and the workers.
+//! Messages between the leader, the state service and the workers.
 
 use std::time::Instant;
 
 use bitternfold::core::storage::pending_writes::PendingWrite;
 use bitternfold::wire::*;
 
-/// A message in transit. `term` is that of the leader that sent it or waits for it.
+/// A message in flight. `term` is that of the leader that sent it or waits for it.
 #[derive(Debug, Clone)]
 pub enum Message {
     Command {
@@ -13,7 +13,7 @@
         commands: CommandBatch,
         term: u64,
     },
-    /// The response to a command; without a heartbeat it failed or was given up.
+    /// The end of a command: answered by a heartbeat, or failed or given up (`None`).
     CommandResponse {
         from: MachineId,
         heartbeat: Option<Heartbeat>,
@@ -27,7 +27,7 @@
         to: MachineId,
         incarnation: u64,
         response: HeartbeatResponse,
-        /// When its heartbeat was sent.
+        /// When the heartbeat was sent that it responds to.
         heartbeat_sent: Instant,
     },
     Write {
@@ -36,10 +36,10 @@
     },
     WriteResponse {
         write: PendingWrite,
-        ok: bool,
+        stored: bool,
         term: u64,
     },
-    /// A cancellation that is to be stored.
+    /// Asks the state service to store a cancellation.
     StoreCancellation {
         id: JobId,
         term: u64,
--- a/tests/safety/cluster/mod.rs
+++ b/tests/safety/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! The generated cluster: what may happen to it, and what must hold after each step.
+//! A simulated cluster: the operations that change it and the invariants that must hold.
 
 mod delivery;
 mod invariants;
@@ -19,11 +19,11 @@
 use message::Message;
 pub use operation::Operation;
 
-/// The lease of the settings.
+/// Lifetime of a worker's lease, as in the settings of the tests.
 pub const LEASE: Duration = Duration::from_secs(20);
 
-/// A cluster under generated faults: one leader after the other, its state service, its
-/// workers, and the messages between them.
+/// A cluster under generated faults: the current leader, the state service, the workers and
+/// the messages between them.
 pub struct SimulatedCluster {
     pub now: Instant,
     pub term: u64,
@@ -33,22 +33,22 @@
     pub final_records: BTreeMap<JobId, FinalRecord>,
     /// Segments of the write-ahead log, as stored.
     pub wal: BTreeMap<u64, serde_json::Value>,
-    /// The state machine of the current leader.
+    /// The cluster as the current leader knows it.
     pub model: ClusterModel,
-    /// That of the leader before, which doesn't know that it is deposed.
+    /// The model of the previous leader, which doesn't know that it is deposed.
     pub deposed: Option<ClusterModel>,
     /// Copies of messages that may still arrive.
     pub kept_copies: Vec<Message>,
     pub workers: Vec<Worker>,
-    pub in_transit: Vec<Message>,
-    /// Machines whose heartbeats arrive nowhere.
+    pub in_flight: Vec<Message>,
+    /// Machines whose heartbeats get lost.
     pub heartbeats_lost: BTreeSet<MachineId>,
     pub next_job: u32,
     pub submitted: Vec<JobId>,
-    /// The jobs that each job waits for.
+    /// The jobs that each job depends on.
     pub dependencies: BTreeMap<JobId, Vec<JobId>>,
     /// The latest state of each job that was confirmed to a client.
-    pub confirmed: BTreeMap<JobId, JobState>,
+    pub confirmed_states: BTreeMap<JobId, JobState>,
 }
 
 impl SimulatedCluster {
@@ -67,12 +67,12 @@
             deposed: None,
             kept_copies: Vec::new(),
             workers,
-            in_transit: Vec::new(),
+            in_flight: Vec::new(),
             heartbeats_lost: BTreeSet::new(),
             next_job: 0,
             submitted: Vec::new(),
             dependencies: BTreeMap::new(),
-            confirmed: BTreeMap::new(),
+            confirmed_states: BTreeMap::new(),
         }
     }
 
@@ -80,7 +80,7 @@
         self.workers.iter_mut().find(|worker| worker.id == *id)
     }
 
-    /// Time passes; workers whose lease expires kill and forget all their tasks.
+    /// Advances the time. Workers whose lease expires kill and forget all their tasks.
     pub fn pass_time(&mut self, time: Duration) {
         self.now += time;
         for worker in &mut self.workers {
@@ -88,13 +88,13 @@
         }
     }
 
-    /// One round of the leader.
-    pub fn play_round(&mut self) {
+    /// Runs one scheduling round of the leader and sends the writes and commands that are due.
+    pub fn run_round(&mut self) {
         self.model.expire_leases(self.now);
         self.model.plan(self.now);
         let term = self.term;
         for write in self.model.take_due_writes(self.now) {
-            self.in_transit.push(Message::Write { write, term });
+            self.in_flight.push(Message::Write { write, term });
         }
         for due in self.model.take_due_commands(self.now, 2) {
             let (to, commands) = (due.machine, due.batch);
@@ -103,11 +103,11 @@
                     self.check_start(*task, &to);
                 }
             }
-            self.in_transit.push(Message::Command { to, commands, term });
+            self.in_flight.push(Message::Command { to, commands, term });
         }
     }
 
-    /// Carries out a write of the current leader.
+    /// Stores a write of the current leader in the state service.
     pub fn store(&mut self, write: &PendingWrite) {
         match write {
             PendingWrite::Append(append) => {
@@ -115,7 +115,10 @@
                     match segment {
                         Some(segment) => {
                             let bytes = segment.to_string().len();
-                            assert!(bytes <= 4096, "a segment of {bytes} bytes");
+                            assert!(
+                                bytes <= 4096,
+                                "a segment has {bytes} bytes, more than a value may have"
+                            );
                             self.wal.insert(*number, segment.clone());
                         }
                         None => drop(self.wal.remove(number)),
@@ -124,8 +127,11 @@
             }
             PendingWrite::Final { id, record, .. } => {
                 self.stored_jobs.remove(id);
-                if let Some(old) = self.final_records.insert(*id, record.clone()) {
-                    assert_eq!(old.state, record.state, "a final state changed");
+                if let Some(previous) = self.final_records.insert(*id, record.clone()) {
+                    assert_eq!(
+                        previous.state, record.state,
+                        "the stored final state of {id} changed"
+                    );
                 }
             }
             PendingWrite::Ratios(_) => {}
--- a/tests/safety/cluster/step/leaders.rs
+++ b/tests/safety/cluster/step/leaders.rs
@@ -1,4 +1,4 @@
-//! Leaders change.
+//! Changes of the leader.
 
 use std::time::Duration;
 
@@ -6,7 +6,8 @@
 use crate::support::*;
 
 impl SimulatedCluster {
-    /// A new leader reads what is stored; messages of the deposed one stay in transit.
+    /// Elects a new leader, which loads what is stored. Messages of the deposed one stay in
+    /// flight.
     pub(super) fn elect(&mut self) {
         self.term += 1;
         let mut elected = model(self.term);
@@ -16,7 +17,7 @@
         for (number, segment) in &self.wal {
             assert!(
                 elected.load_log_segment(*number, segment.clone()),
-                "a segment is read as it was written"
+                "the new leader can't read a stored segment"
             );
         }
         elected.replay_log(self.now);
@@ -26,10 +27,10 @@
     pub(super) fn elect_in_succession(&mut self, leaders: u8) {
         for leader in 0..usize::from(leaders) {
             self.elect();
-            self.play_round();
+            self.run_round();
             self.pass_time(Duration::from_millis(1500));
             for message in 0..3 {
-                self.deliver_any(leader * 7 + message * 3);
+                self.deliver_selected(leader * 7 + message * 3);
             }
         }
     }
--- a/tests/safety/cluster/step/machines.rs
+++ b/tests/safety/cluster/step/machines.rs
@@ -1,4 +1,5 @@
-//! Tasks go on or fail; machines die, are released or come back.
+//! Changes of tasks and machines: tasks advance or fail, machines die, restart or are
+//! released.
 
 use bitternfold::wire::*;
 
@@ -6,19 +7,19 @@
 use crate::worker::Worker;
 
 impl SimulatedCluster {
-    pub(super) fn nth_worker(&mut self, which: usize) -> &mut Worker {
-        let index = which % self.workers.len();
+    pub(super) fn selected_worker(&mut self, selector: usize) -> &mut Worker {
+        let index = selector % self.workers.len();
         &mut self.workers[index]
     }
 
-    /// At least the first worker, at most all.
-    pub(super) fn first_workers(&mut self, many: usize) -> impl Iterator<Item = &mut Worker> {
-        let count = many % self.workers.len() + 1;
+    /// The first `selector % len + 1` workers: at least one, at most all.
+    pub(super) fn first_workers(&mut self, selector: usize) -> impl Iterator<Item = &mut Worker> {
+        let count = selector % self.workers.len() + 1;
         self.workers.iter_mut().take(count)
     }
 
     pub(super) fn advance_tasks(&mut self, machine: usize, outcome: u8) {
-        for task in self.nth_worker(machine).tasks.values_mut() {
+        for task in self.selected_worker(machine).tasks.values_mut() {
             match (task.state, outcome % 5) {
                 (TaskState::Fetching, _) => {
                     task.state = TaskState::Running;
@@ -44,32 +45,32 @@
     }
 
     pub(super) fn expire_lease(&mut self, machine: usize) {
-        let worker = self.nth_worker(machine);
+        let worker = self.selected_worker(machine);
         worker.tasks.clear();
         worker.begin_incarnation();
     }
 
     pub(super) fn reboot(&mut self, machine: usize, new_incarnation: bool) {
-        let worker = self.nth_worker(machine);
+        let worker = self.selected_worker(machine);
         worker.tasks.clear();
         if new_incarnation {
             worker.begin_incarnation();
         }
     }
 
-    /// The cloud confirms a release; another machine, whose name is new, joins.
+    /// The cloud confirms the release of a machine. A replacement with a new name joins.
     pub(super) fn release(&mut self, machine: usize) {
-        let id = self.nth_worker(machine).id.clone();
+        let id = self.selected_worker(machine).id.clone();
         if !self.model.machines().contains_key(&id) {
             return;
         }
-        self.nth_worker(machine).alive = false;
+        self.selected_worker(machine).alive = false;
         self.model.remove_released_machine(&id, self.now);
-        let fresh = format!("{id}x");
-        // Names are never used again.
-        let used = self.workers.iter().any(|worker| *worker.id == *fresh);
-        if fresh.len() < 9 && !used {
-            self.workers.push(Worker::new(&fresh, false, self.now));
+        let replacement = format!("{id}x");
+        // Names of machines are never reused.
+        let is_used = self.workers.iter().any(|worker| *worker.id == *replacement);
+        if replacement.len() < 9 && !is_used {
+            self.workers.push(Worker::new(&replacement, false, self.now));
         }
     }
 }
--- a/tests/safety/cluster/step/mod.rs
+++ b/tests/safety/cluster/step/mod.rs
@@ -1,5 +1,5 @@
-//! What each operation of a generated run does. After each the leader plays a round, and
-//! the statuses that it gives agree with what is stored.
+//! Applies the operations of a generated run. After each the leader runs a scheduling round,
+//! and its statuses of all jobs are compared with the stored records.
 
 mod leaders;
 mod machines;
@@ -13,25 +13,25 @@
 
 impl SimulatedCluster {
     pub fn step(&mut self, operation: Operation) {
-        self.carry_out(operation);
-        self.play_round();
+        self.apply(operation);
+        self.run_round();
         self.check_statuses_agree_with_storage();
     }
 
-    fn carry_out(&mut self, operation: Operation) {
+    fn apply(&mut self, operation: Operation) {
         match operation {
             Operation::Submit {
                 tasks,
                 cpus,
-                red,
+                red_team,
                 awaits,
-            } => self.submit(tasks, cpus, red, &awaits),
+            } => self.submit(tasks, cpus, red_team, &awaits),
             Operation::Cancel(job) => self.cancel_if_open(job),
             Operation::CancelAsTasksEnd(machine) => self.cancel_as_tasks_end(machine),
             Operation::ResolveDependency(job) => self.resolve_dependency(job),
 
             Operation::SendHeartbeat(machine) => self.send_heartbeat(machine),
-            Operation::Deliver(message) => self.deliver_any(message),
+            Operation::Deliver(message) => self.deliver_selected(message),
             Operation::Duplicate(message) => self.duplicate(message),
             Operation::Lose(message) => self.lose(message),
             Operation::KeepCopy(message) => self.keep_copy(message),
@@ -50,7 +50,7 @@
             Operation::AdvanceTasks { machine, outcome } => self.advance_tasks(machine, outcome),
             Operation::FailAllTasks => self.fail_all_tasks(),
             Operation::ExpireLease(machine) => self.expire_lease(machine),
-            Operation::MachineDies(machine) => self.nth_worker(machine).alive = false,
+            Operation::MachineDies(machine) => self.selected_worker(machine).alive = false,
             Operation::Release(machine) => self.release(machine),
             Operation::Reboot {
                 machine,
--- a/tests/safety/cluster/step/network.rs
+++ b/tests/safety/cluster/step/network.rs
@@ -1,4 +1,4 @@
-//! Messages are sent, arrive, are lost, duplicated or late.
+//! The network: messages are sent, delivered, lost, duplicated or delayed.
 
 use bitternfold::wire::*;
 
@@ -12,43 +12,43 @@
         if worker.alive && !self.heartbeats_lost.contains(&worker.id) {
             let heartbeat = worker.heartbeat();
             let sent = self.now;
-            self.in_transit.push(Message::Heartbeat { heartbeat, sent });
+            self.in_flight.push(Message::Heartbeat { heartbeat, sent });
         }
     }
 
-    pub(super) fn deliver_any(&mut self, which: usize) {
-        if !self.in_transit.is_empty() {
-            let message = self.in_transit.remove(which % self.in_transit.len());
+    pub(super) fn deliver_selected(&mut self, selector: usize) {
+        if !self.in_flight.is_empty() {
+            let message = self.in_flight.remove(selector % self.in_flight.len());
             self.deliver(message);
         }
     }
 
-    pub(super) fn duplicate(&mut self, which: usize) {
-        if !self.in_transit.is_empty() {
-            let message = self.in_transit[which % self.in_transit.len()].clone();
+    pub(super) fn duplicate(&mut self, selector: usize) {
+        if !self.in_flight.is_empty() {
+            let message = self.in_flight[selector % self.in_flight.len()].clone();
             self.deliver_copy(message);
         }
     }
 
-    pub(super) fn lose(&mut self, which: usize) {
-        if self.in_transit.is_empty() {
+    pub(super) fn lose(&mut self, selector: usize) {
+        if self.in_flight.is_empty() {
             return;
         }
-        let index = which % self.in_transit.len();
-        match self.in_transit[index].clone() {
-            // Given up by the leader, yet it may still arrive.
+        let index = selector % self.in_flight.len();
+        match self.in_flight[index].clone() {
+            // The leader gives the command up, but it may still arrive.
             Message::Command { to, term, .. } => {
-                self.in_transit.push(Message::CommandResponse {
+                self.in_flight.push(Message::CommandResponse {
                     from: to,
                     heartbeat: None,
                     term,
                 });
             }
             Message::Heartbeat { .. } | Message::HeartbeatResponse { .. } => {
-                drop(self.in_transit.remove(index));
+                drop(self.in_flight.remove(index));
             }
             Message::CommandResponse { from, term, .. } => {
-                self.in_transit[index] = Message::CommandResponse {
+                self.in_flight[index] = Message::CommandResponse {
                     from,
                     heartbeat: None,
                     term,
@@ -58,16 +58,16 @@
         }
     }
 
-    pub(super) fn keep_copy(&mut self, which: usize) {
-        if !self.in_transit.is_empty() {
-            let message = self.in_transit[which % self.in_transit.len()].clone();
+    pub(super) fn keep_copy(&mut self, selector: usize) {
+        if !self.in_flight.is_empty() {
+            let message = self.in_flight[selector % self.in_flight.len()].clone();
             self.kept_copies.push(message);
         }
     }
 
-    pub(super) fn deliver_kept_copy(&mut self, which: usize) {
+    pub(super) fn deliver_kept_copy(&mut self, selector: usize) {
         if !self.kept_copies.is_empty() {
-            let message = self.kept_copies[which % self.kept_copies.len()].clone();
+            let message = self.kept_copies[selector % self.kept_copies.len()].clone();
             self.deliver_copy(message);
         }
     }
@@ -94,7 +94,7 @@
         let response = deposed.heartbeat_response(&heartbeat.machine, heartbeat.token, self.now);
         if let Some(response) = response {
             let commands = deposed.stops_for_cancelled(&heartbeat);
-            self.in_transit.push(Message::HeartbeatResponse {
+            self.in_flight.push(Message::HeartbeatResponse {
                 to: heartbeat.machine,
                 incarnation: heartbeat.incarnation,
                 response: HeartbeatResponse {
--- a/tests/safety/commands.rs
+++ b/tests/safety/commands.rs
@@ -1,13 +1,13 @@
-//! Commands, their fencing tokens, and delayed commands that arrive later.
+//! Commands, their fencing tokens, and commands that are still in flight.
 
 use bitternfold::wire::*;
 
 use crate::support::*;
 
 #[test]
-fn a_heartbeat_older_than_the_last_start_reconciles_nothing() {
-    // A start without a response may still arrive: only a heartbeat with a token at
-    // least as high as the start's shows that it can't.
+fn a_heartbeat_with_a_token_below_the_last_start_removes_no_slot() {
+    // A start that was not answered may still arrive. Only a heartbeat with a token at
+    // least as high as the start's shows that it can't take effect any more.
     let now = start();
     let mut model = model(7);
     let id = MachineId::from("i-1");
@@ -20,7 +20,7 @@
         model
             .next_command(&id, now)
             .is_none_or(|c| c.batch.commands.is_empty()),
-        "not before it is stored"
+        "a start is sent before its log entry is stored"
     );
     model.command_finished(&id, None, now);
     writes
@@ -33,18 +33,18 @@
     assert_eq!(
         model.machines()[&id].slots.len(),
         1,
-        "without a response its outcome is unknown, not failed"
+        "without an answer the outcome of a start is unknown, not failed"
     );
-    let mut later = heartbeat("i-1", "small", "north", false, 7, 3);
-    later.token = batch.token;
-    model.apply_heartbeat(&later, now + secs(3));
+    let mut newer = heartbeat("i-1", "small", "north", false, 7, 3);
+    newer.token = batch.token;
+    model.apply_heartbeat(&newer, now + secs(3));
     assert!(model.machines()[&id].slots.is_empty());
 }
 
 #[test]
-fn a_heartbeat_response_never_carries_the_token_of_a_command_in_transit() {
-    // Else the worker would send that token in its heartbeats though the command, and
-    // the start in it, is still in transit, and is accepted with an equal token.
+fn a_heartbeat_response_never_carries_the_token_of_a_command_in_flight() {
+    // Otherwise the worker would report that token while the command, with a start in it,
+    // is still in flight. The worker would then accept the start, as the tokens are equal.
     let now = start();
     let mut model = model(7);
     let id = MachineId::from("i-1");
@@ -62,20 +62,20 @@
     let response = model.heartbeat_response(&id, 3 << 20, now).expect("a token");
     assert!(
         response.token > batch.token,
-        "a worker of an earlier term gets one that no command carries"
+        "a worker that has seen no token of this term gets one that no command carries"
     );
     assert!(response.commands.is_empty());
     assert_eq!(
         model.heartbeat_response(&id, 8 << 20, now),
         None,
-        "it has seen a later leader's token: no response"
+        "a worker that has seen a newer leader's token gets no response"
     );
 }
 
 #[test]
-fn a_delayed_start_is_refused_for_good_once_its_job_is_cancelled() {
-    // Commands to the machine get no response, its heartbeats arrive. While they get
-    // responses its lease is renewed, and the start would be accepted whenever it arrives.
+fn a_start_still_in_flight_is_refused_after_its_job_is_cancelled() {
+    // Commands to the machine are not answered, but its heartbeats arrive. The responses
+    // to them renew its lease, so it would accept the start whenever that arrives.
     let now = start();
     let mut model = model(7);
     let id = MachineId::from("i-1");
@@ -92,22 +92,25 @@
     model.command_finished(&id, None, now + secs(1));
     model.cancel(job, now + secs(1));
     let mut message = heartbeat("i-1", "small", "north", false, 7, 2);
-    let soon = model
+    let early_response = model
         .heartbeat_response(&id, message.token, now + secs(2))
         .expect("a response");
-    assert!(soon.token < batch.token, "its stop may yet get through");
+    assert!(early_response.token < batch.token, "the stop may still arrive");
     let token = model
         .heartbeat_response(&id, message.token, now + secs(9))
         .expect("a response")
         .token;
-    assert!(token > batch.token, "the start is refused from now on");
+    assert!(
+        token > batch.token,
+        "the worker does not refuse the start from now on"
+    );
     (message.token, message.sequence) = (token, 3);
     model.apply_heartbeat(&message, now + secs(9));
     assert!(
         model.machines()[&id].slots.is_empty(),
-        "and its slot is reconciled"
+        "the slot of the refused start is kept"
     );
-    // A task that runs there is stopped by the heartbeat response itself.
+    // If the task runs there all the same, the heartbeat response itself stops it.
     message.tasks = vec![ReportedTask {
         task: TaskId { job, index: 0 },
         attempt: 5,
@@ -122,7 +125,7 @@
 }
 
 #[test]
-fn an_outcome_is_stored_before_the_worker_forgets_it() {
+fn an_outcome_is_stored_before_it_is_acknowledged() {
     let now = start();
     let mut model = model(7);
     let id = MachineId::from("i-1");
@@ -142,7 +145,10 @@
     let response = model
         .heartbeat_response(&id, message.token, now)
         .expect("a response");
-    assert!(response.commands.is_empty(), "the outcome is not stored yet");
+    assert!(
+        response.commands.is_empty(),
+        "an outcome is acknowledged before it is stored"
+    );
     writes
         .iter()
         .for_each(|write| model.write_finished(write, true, now));
@@ -152,18 +158,18 @@
     assert!(matches!(response.commands[..], [Command::Acknowledge { .. }]));
     assert!(
         response.token > batch.token,
-        "late copies of the start are refused from now on"
+        "late copies of the start are not refused"
     );
-    // No heartbeat arrives: a command carries the acknowledgement.
+    // If no heartbeat arrives, a command carries the acknowledgement.
     assert!(model.next_command(&id, now + secs(2)).is_none());
     let batch = model.next_command(&id, now + secs(9)).expect("a command").batch;
     assert!(matches!(batch.commands[..], [Command::Acknowledge { .. }]));
 }
 
 #[test]
-fn a_leader_whose_commands_reach_too_few_workers_finds_itself_partitioned() {
-    // Their heartbeats come by way of others and renew their leases, so without
-    // this the stops of a cancelled job would never arrive.
+fn a_leader_is_partitioned_if_too_few_workers_answer_its_commands() {
+    // The workers' heartbeats arrive through other controllers and renew their leases, so
+    // such a leader has to step down: its stops of a cancelled job would never arrive.
     let now = start();
     let mut model = model(7);
     let ids: Vec<MachineId> = (0..4).map(|i| format!("i-{i}").as_str().into()).collect();
@@ -173,7 +179,7 @@
     }
     assert!(
         !model.is_partitioned_from_workers(now + secs(1)),
-        "too soon to tell"
+        "commands have been unanswered for too short a time"
     );
     for id in &ids {
         model.apply_heartbeat(&heartbeat(id, "small", "north", false, 7, 2), now + secs(7));
@@ -188,9 +194,9 @@
     );
     assert!(
         !model.is_partitioned_from_workers(now + secs(7)),
-        "half of them respond"
+        "half of the workers answer"
     );
-    // Workers that were sent nothing recently don't count as responding.
+    // Workers that were sent no commands recently don't count as answering.
     model.command_finished(&ids[0], None, now + secs(8));
     for id in &ids {
         model.apply_heartbeat(&heartbeat(id, "small", "north", false, 7, 4), now + secs(14));
--- a/tests/safety/generated.rs
+++ b/tests/safety/generated.rs
@@ -1,5 +1,5 @@
-//! Generated faults: nothing is done twice or too early meanwhile, and all work is done
-//! once they have ended.
+//! Generated faults. During them no task runs on two machines and no job is reported as
+//! done too early; after them all jobs finish.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,20 +9,20 @@
 use crate::cluster::{Operation, SimulatedCluster};
 use crate::support::*;
 
-/// Half of all jobs wait for none, the others for up to three.
-fn any_submission() -> impl Strategy<Value = Operation> {
+/// Half of the jobs have no dependencies, the others have one to three.
+fn any_submit() -> impl Strategy<Value = Operation> {
     let awaits = prop_oneof![Just(Vec::new()), proptest::collection::vec(any::<usize>(), 1..4)];
-    (1..5u32, 1..9u32, any::<bool>(), awaits).prop_map(|(tasks, cpus, red, awaits)| Operation::Submit {
+    (1..5u32, 1..9u32, any::<bool>(), awaits).prop_map(|(tasks, cpus, red_team, awaits)| Operation::Submit {
         tasks,
         cpus,
-        red,
+        red_team,
         awaits,
     })
 }
 
 fn any_operation() -> impl Strategy<Value = Operation> {
     prop_oneof![
-        2 => any_submission(),
+        2 => any_submit(),
         1 => any::<usize>().prop_map(Operation::Cancel),
         2 => any::<usize>().prop_map(Operation::ResolveDependency),
         6 => any::<usize>().prop_map(Operation::SendHeartbeat),
@@ -50,8 +50,9 @@
     ]
 }
 
-/// A cluster after these operations, in which all messages arrive again.
-fn after_faults(operations: Vec<Operation>) -> SimulatedCluster {
+/// Applies these operations, except for deaths of machines, and then ends every fault that
+/// makes messages get lost.
+fn cluster_after_faults(operations: Vec<Operation>) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new();
     for operation in operations {
         if !matches!(operation, Operation::MachineDies(_)) {
@@ -70,25 +71,26 @@
     cluster
 }
 
-/// Runs the cluster without faults: all jobs get done, and none waits for long despite
-/// free capacity.
+/// Runs the cluster without faults. Fails if a job doesn't finish, or waits for more than
+/// 90 s despite free capacity.
 fn finish_without_faults(cluster: &mut SimulatedCluster) -> Result<(), TestCaseError> {
-    let mut waiting_starts = BTreeMap::new();
+    let mut waiting_since = BTreeMap::new();
     for i in 0..9600usize {
-        // Tasks run for long, so that work waits and every machine is needed.
-        let ends = if i / 8 % 60 < 8 { 0 } else { 4 };
+        // Outcome 0 completes running tasks, 4 leaves them running. They run long enough that
+        // jobs wait and every machine is needed.
+        let task_outcome = if i / 8 % 60 < 8 { 0 } else { 4 };
         let operation = match i % 8 {
             0 => Operation::SendHeartbeat(i / 8),
             1 => Operation::AdvanceTasks {
                 machine: i / 8,
-                outcome: ends,
+                outcome: task_outcome,
             },
             7 => Operation::PassTime(400),
             6 => Operation::ResolveDependency(0),
             _ => Operation::Deliver(0),
         };
-        // The fleet releases silent machines.
-        let alive = |id: &MachineId| {
+        // Stands for the fleet management, which releases silent machines.
+        let is_alive = |id: &MachineId| {
             cluster
                 .workers
                 .iter()
@@ -98,30 +100,30 @@
             .model
             .machines()
             .keys()
-            .filter(|id| !alive(id))
+            .filter(|id| !is_alive(id))
             .cloned()
             .collect();
         for id in dead {
             cluster.model.remove_released_machine(&id, cluster.now);
         }
         cluster.step(operation);
-        let waiting = cluster.jobs_waiting_despite_room();
-        waiting_starts.retain(|id, _| waiting.contains(id));
+        let waiting = cluster.jobs_waiting_despite_free_capacity();
+        waiting_since.retain(|id, _| waiting.contains(id));
         for id in waiting {
-            let waiting_since = *waiting_starts.entry(id).or_insert(cluster.now);
+            let since = *waiting_since.entry(id).or_insert(cluster.now);
             prop_assert!(
-                cluster.now - waiting_since <= secs(90),
-                "{id} waits for {:?} despite room",
-                cluster.now - waiting_since
+                cluster.now - since <= secs(90),
+                "{id} has waited for {:?} despite free capacity",
+                cluster.now - since
             );
         }
     }
-    let open: BTreeSet<_> = cluster.stored_jobs.keys().collect();
+    let open_jobs: BTreeSet<_> = cluster.stored_jobs.keys().collect();
     prop_assert!(
-        open.is_empty(),
-        "left over: {:?}, messages in transit: {}",
-        open,
-        cluster.in_transit.len()
+        open_jobs.is_empty(),
+        "unfinished jobs: {:?}, messages in flight: {}",
+        open_jobs,
+        cluster.in_flight.len()
     );
     Ok(())
 }
@@ -132,33 +134,32 @@
     })]
 
     #[test]
-    fn no_failure_puts_a_task_in_two_places(operations in proptest::collection::vec(any_operation(), 50..400)) {
+    fn no_task_runs_on_two_machines_under_faults(operations in proptest::collection::vec(any_operation(), 50..400)) {
         let mut cluster = SimulatedCluster::new();
         for operation in operations {
             cluster.step(operation);
         }
     }
 
-    /// Once the faults end, every job that isn't cancelled gets done, and none
-    /// waits for long while a machine that fits has room.
+    /// After the faults every job that isn't cancelled gets done, and none waits for long
+    /// while a machine has enough free capacity for one of its tasks.
     #[test]
-    fn all_work_is_done_once_faults_end(operations in proptest::collection::vec(any_operation(), 20..200)) {
-        let mut cluster = after_faults(operations);
+    fn all_jobs_finish_after_the_faults_end(operations in proptest::collection::vec(any_operation(), 20..200)) {
+        let mut cluster = cluster_after_faults(operations);
         finish_without_faults(&mut cluster)?;
     }
 
-    /// The same after all that runs has failed everywhere, six times in a row.
+    /// The same after all live tasks have failed, six times in a row.
     #[test]
-    fn no_job_waits_despite_room_after_failing_everywhere(operations in proptest::collection::vec(any_operation(), 20..200)) {
-        let mut cluster = after_failing_everywhere(operations);
+    fn no_job_waits_long_despite_free_capacity_after_all_tasks_failed(operations in proptest::collection::vec(any_operation(), 20..200)) {
+        let mut cluster = cluster_after_all_tasks_failed(operations);
         finish_without_faults(&mut cluster)?;
     }
 }
 
-/// A cluster after some faults, the last of which is that all running tasks fail, six
-/// times.
-fn after_failing_everywhere(operations: Vec<Operation>) -> SimulatedCluster {
-    let mut cluster = after_faults(operations);
+/// Applies these operations, ends the faults, and then lets all live tasks fail six times.
+fn cluster_after_all_tasks_failed(operations: Vec<Operation>) -> SimulatedCluster {
+    let mut cluster = cluster_after_faults(operations);
     for i in 0..240usize {
         let operation = match (i % 40, i % 8) {
             (39, _) => Operation::FailAllTasks,
@@ -172,13 +173,14 @@
 }
 
 #[test]
-fn a_job_that_failed_everywhere_is_placed_in_full_again_in_time() {
-    // A generated sequence after which tasks waited for 90.4 s despite room:
-    // pauses of 32 s, then one task at a time, while machines stayed cordoned.
-    let submit = |tasks, cpus, red| Operation::Submit {
+fn a_job_whose_tasks_failed_on_all_machines_is_fully_placed_in_time() {
+    // After this generated sequence, tasks once waited for 90.4 s despite free capacity:
+    // their job was paused for 32 s at a time and then placed one task at a time, while
+    // machines stayed cordoned.
+    let submit = |tasks, cpus, red_team| Operation::Submit {
         tasks,
         cpus,
-        red,
+        red_team,
         awaits: Vec::new(),
     };
     let deliver = Operation::Deliver;
@@ -225,6 +227,6 @@
         deliver(11834334059939642239),
         deliver(5766986400068430867),
     ];
-    let mut cluster = after_failing_everywhere(operations);
-    finish_without_faults(&mut cluster).expect("no job waits for long");
+    let mut cluster = cluster_after_all_tasks_failed(operations);
+    finish_without_faults(&mut cluster).expect("all jobs finish and none waits for long");
 }
--- a/tests/safety/heartbeats.rs
+++ b/tests/safety/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats that are late, or that list tasks unknown to the leader.
+//! Heartbeats that arrive late, or that list tasks unknown to the leader.
 
 use bitternfold::core::evidence::heartbeats::HeartbeatOutcome;
 use bitternfold::core::state::machine::MessageOrder;
@@ -8,9 +8,9 @@
 use crate::support::*;
 
 #[test]
-fn an_older_message_changes_nothing() {
-    // Heartbeats held back by the network arrive after newer ones; their tasks
-    // are as old as they are.
+fn a_heartbeat_older_than_the_newest_is_ignored() {
+    // A heartbeat that the network delayed may arrive after newer ones. The tasks that it
+    // lists may have ended since.
     let now = start();
     let mut model = model(7);
     let mut message = heartbeat("i-1", "small", "north", false, 7, 5);
@@ -18,16 +18,16 @@
     model.apply_heartbeat(&message, now);
     let id = MachineId::from("i-1");
     for (incarnation, sequence) in [(1, 9), (2, 4), (2, 5)] {
-        let mut old = heartbeat("i-1", "small", "north", false, 7, sequence);
-        old.incarnation = incarnation;
-        old.tasks = vec![ReportedTask {
+        let mut outdated = heartbeat("i-1", "small", "north", false, 7, sequence);
+        outdated.incarnation = incarnation;
+        outdated.tasks = vec![ReportedTask {
             task: "job-000001/0".parse().expect("a task"),
             attempt: 1,
             state: TaskState::Running,
             exit_reason: None,
             saved: None,
         }];
-        assert_eq!(model.apply_heartbeat(&old, now), HeartbeatOutcome::Outdated);
+        assert_eq!(model.apply_heartbeat(&outdated, now), HeartbeatOutcome::Outdated);
         assert!(model.machines()[&id].slots.is_empty());
         assert_eq!(
             model.machines()[&id].newest_message,
@@ -40,9 +40,10 @@
 }
 
 #[test]
-fn heartbeats_older_than_the_fencing_token_create_no_slots() {
-    // A new leader may receive late copies first: the tasks they list don't run there
-    // any more, and a slot made for one would keep it from starting elsewhere.
+fn a_heartbeat_without_a_token_of_this_term_creates_no_slot() {
+    // The first heartbeats that a new leader receives may be late copies. The tasks that
+    // they list may no longer run there, and a slot for one would keep it from being
+    // started elsewhere.
     let now = start();
     let mut model = model(9);
     model.add_job(record(job(1, 1, 4.0)), now);
@@ -58,7 +59,7 @@
     let id = MachineId::from("i-1");
     assert!(model.machines()[&id].slots.is_empty());
     assert_eq!(model.jobs().values().next().expect("the job").waiting.count(), 1);
-    // A heartbeat that carries the fencing token counts.
+    // A heartbeat with a token of this term creates the slot.
     late.token = 9 << 20;
     late.sequence += 1;
     model.apply_heartbeat(&late, now);
@@ -68,7 +69,7 @@
 
 #[test]
 fn a_released_machine_stays_released_in_the_next_term() {
-    // Late copies of its heartbeats must not bring it back into the fleet.
+    // Late copies of its heartbeats must not add it to the fleet again.
     let now = start();
     let mut model = model(7);
     model.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
@@ -103,11 +104,11 @@
     let mut message = heartbeat("i-1", "small", "north", false, 7, 2);
     message.tasks = running(&model, &id);
     assert_eq!(model.unknown_tasks(&message).count(), 0);
-    // Another attempt than the one that was placed.
+    // Not the attempt that was placed.
     message.tasks[0].attempt += 1;
     assert_eq!(model.unknown_tasks(&message).count(), 1);
     message.tasks[0].attempt -= 1;
-    // Its slot is removed, or its job.
+    // First without its slot, then without its job.
     let slot = model
         .set_up()
         .machines
@@ -124,8 +125,8 @@
         .insert(task, slot);
     model.remove_job(task.job);
     assert_eq!(model.unknown_tasks(&message).count(), 1);
-    // Ended tasks don't count, nor a heartbeat from before the machine has seen this
-    // term's token.
+    // Tasks that have ended don't count, and no task counts until the machine has
+    // reported a token of this term.
     message.tasks[0].state = TaskState::Ended;
     assert_eq!(model.unknown_tasks(&message).count(), 0);
     message.tasks[0].state = TaskState::Running;
--- a/tests/safety/main.rs
+++ b/tests/safety/main.rs
@@ -1,8 +1,11 @@
-//! Election and evidence under lost, late, repeated and reordered messages:
-//! no task is in two places, no limit is passed, no state goes back, nothing
-//! of a cancelled job is started, nor of one whose dependencies aren't done, and
-//! what is told of a job agrees with what is stored of the jobs that it needs.
-//! Leaders come and go; what an earlier one has sent still arrives.
+//! Safety of the scheduler under lost, delayed, duplicated and reordered messages, while
+//! leaders change and messages of deposed leaders still arrive:
+//!
+//! - no task runs on two machines, and no team exceeds its limit;
+//! - no final state of a job changes;
+//! - no task starts if its job is cancelled or a dependency isn't done;
+//! - the reported state of a job agrees with the stored records of the job and its
+//!   dependencies.
 
 mod cluster;
 mod commands;
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -1,5 +1,5 @@
-//! Commands that wait before they are sent: a decision must still hold at the moment of
-//! sending.
+//! Commands that wait before they are sent: they are checked against the present state at
+//! the moment of sending.
 
 #[path = "support/site.rs"]
 mod site;
@@ -16,57 +16,57 @@
 use site::{job_name, on_loopback, Site, LONG};
 use tokio::time::sleep;
 
-/// Machines that accept connections but don't respond, with stops due: more than there
-/// are sockets for commands.
-const UNRESPONSIVE: u32 = 60;
-/// At least so many of them have to run a task before they stop responding.
+/// Tasks of the job that occupies the machines that will hang, one on each: more stops than
+/// there are sockets for commands.
+const FILLER_TASKS: u32 = 60;
+/// How many of these tasks have to run before the machines begin to hang.
 const MIN_RUNNING: usize = 36;
-/// Sockets of a controller. A quarter of what is left to workers is for commands: 26.
+/// Limit on the sockets of a controller.
 const SOCKET_LIMIT: u32 = 128;
-/// Sockets of a controller for commands.
+/// Sockets of a controller for commands: a quarter of the limit less the 24 reserved ones.
 const COMMAND_SOCKETS: usize = 26;
 
-/// Waits until a condition holds; fails with `what` if it takes too long.
-async fn until(what: &str, holds: impl Fn() -> bool) {
-    let began = Instant::now();
+/// Waits until a condition holds. Fails if that takes too long; `condition` describes it.
+async fn wait_until(condition: &str, holds: impl Fn() -> bool) {
+    let started_at = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < LONG, "{what}");
+        assert!(started_at.elapsed() < LONG, "timed out waiting until {condition}");
         sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// A start waits for a socket behind machines that accept connections and don't
-/// respond. Its job is cancelled meanwhile, and the cancellation confirmed. From then
-/// on no task of it may be started.
+/// A start waits for a socket, as machines that accept connections but don't respond take all
+/// of them. Meanwhile its job is cancelled and the cancellation is confirmed to the client.
+/// From then on none of its tasks may be started.
 #[test]
-fn a_start_that_waited_is_not_sent_after_its_job_was_cancelled() {
+fn a_start_that_waits_for_a_socket_is_not_sent_once_its_job_is_cancelled() {
     on_loopback(async {
         let limits = format!("\n[cluster.machine_limits]\nfd_limit = {SOCKET_LIMIT}\n");
         let site = Site::with(Duration::from_secs(7200), |text| text + &limits).await;
         site.until_some_leader().await;
 
-        // The only machine in the south is for the job that will wait.
+        // The only machine in the zone `south` is for the job whose start will wait.
         site.cloud.boot("south", true).await;
         // One task fills a machine.
-        let (filler, waiting) = (job_name(1), job_name(2));
-        let mut job = site.job(1, UNRESPONSIVE);
+        let (filler_job, waiting_job) = (job_name(1), job_name(2));
+        let mut job = site.job(1, FILLER_TASKS);
         job["cpus"] = 8.0.into();
         job["yard"] = "north".into();
         let (status, body) = site.insist("POST", 0, "/v2/runs", Some(job)).await;
         assert_eq!(status, 201, "{body}");
         site.until_running(|n| n >= MIN_RUNNING).await;
-        let empty = site.cloud.empty_machines();
-        let full: Vec<String> = site
+        let empty_machines = site.cloud.empty_machines();
+        let busy_machines: Vec<String> = site
             .cloud
             .names()
             .into_iter()
-            .filter(|m| !empty.contains(m))
+            .filter(|m| !empty_machines.contains(m))
             .collect();
 
-        site.cloud.hang(&full);
-        let path = format!("/v2/runs/{filler}/cancel");
+        site.cloud.hang(&busy_machines);
+        let path = format!("/v2/runs/{filler_job}/cancel");
         assert_eq!(site.insist("POST", 0, &path, None).await.0, 200);
-        until("the sockets for commands are taken", || {
+        wait_until("the sockets for commands are taken", || {
             site.cloud.hanging_commands() >= COMMAND_SOCKETS
         })
         .await;
@@ -74,20 +74,20 @@
         let mut job = site.job(2, 1);
         job["yard"] = "south".into();
         assert_eq!(site.insist("POST", 0, "/v2/runs", Some(job)).await.0, 201);
-        until("the task is placed", || site.state.log_names(&waiting)).await;
+        wait_until("the task is placed", || site.state.log_names(&waiting_job)).await;
         sleep(Duration::from_millis(200)).await;
-        let path = format!("/v2/runs/{waiting}/cancel");
+        let path = format!("/v2/runs/{waiting_job}/cancel");
         assert_eq!(site.insist("POST", 0, &path, None).await.0, 200);
-        let started_before = site.cloud.starts_of(&waiting);
+        let started_before = site.cloud.starts_of(&waiting_job);
 
-        // All waiting commands have been sent or given up by then.
+        // By then every waiting command has been sent or given up.
         sleep(Duration::from_secs(8)).await;
-        let started = site.cloud.starts_of(&waiting);
+        let started = site.cloud.starts_of(&waiting_job);
         assert_eq!(started, started_before, "a task of a cancelled job was started");
     });
 }
 
-/// A start that a scheduling round has decided, and that waits to be sent.
+/// A start that a scheduling round has decided and that is not sent yet.
 struct DecidedStart {
     model: ClusterModel,
     machine: MachineId,
@@ -97,7 +97,7 @@
 }
 
 impl DecidedStart {
-    /// The machine that the start was decided for.
+    /// The machine that is to run the task.
     fn machine_mut(&mut self) -> &mut Machine {
         let machines = self.model.set_up().machines;
         machines.get_mut(&self.machine).expect("there")
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_start_is_judged_by_what_is_known_when_it_is_sent() {
+fn a_start_is_checked_against_the_present_state_when_it_is_sent() {
     let decided = DecidedStart::new();
     assert_eq!(decided.refusal(), None);
     let without_authority = decided
@@ -144,7 +144,7 @@
         .permit_send(&decided.machine, &decided.commands, false);
     assert_eq!(without_authority.err(), Some(SendRefusal::NoAuthority));
     assert_starts_of_ended_or_waiting_jobs_are_refused();
-    assert_starts_without_a_place_are_refused();
+    assert_starts_of_unplaced_or_stopping_attempts_are_refused();
 }
 
 fn assert_starts_of_ended_or_waiting_jobs_are_refused() {
@@ -156,7 +156,7 @@
     decided.model.remove_job(decided.task.job);
     decided.assert_refused(StartRefusal::JobUnknown);
 
-    // A job that waits for another; whoever decided its start was wrong.
+    // The dependency of the job is not done, so its start was decided by mistake.
     let mut decided = DecidedStart::new();
     let mut dependent = support::job(2, 1, 4.0);
     dependent.awaits = vec![decided.task.job];
@@ -170,7 +170,7 @@
     decided.assert_refused(StartRefusal::DependenciesNotDone);
 }
 
-fn assert_starts_without_a_place_are_refused() {
+fn assert_starts_of_unplaced_or_stopping_attempts_are_refused() {
     let mut decided = DecidedStart::new();
     let grace = Duration::from_secs(5);
     decided
@@ -200,21 +200,21 @@
 }
 
 #[test]
-fn what_was_withheld_is_decided_anew_at_once() {
+fn withheld_commands_are_due_again_at_once_with_a_new_token() {
     let mut decided = DecidedStart::new();
     assert!(decided
         .model
         .next_command(&decided.machine, decided.now)
         .is_none());
     decided.model.command_withheld(&decided.machine);
-    let again = decided
+    let resent = decided
         .model
         .next_command(&decided.machine, decided.now)
         .expect("the start again")
         .batch;
     assert!(
-        again.token > decided.commands.token,
-        "every command has a fresh token"
+        resent.token > decided.commands.token,
+        "the commands are sent again without a new token"
     );
-    assert_eq!(again.commands, decided.commands.commands);
+    assert_eq!(resent.commands, decided.commands.commands);
 }
