--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -1,6 +1,6 @@
-//! What the version in production stores and sends is read, and what this one
-//! writes in its place is the same, so that both run side by side and on each
-//! other's data. The fixtures were written by that version's own code.
+//! Compatibility of stored data and frames with the version in production. This version
+//! must read what that one stores and sends, and write the same bytes, because both run side
+//! by side and on each other's data. The fixtures were written by that version's own code.
 
 mod support;
 
@@ -25,8 +25,8 @@
 const KEYS: &str = include_str!("fixtures/production/keys.txt");
 const FRAMES: &str = include_str!("fixtures/production/frames.hex");
 
-/// Reads a value, and checks that it is written again to the letter.
-fn read_and_written_alike<T: DeserializeOwned + Serialize>(text: &str) -> T {
+/// Parses a value, and checks that serializing it gives exactly the same text.
+fn check_round_trip<T: DeserializeOwned + Serialize>(text: &str) -> T {
     let value: T = serde_json::from_str(text).expect("readable");
     let written = serde_json::to_string(&value).expect("writable");
     assert_eq!(written, text.trim_end());
@@ -34,25 +34,25 @@
 }
 
 #[test]
-fn records_are_read_and_written_as_in_production() {
-    let jobs: Vec<JobRecord> = JOB_RECORDS.lines().map(read_and_written_alike).collect();
+fn records_of_production_are_read_and_written_unchanged() {
+    let jobs: Vec<JobRecord> = JOB_RECORDS.lines().map(check_round_trip).collect();
     assert_eq!(
         jobs.iter().map(|r| r.cancelled).collect::<Vec<_>>(),
         [false, true]
     );
     assert!(jobs.iter().all(|r| r.spec.awaits.is_empty()));
-    let finals: Vec<FinalRecord> = FINAL_RECORDS.lines().map(read_and_written_alike).collect();
+    let finals: Vec<FinalRecord> = FINAL_RECORDS.lines().map(check_round_trip).collect();
     let states: Vec<JobState> = finals.iter().map(|r| r.state).collect();
     assert_eq!(states, [JobState::Done, JobState::Cancelled]);
-    read_and_written_alike::<LeaderRecord>(LEADER_RECORD);
-    read_and_written_alike::<BTreeMap<String, f64>>(RATIOS);
-    read_and_written_alike::<Vec<MachineType>>(TYPES);
+    check_round_trip::<LeaderRecord>(LEADER_RECORD);
+    check_round_trip::<BTreeMap<String, f64>>(RATIOS);
+    check_round_trip::<Vec<MachineType>>(TYPES);
 }
 
 #[test]
-fn new_fields_of_records_are_optional() {
-    // The production version ignores fields that it doesn't know, so what is new
-    // must be an extra field and nothing else.
+fn records_differ_from_production_only_by_additional_fields() {
+    // The production version ignores fields that it doesn't know, so a new version may add
+    // fields to records but must not change anything else.
     let without = |mut value: Value, path: &str, name: &str| {
         let object = value.pointer_mut(path).and_then(Value::as_object_mut);
         object.expect("an object").remove(name).expect("the new field");
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn keys_are_those_of_production() {
+fn keys_are_the_same_as_in_production() {
     let job: JobId = "job-000412".parse().expect("an id");
     let keys = [
         record::LEADER_KEY.to_owned(),
@@ -93,8 +93,8 @@
 }
 
 #[test]
-fn segments_of_the_log_are_read_and_written_as_in_production() {
-    read_and_written_alike::<Vec<LogEntry>>(SEGMENT);
+fn log_segments_of_production_are_read_and_written_unchanged() {
+    check_round_trip::<Vec<LogEntry>>(SEGMENT);
     let mut log = WriteAheadLog::new(4096);
     assert!(log.load(1, serde_json::from_str(SEGMENT).expect("json")));
     let replay = log.replay();
@@ -105,8 +105,9 @@
     assert!(replay.released_machines.contains("i-000007"));
 }
 
-/// A log with the large segments of the fixture, and these by their numbers.
-fn loaded_large_segments(value_bytes: usize) -> (WriteAheadLog, BTreeMap<u64, Value>) {
+/// A write-ahead log that has loaded the large segments of the fixture, and these segments
+/// by number.
+fn load_large_segments(value_bytes: usize) -> (WriteAheadLog, BTreeMap<u64, Value>) {
     let mut log = WriteAheadLog::new(value_bytes);
     let mut stored = BTreeMap::new();
     for (number, line) in (1..).zip(LARGE_SEGMENTS.lines()) {
@@ -117,7 +118,7 @@
     (log, stored)
 }
 
-/// The replay of stored segments.
+/// The replay of these stored segments.
 fn replay_of(stored: &BTreeMap<u64, Value>) -> LogReplay {
     let mut log = WriteAheadLog::new(4096);
     for (number, value) in stored {
@@ -127,25 +128,26 @@
 }
 
 #[test]
-fn segments_larger_than_the_new_limits_are_rewritten_smaller() {
-    // A compaction that moved a whole segment at once would pass the limits on
-    // values and transactions as soon as these are lowered.
-    const VALUE: usize = 2048;
+fn segments_larger_than_lowered_limits_are_rewritten_within_them() {
+    // The limits on values and transactions may be lowered. A compaction that moved a whole
+    // segment at once would then exceed them.
+    const MAX_VALUE_BYTES: usize = 2048;
     for max_changes in [2, 4, 5] {
-        let (mut log, mut stored) = loaded_large_segments(VALUE);
+        let (mut log, mut stored) = load_large_segments(MAX_VALUE_BYTES);
         let before = replay_of(&stored);
         let largest = stored.values().map(|v| v.to_string().len()).max();
         assert!(
             largest > Some(7 * 1024),
-            "the fixture is as large as production writes it"
+            "the fixture must be as large as production writes it"
         );
         let mut appends = 0;
-        // Further entries make the log long enough for compactions.
+        // Each round appends further entries, so that the log becomes long enough to be
+        // compacted.
         while stored.contains_key(&1) || stored.contains_key(&2) {
             appends += 1;
             assert!(
                 appends < 500,
-                "segments are never rewritten with {max_changes} changes"
+                "the segments are never rewritten with {max_changes} changes per transaction"
             );
             for _ in 0..40 {
                 log.push(LogEntry::Released(format!("i-9{appends:05}").as_str().into()));
@@ -153,7 +155,7 @@
             let live = |e: &LogEntry| (!matches!(e, LogEntry::Released(_))).then(|| e.clone());
             let append = log
                 .take_append(max_changes, 0, live)
-                .expect("something is pending");
+                .expect("entries are pending");
             assert!(
                 append.segments.len() <= max_changes,
                 "{} changes",
@@ -162,7 +164,7 @@
             for (number, value) in &append.segments {
                 match value {
                     Some(value) => {
-                        assert!(value.to_string().len() <= VALUE, "a value is too large");
+                        assert!(value.to_string().len() <= MAX_VALUE_BYTES, "a value is too large");
                         stored.insert(*number, value.clone());
                     }
                     None => drop(stored.remove(number)),
@@ -179,36 +181,40 @@
 }
 
 #[test]
-fn an_unknown_entry_of_the_log_is_kept_and_a_damaged_one_is_refused() {
+fn a_log_entry_of_unknown_kind_is_kept_and_a_malformed_entry_is_refused() {
     let mut entries: Vec<Value> = serde_json::from_str(SEGMENT).expect("json");
     entries.insert(1, json!({ "later": ["i-000231", 7] }));
     let mut log = WriteAheadLog::new(4096);
     assert!(
         log.load(1, json!(entries)),
-        "a later version's entry ends nothing"
+        "an entry of a later version must not prevent loading"
     );
     assert_eq!(
         log.replay().starts["i-000231"].len(),
         3,
-        "what stands beside it is read"
+        "the other entries of the segment must be read"
     );
-    // Rewritten in a compaction, it is still there.
+    // A compaction rewrites the segment and must keep the entry.
     for number in 2..8 {
         assert!(log.load(number, json!([])));
     }
     log.push(LogEntry::Released("i-000008".into()));
     let append = log
         .take_append(4, 0, |e| Some(e.clone()))
-        .expect("something is pending");
-    assert!(append.segments.contains(&(1, None)), "the oldest is compacted");
+        .expect("entries are pending");
+    assert!(
+        append.segments.contains(&(1, None)),
+        "the oldest segment must be compacted"
+    );
     let written = format!("{:?}", append.segments);
     assert!(written.contains("later"), "the entry is lost: {written}");
-    // It would be unclear what such an entry names.
+    // A malformed entry must be refused, because the machines and tasks that it names are
+    // unknown.
     assert!(!WriteAheadLog::new(4096).load(1, json!([{ "s": ["i-000231"] }])));
     assert!(!WriteAheadLog::new(4096).load(1, json!(["s"])));
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn decode_hex(hex: &str) -> Vec<u8> {
     let pairs = hex.as_bytes().chunks(2);
     let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).expect("text"), 16);
     pairs.map(|pair| byte(pair).expect("hex")).collect()
@@ -221,23 +227,23 @@
 }
 
 #[test]
-fn frames_are_read_and_written_as_in_production() {
+fn frames_of_production_are_read_and_written_unchanged() {
     let mut count = 0;
     for line in FRAMES.lines() {
-        let sent = bytes(line);
+        let sent = decode_hex(line);
         let frame = next_frame(&mut sent.as_slice());
         let mut written = Vec::new();
         encode(&frame, &mut written).expect("writable");
         assert_eq!(written, sent, "{frame:?}");
         count += 1;
     }
-    assert_eq!(count, 9, "every kind of frame and request");
+    assert_eq!(count, 9, "the fixture must have every kind of frame and request");
 }
 
 #[test]
-fn an_unknown_frame_is_passed_over() {
+fn a_frame_of_unknown_kind_is_skipped() {
     let mut stream = vec![0, 0, 0, 3, 200, 1, 2];
-    let known: Vec<u8> = FRAMES.lines().take(1).flat_map(bytes).collect();
+    let known: Vec<u8> = FRAMES.lines().take(1).flat_map(decode_hex).collect();
     stream.extend(known);
     let frame = next_frame(&mut stream.as_slice());
     assert_eq!(
@@ -249,14 +255,8 @@
 }
 
 #[test]
-fn settings_without_announced_limits_work_as_ever() {
-    let limits = deployment().cluster.state;
-    assert_eq!(
-        (limits.max_value_bytes(), limits.max_transaction_changes()),
-        (4096, 12)
-    );
-    assert_eq!(
-        (limits.max_requests_per_s(), limits.max_changes_per_s()),
-        (200.0, 100.0)
-    );
+fn without_announced_limits_the_current_limits_apply() {
+    let limits = deployment_settings().cluster.state;
+    assert_eq!((limits.max_value_bytes(), limits.max_transaction_changes()), (4096, 12));
+    assert_eq!((limits.max_requests_per_s(), limits.max_changes_per_s()), (200.0, 100.0));
 }
--- a/tests/formats.rs
+++ b/tests/formats.rs
@@ -1,5 +1,5 @@
-//! Wire bodies, settings and task sets: what is written is read back, and invalid input
-//! is refused with the name of the field.
+//! Bodies of requests, settings and task sets: values survive a round trip, and errors about
+//! invalid input name the field.
 
 mod support;
 
@@ -73,7 +73,7 @@
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn submissions_survive_the_wire(spec in any_spec()) {
+    fn a_valid_submission_survives_serialization(spec in any_spec()) {
         prop_assert_eq!(spec.check(), Ok(()));
         let text = serde_json::to_string(&spec).expect("json");
         prop_assert_eq!(serde_json::from_str::<JobSpec>(&text).expect("read again"), spec);
@@ -90,7 +90,7 @@
     }
 
     #[test]
-    fn ids_are_digits_after_job(text in "(job-)?[0-9a-z/]{0,20}") {
+    fn a_job_id_is_job_dash_and_1_to_18_digits(text in "(job-)?[0-9a-z/]{0,20}") {
         let is_valid = text.strip_prefix("job-").is_some_and(|d| {
             (1..=18).contains(&d.len()) && d.bytes().all(|b| b.is_ascii_digit())
         });
@@ -101,7 +101,7 @@
     }
 
     #[test]
-    fn a_set_holds_what_was_put_in(len in 1u32..3_000, changes in proptest::collection::vec(any::<(u32, bool)>(), 0..200)) {
+    fn a_task_set_agrees_with_a_btree_set(len in 1u32..3_000, changes in proptest::collection::vec(any::<(u32, bool)>(), 0..200)) {
         let mut tasks = TaskSet::new(len);
         let mut expected = std::collections::BTreeSet::new();
         for (index, insert) in changes {
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn the_protocols_examples_are_read() {
+fn examples_of_the_protocol_are_read_and_written() {
     let spec: JobSpec = serde_json::from_str(
         r#"{"name_id":"job-000412","lot_class":"train","desk":"vision","sort":"batch","urgency":"high","lots":16,
         "cpus":8.0,"accelerators":1.0,"memory_gb":64.0,"kit":"img-07","size_gb":6.2,"rigs":["g8"],"yard":null,
@@ -141,7 +141,7 @@
     assert_eq!(
         heartbeat.tasks[2].exit_reason,
         Some(ExitReason::Other),
-        "a heartbeat with an unknown reason is read"
+        "an unknown exit reason must not make a heartbeat invalid"
     );
     let stop = Command::Stop {
         task: heartbeat.tasks[0].task,
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn values_out_of_range_are_named() {
+fn errors_about_values_out_of_range_name_the_field() {
     let valid = support::job(1, 4, 2.0);
     let mut invalid = valid.clone();
     invalid.tasks = MAX_TASKS_PER_JOB + 1;
@@ -168,8 +168,8 @@
     assert_eq!(invalid.check(), Err("expected_s"));
 }
 
-/// A text of the valid settings, an invalid one in its place, and the field that the
-/// error names.
+/// A part of the valid settings, its invalid replacement, and the field that the error has
+/// to name.
 const INVALID_SETTINGS: [(&str, &str, &str); 17] = [
     ("lease_s = 20.0", "lease_s = -1.0", "cluster.workers.lease_s"),
     ("lease_s = 20.0", "", "lease_s"),
@@ -223,27 +223,31 @@
 ];
 
 #[test]
-fn settings_ignore_the_unknown_and_name_the_wrong() {
-    let settings = support::deployment();
+fn settings_ignore_unknown_fields_and_errors_name_the_invalid_field() {
+    let settings = support::deployment_settings();
     assert_eq!(settings.cluster.workers.lease, std::time::Duration::from_secs(20));
-    assert_eq!(settings.cluster.teams[1].cpu_limit, 0.0, "0 means none");
+    assert_eq!(
+        settings.cluster.teams[1].cpu_limit, 0.0,
+        "0 means that there is no limit"
+    );
     for (from, to, field) in INVALID_SETTINGS {
         let text = support::SETTINGS.replace(from, to);
         let error = DeploymentSettings::parse(&text, "test")
             .expect_err(field)
             .to_string();
-        assert!(error.contains(field), "{error} should name {field}");
-        assert_eq!(error.lines().count(), 1, "one line: {error}");
+        assert!(error.contains(field), "the error must name {field}: {error}");
+        assert_eq!(error.lines().count(), 1, "the error must be one line: {error}");
     }
     for written in ["3000", "3000.0"] {
         let text = format!(
             "{}\n[cluster.machine_limits]\nfd_limit = {written}\n",
             support::SETTINGS
         );
-        let settings = DeploymentSettings::parse(&text, "test").expect("either way");
+        let settings =
+            DeploymentSettings::parse(&text, "test").expect("an integer and a float are both valid");
         assert_eq!(settings.cluster.process_limits.max_sockets, 3000);
     }
-    // The smaller of both limits counts, whichever is announced.
+    // The smaller of the current and the announced limit applies.
     let text = support::SETTINGS.replace(
         "txn_ops = 12",
         "txn_ops = 12\nnext = { value_kb = 8.0, txn_ops = 5 }",
@@ -262,10 +266,10 @@
 }
 
 #[test]
-fn properties_are_checked() {
+fn operator_properties_are_parsed_and_errors_name_the_key() {
     for key in ["leader.lease_ms", "leader.hold_ms"] {
         let text = format!("# ours\n{key} = 2500\nfleet.warm: 0.5\n");
-        let settings = OperatorSettings::parse(text.as_bytes(), "test").expect("good");
+        let settings = OperatorSettings::parse(text.as_bytes(), "test").expect("valid properties");
         assert_eq!(
             (settings.leader_lease.as_millis(), settings.warm_share),
             (2500, 0.5),
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -1,5 +1,5 @@
-//! The whole service against stand-ins on loopback: three controllers, a state
-//! service, a cloud and its workers.
+//! The whole service on loopback: three controllers against stand-ins of the state service
+//! and of the cloud with its workers.
 
 #[path = "support/site.rs"]
 mod site;
@@ -10,192 +10,244 @@
 use std::time::{Duration, Instant};
 
 use serde_json::json;
-use site::{on_loopback, Site, LONG};
+use site::{run_async_test, Site, TEST_TIMEOUT};
 use standins::send_request;
 use tokio::time::sleep;
 
 #[test]
-fn users_are_served_by_every_controller() {
-    on_loopback(async {
+fn every_controller_serves_users_and_a_final_state_stays() {
+    run_async_test(async {
         let site = Site::start(Duration::from_millis(300)).await;
-        let (status, v) = site.insist("POST", 0, "/v2/runs", Some(site.job(1, 5))).await;
-        assert!([200, 201].contains(&status), "{v}");
+        let (status, view) = site
+            .request_with_retries("POST", 0, "/v2/runs", Some(site.job(1, 5)))
+            .await;
+        assert!([200, 201].contains(&status), "{view}");
         for at in 0..3 {
-            // A repeat is 200 whatever is wrong with it by now.
-            let mut bad = site.job(1, 5);
-            bad["cpus"] = json!("many");
-            let (status, v) = site.insist("POST", at, "/v2/runs", Some(bad)).await;
-            assert_eq!((status, &v["name_id"]), (200, &json!("job-000001")));
-            let mut bad = site.job(2, 5);
-            bad["cpus"] = json!(-2.0);
-            assert_eq!(site.insist("POST", at, "/v2/runs", Some(bad)).await.0, 400);
-            let mut bad = site.job(2, 5);
-            bad["desk"] = json!("green");
-            assert_eq!(site.insist("POST", at, "/v2/runs", Some(bad)).await.0, 422);
-            assert_eq!(site.insist("POST", at, "/v2/runs", Some(json!([1]))).await.0, 400);
-            assert_eq!(site.insist("GET", at, "/v2/runs/job-777777", None).await.0, 404);
+            // A repeated submission of an accepted job gets 200, even if its body is invalid.
+            let mut invalid = site.job(1, 5);
+            invalid["cpus"] = json!("many");
+            let (status, view) = site
+                .request_with_retries("POST", at, "/v2/runs", Some(invalid))
+                .await;
+            assert_eq!((status, &view["name_id"]), (200, &json!("job-000001")));
+            let mut invalid = site.job(2, 5);
+            invalid["cpus"] = json!(-2.0);
+            assert_eq!(
+                site.request_with_retries("POST", at, "/v2/runs", Some(invalid))
+                    .await
+                    .0,
+                400
+            );
+            let mut invalid = site.job(2, 5);
+            invalid["desk"] = json!("green");
+            assert_eq!(
+                site.request_with_retries("POST", at, "/v2/runs", Some(invalid))
+                    .await
+                    .0,
+                422
+            );
+            assert_eq!(
+                site.request_with_retries("POST", at, "/v2/runs", Some(json!([1])))
+                    .await
+                    .0,
+                400
+            );
+            assert_eq!(
+                site.request_with_retries("GET", at, "/v2/runs/job-777777", None)
+                    .await
+                    .0,
+                404
+            );
             assert_eq!(
-                site.insist("POST", at, "/v2/runs/job-777777/cancel", None)
+                site.request_with_retries("POST", at, "/v2/runs/job-777777/cancel", None)
                     .await
                     .0,
                 404
             );
-            assert_eq!(send_request("GET", site.api[at], "/up", None).await.0, 200);
+            assert_eq!(send_request("GET", site.api_addrs[at], "/up", None).await.0, 200);
         }
         let mut huge = site.job(3, 1);
         huge["kit"] = json!("x".repeat(70_000));
-        assert_eq!(site.insist("POST", 1, "/v2/runs", Some(huge)).await.0, 413);
-        let v = site.until(2, "job-000001", "done").await;
-        assert_eq!(v["done"], 5);
-        // A final state stays, also under a cancellation.
-        let (status, v) = site.insist("POST", 1, "/v2/runs/job-000001/cancel", None).await;
-        assert_eq!((status, &v["standing"]), (200, &json!("done")));
-        assert!(site.cloud.doubles.lock().is_empty());
+        assert_eq!(
+            site.request_with_retries("POST", 1, "/v2/runs", Some(huge))
+                .await
+                .0,
+            413
+        );
+        let view = site.wait_for_state(2, "job-000001", "done").await;
+        assert_eq!(view["done"], 5);
+        // A cancellation doesn't change a final state.
+        let (status, view) = site
+            .request_with_retries("POST", 1, "/v2/runs/job-000001/cancel", None)
+            .await;
+        assert_eq!((status, &view["standing"]), (200, &json!("done")));
+        assert!(site.cloud.tasks_run_twice.lock().is_empty());
     });
 }
 
 #[test]
-fn a_cancelled_job_stays_cancelled() {
-    on_loopback(async {
+fn a_cancelled_job_stays_cancelled_after_a_change_of_leader() {
+    run_async_test(async {
         let site = Site::start(Duration::from_secs(600)).await;
-        site.insist("POST", 0, "/v2/runs", Some(site.job(1, 4))).await;
-        site.until(0, "job-000001", "running").await;
-        let (status, v) = site.insist("POST", 1, "/v2/runs/job-000001/cancel", None).await;
-        assert_eq!((status, &v["standing"]), (200, &json!("cancelled")));
+        site.request_with_retries("POST", 0, "/v2/runs", Some(site.job(1, 4)))
+            .await;
+        site.wait_for_state(0, "job-000001", "running").await;
+        let (status, view) = site
+            .request_with_retries("POST", 1, "/v2/runs/job-000001/cancel", None)
+            .await;
+        assert_eq!((status, &view["standing"]), (200, &json!("cancelled")));
         site.state.end_leases();
         for at in 0..3 {
-            let (_, v) = site.insist("GET", at, "/v2/runs/job-000001", None).await;
-            assert_eq!(v["standing"], "cancelled", "whoever leads");
+            let (_, view) = site
+                .request_with_retries("GET", at, "/v2/runs/job-000001", None)
+                .await;
+            assert_eq!(view["standing"], "cancelled", "at controller {at}");
         }
     });
 }
 
 #[test]
-fn work_goes_on_through_the_loss_of_leaders_and_of_the_state_service() {
-    on_loopback(async {
+fn jobs_finish_after_restarts_of_controllers_and_an_outage_of_the_state_service() {
+    run_async_test(async {
         let mut site = Site::start(Duration::from_millis(700)).await;
         for n in 0..4 {
-            site.insist("POST", n as usize % 3, "/v2/runs", Some(site.job(n, 6)))
+            site.request_with_retries("POST", n as usize % 3, "/v2/runs", Some(site.job(n, 6)))
                 .await;
         }
-        site.until(0, "job-000000", "running").await;
-        site.kill(0);
-        site.kill(1);
+        site.wait_for_state(0, "job-000000", "running").await;
+        site.kill_controller(0);
+        site.kill_controller(1);
         sleep(Duration::from_millis(300)).await;
-        site.boot(0);
-        site.boot(1);
+        site.start_controller(0);
+        site.start_controller(1);
         site.state.end_leases();
-        let (_, v) = site.insist("POST", 2, "/v2/runs", Some(site.job(9, 3))).await;
-        assert_eq!(v["name_id"], "job-000009");
-        // In an outage no state can be read: 503 without delay.
-        site.state.outage(true);
+        let (_, view) = site
+            .request_with_retries("POST", 2, "/v2/runs", Some(site.job(9, 3)))
+            .await;
+        assert_eq!(view["name_id"], "job-000009");
+        // During the outage no state can be read, so a submission gets 503 without delay.
+        site.state.set_outage(true);
         sleep(Duration::from_millis(3500)).await;
         let began = Instant::now();
-        let (status, _) = send_request("POST", site.api[0], "/v2/runs", Some(site.job(20, 1))).await;
+        let (status, _) = send_request("POST", site.api_addrs[0], "/v2/runs", Some(site.job(20, 1))).await;
         assert_eq!(status, 503);
         assert!(
             began.elapsed() < Duration::from_secs(4),
-            "a response within the client's timeout"
+            "the response must come within the client's timeout"
         );
-        site.state.outage(false);
+        site.state.set_outage(false);
         for n in [0, 1, 2, 3, 9] {
-            site.until(2, &format!("job-{n:06}"), "done").await;
+            site.wait_for_state(2, &format!("job-{n:06}"), "done").await;
         }
         assert!(
-            site.cloud.doubles.lock().is_empty(),
+            site.cloud.tasks_run_twice.lock().is_empty(),
             "{:?}",
-            site.cloud.doubles.lock()
+            site.cloud.tasks_run_twice.lock()
         );
         assert!(*site.cloud.starts.lock() >= 27);
     });
 }
 
 #[test]
-fn every_accepted_job_stays_known_at_every_controller() {
-    // The state service refuses one controller, the leader is killed and restarted in
-    // the middle of an election, a job's inbox entry is lost: after all of it every
-    // controller knows every accepted job, and it is done.
-    on_loopback(async {
+fn every_accepted_job_is_known_at_every_controller_and_finishes_despite_faults() {
+    // Guards against losing accepted jobs when the state service refuses the leader, the
+    // next leader is killed and restarted while its lease ends, and the inbox entry of a
+    // job is missing.
+    run_async_test(async {
         let mut site = Site::start(Duration::from_millis(500)).await;
         for n in 0..3 {
-            site.insist("POST", n as usize, "/v2/runs", Some(site.job(n, 4)))
+            site.request_with_retries("POST", n as usize, "/v2/runs", Some(site.job(n, 4)))
                 .await;
         }
         let leader = site.leader().expect("a leader");
-        site.state.refuse(leader, true);
+        site.state.set_controller_refused(leader, true);
         let began = Instant::now();
-        while site.leader().is_none_or(|h| h == leader) {
-            assert!(began.elapsed() < LONG, "nobody else is elected");
+        while site.leader().is_none_or(|other| other == leader) {
+            assert!(began.elapsed() < TEST_TIMEOUT, "no other controller was elected");
             sleep(Duration::from_millis(50)).await;
         }
-        // It can't read who leads, yet it serves its users: others say who does.
+        // The refused controller can't read who leads, but learns it from the other
+        // controllers and so serves its users.
         let (status, _) = site
-            .insist("POST", leader, "/v2/runs", Some(site.job(3, 4)))
+            .request_with_retries("POST", leader, "/v2/runs", Some(site.job(3, 4)))
             .await;
         assert!([200, 201].contains(&status));
         for n in 0..4 {
-            let (status, v) = site
-                .insist("GET", leader, &format!("/v2/runs/job-{n:06}"), None)
+            let (status, view) = site
+                .request_with_retries("GET", leader, &format!("/v2/runs/job-{n:06}"), None)
                 .await;
-            assert_eq!(status, 200, "{v}");
+            assert_eq!(status, 200, "{view}");
         }
-        // The next leader is killed and restarted within a fraction of a second, and
-        // its lease expires meanwhile.
+        // The next leader is killed and restarted within a fraction of a second, and its
+        // lease ends meanwhile.
         let next = site.leader().expect("a leader");
-        site.kill(next);
+        site.kill_controller(next);
         site.state.end_leases();
         sleep(Duration::from_millis(100)).await;
-        site.boot(next);
-        site.state.refuse(leader, false);
-        // A job that was accepted, though its inbox entry is lost.
+        site.start_controller(next);
+        site.state.set_controller_refused(leader, false);
+        // An accepted job whose inbox entry is missing.
         let spec: bitternfold::wire::JobSpec = serde_json::from_value(site.job(7, 2)).expect("a job");
-        let lost = json!({"spec": spec, "at": bitternfold::clock::unix_time_ms()});
-        site.state.plant("jobs/job-000007", lost);
+        let record = json!({"spec": spec, "at": bitternfold::clock::unix_time_ms()});
+        site.state.put_directly("jobs/job-000007", record);
         let began = Instant::now();
-        // No request names it: it is found nevertheless.
-        while !site.state.has("final/job-000007") {
-            assert!(began.elapsed() < LONG, "a job without an inbox entry is lost");
+        // The leader has to find this job even though no request names it.
+        while !site.state.has_key("final/job-000007") {
+            assert!(
+                began.elapsed() < TEST_TIMEOUT,
+                "a job without an inbox entry was not found"
+            );
             sleep(Duration::from_millis(100)).await;
         }
         for n in [0, 1, 2, 3, 7] {
             for at in 0..3 {
-                let v = site.until(at, &format!("job-{n:06}"), "done").await;
-                assert_eq!(v["name_id"], format!("job-{n:06}"));
+                let view = site.wait_for_state(at, &format!("job-{n:06}"), "done").await;
+                assert_eq!(view["name_id"], format!("job-{n:06}"));
             }
         }
         for at in 0..3 {
-            assert_eq!(site.insist("GET", at, "/v2/runs/job-777777", None).await.0, 404);
+            assert_eq!(
+                site.request_with_retries("GET", at, "/v2/runs/job-777777", None)
+                    .await
+                    .0,
+                404
+            );
         }
-        assert!(began.elapsed() < Duration::from_secs(60), "well within 75 s");
-        assert!(site.cloud.doubles.lock().is_empty());
+        assert!(
+            began.elapsed() < Duration::from_secs(60),
+            "all jobs must be done well within 75 s"
+        );
+        assert!(site.cloud.tasks_run_twice.lock().is_empty());
     });
 }
 
 #[test]
-fn jobs_with_unreadable_or_changed_records_go_on_once_these_can_be_read() {
-    // A record that can't be read is no unknown job: 503, and its job goes on once
-    // it can. A record that another has written meanwhile is read again, and the
-    // job's final state is stored all the same.
-    on_loopback(async {
+fn jobs_finish_after_their_records_were_unreadable_or_overwritten() {
+    // A job whose record can't be parsed is not an unknown job: requests for it get 503,
+    // and it runs once the record can be read. A record that was overwritten in the
+    // meantime is read again, and the job's final state is stored nevertheless.
+    run_async_test(async {
         let site = Site::start(Duration::from_millis(1500)).await;
-        site.insist("POST", 0, "/v2/runs", Some(site.job(1, 3))).await;
-        site.until(0, "job-000001", "running").await;
+        site.request_with_retries("POST", 0, "/v2/runs", Some(site.job(1, 3)))
+            .await;
+        site.wait_for_state(0, "job-000001", "running").await;
         let spec: bitternfold::wire::JobSpec = serde_json::from_value(site.job(1, 3)).expect("a job");
-        let same = json!({"spec": spec, "at": bitternfold::clock::unix_time_ms()});
-        site.state.plant("jobs/job-000001", same);
-        site.state.plant("jobs/job-000008", json!({"spec": "torn"}));
+        let overwritten = json!({"spec": spec, "at": bitternfold::clock::unix_time_ms()});
+        site.state.put_directly("jobs/job-000001", overwritten);
+        site.state
+            .put_directly("jobs/job-000008", json!({"spec": "torn"}));
         for at in 0..3 {
-            let (status, _) = send_request("GET", site.api[at], "/v2/runs/job-000008", None).await;
-            assert_eq!(status, 503, "neither known nor unknown");
+            let (status, _) = send_request("GET", site.api_addrs[at], "/v2/runs/job-000008", None).await;
+            assert_eq!(status, 503, "the record exists but can't be read");
         }
         let spec: bitternfold::wire::JobSpec = serde_json::from_value(site.job(8, 2)).expect("a job");
-        let good = json!({"spec": spec, "at": bitternfold::clock::unix_time_ms()});
-        site.state.plant("jobs/job-000008", good);
+        let readable = json!({"spec": spec, "at": bitternfold::clock::unix_time_ms()});
+        site.state.put_directly("jobs/job-000008", readable);
         for job in ["job-000001", "job-000008"] {
             for at in 0..3 {
-                site.until(at, job, "done").await;
+                site.wait_for_state(at, job, "done").await;
             }
         }
-        assert!(site.cloud.doubles.lock().is_empty());
+        assert!(site.cloud.tasks_run_twice.lock().is_empty());
     });
 }
--- a/tests/status_requests.rs
+++ b/tests/status_requests.rs
@@ -1,5 +1,5 @@
-//! Many polls of a job: how many reads of the state service they cost at followers and
-//! without a leader, and that the leader's work goes on.
+//! Many status requests for a job at followers, without a leader: how many reads of the
+//! state service they cause, and that they don't hold up other work.
 
 #[path = "support/site.rs"]
 mod site;
@@ -9,15 +9,16 @@
 
 use std::time::{Duration, Instant};
 
-use site::{on_loopback, Site, LONG};
+use site::{run_async_test, Site, TEST_TIMEOUT};
 use standins::send_request;
 use tokio::time::sleep;
 
-/// Polls a job so many times, at these controllers in turn; returns the responses.
+/// Sends this many status requests for a job at once, to these controllers in turn; returns
+/// the responses.
 async fn poll_often(site: &Site, job: &str, at: &[usize], times: usize) -> Vec<(u16, serde_json::Value)> {
     let mut polls = tokio::task::JoinSet::new();
     for n in 0..times {
-        let addr = site.api[at[n % at.len()]];
+        let addr = site.api_addrs[at[n % at.len()]];
         let path = format!("/v2/runs/{job}");
         polls.spawn(async move { send_request("GET", addr, &path, None).await });
     }
@@ -25,56 +26,62 @@
 }
 
 #[test]
-fn final_states_are_served_from_memory_whoever_leads_and_whatever_is_down() {
-    // Users poll again and again jobs that have ended. A controller that has
-    // returned a terminal state once needs neither the leader nor the state service.
-    on_loopback(async {
+fn final_states_are_served_from_memory_without_leader_and_state_service() {
+    // Users keep polling jobs that have ended. A controller that has returned a final state
+    // once needs neither the leader nor the state service to return it again.
+    run_async_test(async {
         let mut site = Site::start(Duration::from_millis(200)).await;
-        site.insist("POST", 0, "/v2/runs", Some(site.job(1, 2))).await;
+        site.request_with_retries("POST", 0, "/v2/runs", Some(site.job(1, 2)))
+            .await;
         for at in 0..3 {
-            site.until(at, "job-000001", "done").await;
+            site.wait_for_state(at, "job-000001", "done").await;
         }
         let began = Instant::now();
-        while !site.state.has("final/job-000001") {
-            assert!(began.elapsed() < LONG, "the end is stored");
+        while !site.state.has_key("final/job-000001") {
+            assert!(began.elapsed() < TEST_TIMEOUT, "the final state was not stored");
             sleep(Duration::from_millis(20)).await;
         }
         let leader = site.leader().expect("a leader");
         let followers: Vec<usize> = (0..3).filter(|i| *i != leader).collect();
-        site.kill(leader);
-        site.state.outage(true);
-        let before = site.state.reads();
+        site.kill_controller(leader);
+        site.state.set_outage(true);
+        let before = site.state.key_reads();
         let responses = poll_often(&site, "job-000001", &followers, 300).await;
         for (status, view) in responses {
             assert_eq!((status, view["standing"].as_str()), (200, Some("done")), "{view}");
         }
-        assert_eq!(site.state.reads(), before, "no read for any of 300 polls");
+        assert_eq!(
+            site.state.key_reads(),
+            before,
+            "300 polls must not cause any read"
+        );
     });
 }
 
 #[test]
-fn questions_with_the_leader_away_take_no_more_than_their_share() {
-    // Followers read the state service for each poll then. Beyond their share
-    // of its requests they say 503 at once; the election, the new leader's work and
-    // submissions keep theirs.
-    on_loopback(async {
-        let mut site = Site::with(Duration::from_millis(200), |text| {
+fn status_requests_without_a_leader_keep_to_their_share_of_state_service_requests() {
+    // Without a leader, followers read the state service for each poll. Beyond the polls'
+    // share of its requests they respond with 503 at once, so that the election, the new
+    // leader's work and submissions keep theirs.
+    run_async_test(async {
+        let mut site = Site::with_settings(Duration::from_millis(200), |text| {
             text.replace("rps = 200.0\nwrite_rps", "rps = 60.0\nwrite_rps")
         })
         .await;
-        // Hardly done before the polls come.
+        // Large enough that it is hardly done before the polls are sent.
         let mut long = site.job(1, 40);
         long["expected_s"] = serde_json::json!(30.0);
-        site.insist("POST", 0, "/v2/runs", Some(long)).await;
-        site.until(0, "job-000001", "running").await;
+        site.request_with_retries("POST", 0, "/v2/runs", Some(long)).await;
+        site.wait_for_state(0, "job-000001", "running").await;
         let leader = site.leader().expect("a leader");
         let followers: Vec<usize> = (0..3).filter(|i| *i != leader).collect();
-        site.kill(leader);
-        let before = site.state.reads();
+        site.kill_controller(leader);
+        let before = site.state.key_reads();
         let began = Instant::now();
         let responses = poll_often(&site, "job-000001", &followers, 400).await;
-        let reads = site.state.reads() - before;
-        // Two budgets of 0.6 of 60, a second's worth each at once, and the rest as time allows.
+        let reads = site.state.key_reads() - before;
+        // Each of the two followers may use 0.6 of 60 requests per second, and a second's
+        // worth in one burst.
         let max_reads = 2.0 * 36.0 * (2.0 + began.elapsed().as_secs_f64());
         assert!((reads as f64) < max_reads, "{reads} reads of {max_reads}");
         assert!(
@@ -82,11 +89,11 @@
             "200 or 503 only: {responses:?}"
         );
         let (status, view) = site
-            .insist("POST", followers[0], "/v2/runs", Some(site.job(2, 2)))
+            .request_with_retries("POST", followers[0], "/v2/runs", Some(site.job(2, 2)))
             .await;
         assert!([200, 201].contains(&status), "{view}");
-        site.until(followers[1], "job-000002", "done").await;
-        site.until(followers[0], "job-000001", "done").await;
-        assert!(site.cloud.doubles.lock().is_empty());
+        site.wait_for_state(followers[1], "job-000002", "done").await;
+        site.wait_for_state(followers[0], "job-000001", "done").await;
+        assert!(site.cloud.tasks_run_twice.lock().is_empty());
     });
 }
--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -1,5 +1,5 @@
-//! A client for one request at a time that names why a request has no response,
-//! which [`bitternfold::http::HttpError`] leaves out.
+//! An HTTP client that opens a connection for each request and reports why a request
+//! got no response, which [`bitternfold::http::HttpError`] does not tell.
 
 use std::error::Error as _;
 use std::io;
@@ -15,9 +15,10 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
 
-/// How long the request may take in all, the connection included. The connection has
-/// no shorter bound of its own: when the listen queue of a server that isn't scheduled
-/// is full, the kernel drops the SYN, and the client's sends it again only after 1 s.
+/// Timeout of a whole request, including the time to connect. Connecting has no shorter
+/// timeout of its own: while the server process isn't scheduled, its listen queue may be
+/// full; its kernel then drops the SYN, and the client's kernel retransmits it only
+/// after 1 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why a request has no response.
@@ -38,12 +39,12 @@
     /// The server closed the connection before the response was complete.
     #[error("connection closed before the response")]
     ConnectionClosed,
-    /// No complete response within [`REQUEST_TIMEOUT`].
+    /// No complete response arrived within [`REQUEST_TIMEOUT`].
     #[error("response timed out")]
     ResponseTimedOut,
 }
 
-/// A request without a response: why, and how long after its start.
+/// A request without a response: the reason, and when it failed, counted from its start.
 #[derive(Debug, Clone, Copy, thiserror::Error)]
 #[error("{failure} after {after:?}")]
 pub struct FailedRequest {
@@ -51,8 +52,8 @@
     after: Duration,
 }
 
-/// Sends a request over a connection of its own; the status and the body (null
-/// if it is no JSON).
+/// Sends a request over a new connection. Returns the status and the body, which is
+/// null if it isn't JSON.
 pub async fn request(
     method: &str,
     addr: SocketAddr,
@@ -78,7 +79,7 @@
     let stream = connect(addr, deadline).await?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
-        .map_err(|e| broken(&e))?;
+        .map_err(|e| connection_failure(&e))?;
     let driver = tokio::spawn(connection);
     let request = Request::builder()
         .method(method)
@@ -90,16 +91,23 @@
         )))
         .expect("a request");
     let response = async {
-        let response = sender.send_request(request).await.map_err(|e| broken(&e))?;
+        let response = sender
+            .send_request(request)
+            .await
+            .map_err(|e| connection_failure(&e))?;
         let status = response.status().as_u16();
-        let body = response.into_body().collect().await.map_err(|e| broken(&e))?;
+        let body = response
+            .into_body()
+            .collect()
+            .await
+            .map_err(|e| connection_failure(&e))?;
         Ok((
             status,
             serde_json::from_slice(&body.to_bytes()).unwrap_or(Value::Null),
         ))
     };
     let response = timeout_at(deadline, response).await;
-    // Closes the connection also when the response was given up.
+    // Closes the connection, also after a timeout.
     driver.abort();
     response.unwrap_or(Err(RequestFailure::ResponseTimedOut))
 }
@@ -116,8 +124,8 @@
     Ok(stream)
 }
 
-/// What an established connection ended with.
-fn broken(error: &hyper::Error) -> RequestFailure {
+/// The failure that an error on an established connection stands for.
+fn connection_failure(error: &hyper::Error) -> RequestFailure {
     let io = error
         .source()
         .and_then(|source| source.downcast_ref::<io::Error>());
--- a/tests/support/cloud/commands.rs
+++ b/tests/support/cloud/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to the worker of a machine, and what it does with each.
+//! The workers' command endpoint, and the execution of commands by a worker.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -11,28 +11,28 @@
 use tokio::time::sleep;
 use warp::Filter;
 
-use super::super::{json_response, serve, Json};
+use super::super::{json_response, serve, JsonResponse};
 use super::machine::{next_heartbeat, Machine, Task};
-use super::{Cloud, TaskChange};
+use super::{Cloud, TaskEventKind};
 
-/// Increments a counter for as long as it lives.
-struct Counted<'a>(&'a AtomicUsize);
+/// Increments a counter while it exists.
+struct CounterGuard<'a>(&'a AtomicUsize);
 
-impl<'a> Counted<'a> {
-    pub(super) fn new(count: &'a AtomicUsize) -> Self {
-        count.fetch_add(1, Ordering::Relaxed);
-        Self(count)
+impl<'a> CounterGuard<'a> {
+    pub(super) fn new(counter: &'a AtomicUsize) -> Self {
+        counter.fetch_add(1, Ordering::Relaxed);
+        Self(counter)
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CounterGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Cloud {
-    /// Boots a machine; its name.
+    /// Boots a machine and starts its worker; returns the machine's id.
     pub async fn boot(self: &Arc<Self>, zone: &str, spot: bool) -> String {
         let n = self.machines.lock().len();
         let id = format!("i-{n:06}");
@@ -48,100 +48,117 @@
             lease_renewed: Instant::now(),
             released: false,
         }));
-        let (c, m) = (self.clone(), machine.clone());
-        let with = warp::any().map(move || (c.clone(), m.clone()));
+        let (cloud, own_machine) = (self.clone(), machine.clone());
+        let with_machine = warp::any().map(move || (cloud.clone(), own_machine.clone()));
         let commands = warp::post()
             .and(warp::path!("commands"))
             .and(warp::body::json())
-            .and(with)
+            .and(with_machine)
             .then(
-                |b: CommandBatch, (c, m): (Arc<Cloud>, Arc<Mutex<Machine>>)| async move {
-                    if c.hangs(&m) {
-                        let _counted = Counted::new(&c.hanging_commands);
+                |batch: CommandBatch, (cloud, machine): (Arc<Cloud>, Arc<Mutex<Machine>>)| async move {
+                    if cloud.is_hanging(&machine) {
+                        let _guard = CounterGuard::new(&cloud.hanging_commands);
                         sleep(Duration::from_secs(3600)).await;
                     }
                     {
-                        let mut concurrent = c.concurrent_commands.lock();
-                        concurrent.now += 1;
-                        concurrent.max = concurrent.max.max(concurrent.now);
+                        let mut concurrent = cloud.concurrent_commands.lock();
+                        concurrent.current += 1;
+                        concurrent.max = concurrent.max.max(concurrent.current);
                     }
                     sleep(Duration::from_millis(5)).await;
-                    let response = c.command(&m, &b);
-                    c.concurrent_commands.lock().now -= 1;
+                    let response = cloud.execute_batch(&machine, &batch);
+                    cloud.concurrent_commands.lock().current -= 1;
                     json_response(response)
                 },
             );
         let addr = serve(commands).await;
         machine.lock().addr = addr.to_string();
         self.machines.lock().push(machine.clone());
-        tokio::spawn(self.clone().heartbeat(machine));
+        tokio::spawn(self.clone().send_heartbeats(machine));
         id
     }
 
-    /// Carries out a batch, unless it is of an earlier leader or for another incarnation.
-    pub(super) fn command(&self, m: &Mutex<Machine>, b: &CommandBatch) -> Json {
-        let mut m = m.lock();
-        if m.released || self.no_commands.load(Ordering::Relaxed) {
+    /// Executes a batch of commands, unless it has an older fencing token than the machine
+    /// has seen or is for another incarnation. The response is a heartbeat.
+    pub(super) fn execute_batch(&self, machine: &Mutex<Machine>, batch: &CommandBatch) -> JsonResponse {
+        let mut machine = machine.lock();
+        if machine.released || self.reject_commands.load(Ordering::Relaxed) {
             return (500, json!({}));
         }
-        let ok = b.token >= m.token && b.incarnation == m.incarnation;
-        if ok {
-            m.token = b.token;
-            self.carried_out.lock().push((m.id.clone(), b.clone()));
-            for c in &b.commands {
-                self.execute(&mut m, *c);
+        let is_accepted = batch.token >= machine.token && batch.incarnation == machine.incarnation;
+        if is_accepted {
+            machine.token = batch.token;
+            self.executed_batches
+                .lock()
+                .push((machine.id.clone(), batch.clone()));
+            for command in &batch.commands {
+                self.execute(&mut machine, *command);
             }
         }
         (
-            if ok { 200 } else { 409 },
-            serde_json::to_value(next_heartbeat(&mut m)).expect("json"),
+            if is_accepted { 200 } else { 409 },
+            serde_json::to_value(next_heartbeat(&mut machine)).expect("json"),
         )
     }
 
-    /// Executes a command, as a worker does; starts of known tasks change nothing.
-    pub(super) fn execute(&self, m: &mut Machine, c: Command) {
-        match c {
+    /// Executes a command as a worker does. A start of a task that the machine already has
+    /// changes nothing.
+    pub(super) fn execute(&self, machine: &mut Machine, command: Command) {
+        match command {
             Command::Start { task, attempt } => {
-                if m.tasks.contains_key(&task) {
+                if machine.tasks.contains_key(&task) {
                     return;
                 }
                 *self.starts.lock() += 1;
-                self.note(m, task, TaskChange::Started);
-                let slow = self.slow.lock().contains(&task.job);
-                let run = if slow { Duration::from_secs(7200) } else { self.run };
-                let until = Instant::now() + run;
-                m.tasks.insert(
+                self.record_event(machine, task, TaskEventKind::Started);
+                let is_slow = self.slow_jobs.lock().contains(&task.job);
+                let duration = if is_slow {
+                    Duration::from_secs(7200)
+                } else {
+                    self.task_duration
+                };
+                let completes_at = Instant::now() + duration;
+                machine.tasks.insert(
                     task,
                     Task {
                         attempt,
                         state: TaskState::Running,
                         exit_reason: None,
-                        until,
+                        completes_at,
                     },
                 );
-                let here = m.id.clone();
-                let twice = self.machines.lock().iter().any(|o| {
-                    // Its own lock is held, the others' are tried in turn.
-                    o.try_lock().is_some_and(|o| {
-                        o.id != here
-                            && !o.released
-                            && o.tasks.get(&task).is_some_and(|t| t.state == TaskState::Running)
+                let own_id = machine.id.clone();
+                let runs_twice = self.machines.lock().iter().any(|other| {
+                    // This machine is locked already, so `lock` would deadlock; machines that
+                    // are locked elsewhere are skipped.
+                    other.try_lock().is_some_and(|other| {
+                        other.id != own_id
+                            && !other.released
+                            && other
+                                .tasks
+                                .get(&task)
+                                .is_some_and(|t| t.state == TaskState::Running)
                     })
                 });
-                if twice {
-                    self.doubles.lock().push(task);
+                if runs_twice {
+                    self.tasks_run_twice.lock().push(task);
                 }
             }
             Command::Stop { task, attempt, .. } => {
-                let live = |t: &&mut Task| t.attempt == attempt && t.state != TaskState::Ended;
-                if let Some(t) = m.tasks.get_mut(&task).filter(live) {
-                    (t.state, t.exit_reason) = (TaskState::Ended, Some(ExitReason::Stopped));
-                    self.note(m, task, TaskChange::Ended { done: false });
+                let is_live =
+                    |known: &&mut Task| known.attempt == attempt && known.state != TaskState::Ended;
+                if let Some(known) = machine.tasks.get_mut(&task).filter(is_live) {
+                    (known.state, known.exit_reason) = (TaskState::Ended, Some(ExitReason::Stopped));
+                    self.record_event(machine, task, TaskEventKind::Ended { done: false });
                 }
             }
             Command::Acknowledge { task, attempt } => {
-                if m.tasks.get(&task).is_some_and(|t| t.attempt == attempt) {
-                    m.tasks.remove(&task);
+                if machine
+                    .tasks
+                    .get(&task)
+                    .is_some_and(|known| known.attempt == attempt)
+                {
+                    machine.tasks.remove(&task);
                 }
             }
         }
--- a/tests/support/cloud/heartbeats.rs
+++ b/tests/support/cloud/heartbeats.rs
@@ -1,4 +1,5 @@
-//! The heartbeats of a machine's worker, and what time does to its tasks and its lease.
+//! The heartbeats of a machine's worker, the completion of its tasks and the expiry of its
+//! lease.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -10,86 +11,88 @@
 use tokio::time::sleep;
 
 use super::machine::{next_heartbeat, Machine};
-use super::{Cloud, TaskChange};
+use super::{Cloud, TaskEventKind};
 
-/// How long a worker waits for the response to a heartbeat.
+/// A worker ignores a response to a heartbeat that arrives later than this.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl Cloud {
-    /// Removes all tasks from a machine, whose live ones end.
-    pub(super) fn end_all(&self, m: &mut Machine) {
-        for (task, t) in std::mem::take(&mut m.tasks) {
-            if t.state != TaskState::Ended {
-                self.note(m, task, TaskChange::Ended { done: false });
+    /// Removes all tasks from a machine and records the end of those that haven't ended.
+    pub(super) fn end_all_tasks(&self, machine: &mut Machine) {
+        for (id, task) in std::mem::take(&mut machine.tasks) {
+            if task.state != TaskState::Ended {
+                self.record_event(machine, id, TaskEventKind::Ended { done: false });
             }
         }
     }
 
-    /// Ends the incarnation whose lease has expired, and tasks that have completed.
-    pub(super) fn pass_time(&self, m: &mut Machine) {
+    /// Begins the next incarnation, without tasks, if the lease has expired, and ends the
+    /// tasks that have completed.
+    pub(super) fn expire_lease_and_tasks(&self, machine: &mut Machine) {
         let now = Instant::now();
-        let lease = *self.lease.lock();
-        if lease.is_some_and(|lease| now > m.lease_renewed + lease) {
-            self.end_all(m);
-            m.incarnation += 1;
-            m.lease_renewed = now;
+        let lease = *self.worker_lease.lock();
+        if lease.is_some_and(|lease| now > machine.lease_renewed + lease) {
+            self.end_all_tasks(machine);
+            machine.incarnation += 1;
+            machine.lease_renewed = now;
         }
-        let ended: Vec<TaskId> = m
+        let completed: Vec<TaskId> = machine
             .tasks
             .iter()
-            .filter(|(_, t)| t.state == TaskState::Running && t.until <= now)
-            .map(|(task, _)| *task)
+            .filter(|(_, task)| task.state == TaskState::Running && task.completes_at <= now)
+            .map(|(id, _)| *id)
             .collect();
-        for task in ended {
-            let t = m.tasks.get_mut(&task).expect("just seen");
-            (t.state, t.exit_reason) = (TaskState::Ended, Some(ExitReason::Done));
-            self.note(m, task, TaskChange::Ended { done: true });
+        for id in completed {
+            let task = machine.tasks.get_mut(&id).expect("just seen");
+            (task.state, task.exit_reason) = (TaskState::Ended, Some(ExitReason::Done));
+            self.record_event(machine, id, TaskEventKind::Ended { done: true });
         }
     }
 
-    /// Sends a late copy of a heartbeat, whose response is dropped.
-    pub(super) fn copy_late(&self, body: &[u8], to: &str) {
-        let Some(delay) = *self.late_copies.lock() else {
+    /// Sends a copy of a heartbeat after `late_copy_delay`, if that is set, and ignores the
+    /// response.
+    pub(super) fn send_late_copy(&self, body: &[u8], to: &str) {
+        let Some(delay) = *self.late_copy_delay.lock() else {
             return;
         };
         let (body, to) = (body.to_vec(), to.to_owned());
         tokio::spawn(async move {
             sleep(delay).await;
             let method = hyper::Method::POST;
-            let http = HttpClient::default();
-            let _ = http
+            let client = HttpClient::default();
+            let _ = client
                 .call(method, &to, "/v1/report", Some(body), RESPONSE_TIMEOUT)
                 .await;
         });
     }
 
-    /// The loop of a worker: a heartbeat each 150 ms, to the controller that it was
-    /// redirected to, or to the next one after a failure.
-    pub(super) async fn heartbeat(self: Arc<Self>, m: Arc<Mutex<Machine>>) {
-        let http = HttpClient::default();
-        let mut at = 0;
+    /// The loop of a worker: sends a heartbeat every 150 ms, always to the same controller
+    /// until that redirects it; after a failure, to the next one.
+    pub(super) async fn send_heartbeats(self: Arc<Self>, machine: Arc<Mutex<Machine>>) {
+        let client = HttpClient::default();
+        let mut controller = 0;
         loop {
             sleep(Duration::from_millis(150)).await;
-            self.pass_time(&mut m.lock());
-            if self.mute.load(Ordering::Relaxed) || self.hangs(&m) {
+            self.expire_lease_and_tasks(&mut machine.lock());
+            if self.suppress_heartbeats.load(Ordering::Relaxed) || self.is_hanging(&machine) {
                 continue;
             }
-            let (sent, incarnation) = (Instant::now(), m.lock().incarnation);
+            let (sent_at, incarnation) = (Instant::now(), machine.lock().incarnation);
             let body = {
-                let mut m = m.lock();
-                if m.released {
+                let mut machine = machine.lock();
+                if machine.released {
                     return;
                 }
-                serde_json::to_vec(&next_heartbeat(&mut m)).expect("json")
+                serde_json::to_vec(&next_heartbeat(&mut machine)).expect("json")
             };
-            let controller = at % self.controllers.len();
-            if self.unreachable.lock().contains(&controller) {
-                at += 1;
+            let index = controller % self.controllers.len();
+            if self.unreachable.lock().contains(&index) {
+                controller += 1;
                 continue;
             }
-            let to = self.controllers[controller].1.to_string();
-            self.copy_late(&body, &to);
-            let response = http
+            let to = self.controllers[index].1.to_string();
+            self.send_late_copy(&body, &to);
+            let response = client
                 .call(
                     hyper::Method::POST,
                     &to,
@@ -100,31 +103,31 @@
                 .await;
             match response {
                 Ok(response) if response.status == 200 => {
-                    self.reported.lock().push(body);
+                    self.answered_heartbeats.lock().push(body);
                     let accepted: HeartbeatResponse =
                         serde_json::from_slice(&response.body).expect("a response");
-                    let mut m = m.lock();
-                    let late = sent.elapsed() > RESPONSE_TIMEOUT;
-                    if accepted.token < m.token || m.incarnation != incarnation || late {
+                    let mut machine = machine.lock();
+                    let is_late = sent_at.elapsed() > RESPONSE_TIMEOUT;
+                    if accepted.token < machine.token || machine.incarnation != incarnation || is_late {
                         continue;
                     }
-                    m.token = accepted.token;
-                    m.lease_renewed = m.lease_renewed.max(sent);
-                    for c in accepted.commands {
-                        self.execute(&mut m, c);
+                    machine.token = accepted.token;
+                    machine.lease_renewed = machine.lease_renewed.max(sent_at);
+                    for command in accepted.commands {
+                        self.execute(&mut machine, command);
                     }
                 }
                 Ok(response) if response.status == 421 => {
-                    let to = serde_json::from_slice::<Redirect>(&response.body)
+                    let target = serde_json::from_slice::<Redirect>(&response.body)
                         .expect("a body")
                         .report_to;
-                    at = self
+                    controller = self
                         .controllers
                         .iter()
-                        .position(|c| Some(&c.0) == to.as_ref())
-                        .unwrap_or(at + 1);
+                        .position(|c| Some(&c.0) == target.as_ref())
+                        .unwrap_or(controller + 1);
                 }
-                _ => at += 1,
+                _ => controller += 1,
             }
         }
     }
--- a/tests/support/cloud/machine.rs
+++ b/tests/support/cloud/machine.rs
@@ -1,4 +1,4 @@
-//! A machine of the cloud, its tasks, and the heartbeat that its worker sends.
+//! A machine of the cloud, its tasks, and the heartbeats of its worker.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -10,8 +10,7 @@
     pub(super) attempt: u64,
     pub(super) state: TaskState,
     pub(super) exit_reason: Option<ExitReason>,
-    /// When it completes.
-    pub(super) until: Instant,
+    pub(super) completes_at: Instant,
 }
 
 /// A machine with its worker.
@@ -24,9 +23,9 @@
     pub(super) sequence: u64,
     pub(super) token: u64,
     pub(super) tasks: BTreeMap<TaskId, Task>,
-    /// When the last heartbeat that got a response was sent; the lease runs from there.
+    /// When the last heartbeat that got a response was sent; the lease is counted from then.
     pub(super) lease_renewed: Instant,
-    /// The cloud has released it; its worker has ended.
+    /// Whether a controller has released the machine, which ends its worker.
     pub(super) released: bool,
 }
 
--- a/tests/support/cloud/observations.rs
+++ b/tests/support/cloud/observations.rs
@@ -1,4 +1,4 @@
-//! What tests may read of the cloud: its machines, and the starts and ends of tasks.
+//! The state of the cloud that tests read: its machines, and the starts and ends of tasks.
 
 use std::sync::atomic::Ordering;
 use std::time::Instant;
@@ -8,85 +8,85 @@
 use super::machine::Machine;
 use super::Cloud;
 
-/// A change of a task on a machine.
+/// The start or end of a task on a machine.
 #[derive(Debug, Clone)]
 pub struct TaskEvent {
     pub at: Instant,
     pub task: TaskId,
     pub machine: String,
     pub zone: String,
-    pub what: TaskChange,
+    pub kind: TaskEventKind,
 }
 
-/// What became of a task.
+/// What happened to the task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TaskChange {
+pub enum TaskEventKind {
     Started,
-    /// It is on the machine no longer; `done` says whether it had completed.
+    /// The task no longer runs on the machine. `done`: it has completed.
     Ended {
         done: bool,
     },
 }
 
 impl Cloud {
-    /// Heartbeats that got a response, oldest first.
-    pub fn reported(&self) -> Vec<Vec<u8>> {
-        self.reported.lock().clone()
+    /// Bodies of the heartbeats that got the status 200, oldest first.
+    pub fn answered_heartbeats(&self) -> Vec<Vec<u8>> {
+        self.answered_heartbeats.lock().clone()
     }
 
-    /// How many requests with commands wait for a response of a machine that hangs.
+    /// The number of command requests that wait for a response of a hanging machine.
     pub fn hanging_commands(&self) -> usize {
         self.hanging_commands.load(Ordering::Relaxed)
     }
 
-    /// How often tasks of a job were started by a command that was carried out.
-    pub fn starts_of(&self, job: &str) -> usize {
+    /// The number of start commands for tasks of a job in the executed batches.
+    pub fn start_count(&self, job: &str) -> usize {
         let job: JobId = job.parse().expect("an id");
-        let carried_out = self.carried_out.lock();
-        let commands = carried_out.iter().flat_map(|(_, c)| &c.commands);
+        let batches = self.executed_batches.lock();
+        let commands = batches.iter().flat_map(|(_, batch)| &batch.commands);
         commands
             .filter(|c| matches!(c, Command::Start { task, .. } if task.job == job))
             .count()
     }
 
-    /// Machines without tasks.
-    pub fn empty_machines(&self) -> Vec<String> {
+    /// The ids of the machines without tasks.
+    pub fn idle_machines(&self) -> Vec<String> {
         let all = self.machines.lock();
-        let empty = all
+        let idle = all
             .iter()
             .map(|m| m.lock())
             .filter(|m| !m.released && m.tasks.is_empty());
-        empty.map(|m| m.id.to_string()).collect()
+        idle.map(|m| m.id.to_string()).collect()
     }
 
-    /// How many tasks run.
-    pub fn running(&self) -> usize {
+    /// The number of running tasks.
+    pub fn running_tasks(&self) -> usize {
         let all = self.machines.lock();
-        let present = all.iter().map(|m| m.lock()).filter(|m| !m.released);
-        present
+        let rented = all.iter().map(|m| m.lock()).filter(|m| !m.released);
+        rented
             .map(|m| m.tasks.values().filter(|t| t.state == TaskState::Running).count())
             .sum()
     }
 
-    /// The machines that have not been released.
-    pub fn names(&self) -> Vec<String> {
+    /// The ids of the machines that have not been released.
+    pub fn machine_ids(&self) -> Vec<String> {
         let all = self.machines.lock();
-        let present = all.iter().map(|m| m.lock()).filter(|m| !m.released);
-        present.map(|m| m.id.to_string()).collect()
+        let rented = all.iter().map(|m| m.lock()).filter(|m| !m.released);
+        rented.map(|m| m.id.to_string()).collect()
     }
 
-    /// All starts and ends of tasks, in the order of time.
+    /// All starts and ends of tasks, oldest first.
     pub fn events(&self) -> Vec<TaskEvent> {
         self.events.lock().clone()
     }
 
-    pub(super) fn note(&self, m: &Machine, task: TaskId, what: TaskChange) {
+    pub(super) fn record_event(&self, machine: &Machine, task: TaskId, kind: TaskEventKind) {
         self.events.lock().push(TaskEvent {
             at: Instant::now(),
             task,
-            machine: m.id.to_string(),
-            zone: m.zone.clone(),
-            what,
+            machine: machine.id.to_string(),
+            zone: machine.zone.clone(),
+            kind,
         });
     }
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests share: settings, jobs and machines of a site for tests.
+//! Settings, job specs, machine types and heartbeats that several tests share.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -13,6 +13,8 @@
     ExitReason, Heartbeat, JobKind, JobSpec, MachineId, MachineType, Priority, ReportedTask, TaskState,
 };
 
+/// A valid settings file. It has fields that the program doesn't know and must ignore,
+/// such as `something_new`.
 pub const SETTINGS: &str = r#"
 host_name = "heron-0"
 zone = "north"
@@ -64,20 +66,26 @@
 list_lag_s = 4.0
 "#;
 
-pub fn deployment() -> DeploymentSettings {
+/// The deployment settings parsed from [`SETTINGS`].
+pub fn deployment_settings() -> DeploymentSettings {
     DeploymentSettings::parse(SETTINGS, "test").expect("valid settings")
 }
 
+/// An empty cluster model of a leader in `term`, which knows the [`machine_types`].
 pub fn model(term: u64) -> ClusterModel {
-    let mut m = ClusterModel::new(
-        Arc::new(SchedulerConfig::new(&deployment(), OperatorSettings::default())),
+    let mut model = ClusterModel::new(
+        Arc::new(SchedulerConfig::new(
+            &deployment_settings(),
+            OperatorSettings::default(),
+        )),
         term,
     );
-    m.set_machine_types(types());
-    m
+    model.set_machine_types(machine_types());
+    model
 }
 
-pub fn types() -> Vec<MachineType> {
+/// Two machine types, each offered in both zones.
+pub fn machine_types() -> Vec<MachineType> {
     [("small", 8.0, 16.0, 0.4), ("large", 32.0, 64.0, 1.5)]
         .into_iter()
         .map(|(name, cpus, memory_gb, price)| MachineType {
@@ -95,6 +103,7 @@
         .collect()
 }
 
+/// The spec of the job `job-{n:06}`: an array job of team `blue`.
 pub fn job(n: u32, tasks: u32, cpus: f64) -> JobSpec {
     JobSpec {
         id: format!("job-{n:06}").parse().expect("an id"),
@@ -121,7 +130,8 @@
     }
 }
 
-pub fn record(spec: JobSpec) -> JobRecord {
+/// The record of a job that was accepted at time 0 and isn't cancelled.
+pub fn job_record(spec: JobSpec) -> JobRecord {
     JobRecord {
         spec,
         accepted_at_ms: 0,
@@ -129,7 +139,7 @@
     }
 }
 
-/// A heartbeat of an idle machine that has seen a token of the term.
+/// A heartbeat of a machine without tasks whose latest fencing token is from `term`.
 pub fn heartbeat(
     machine: &str,
     machine_type: &str,
@@ -152,23 +162,24 @@
     }
 }
 
-/// The tasks of a machine's slots, as its heartbeat would list them: all run.
-pub fn running(m: &ClusterModel, id: &MachineId) -> Vec<ReportedTask> {
-    all_in_state(m, id, TaskState::Running)
+/// The tasks in a machine's slots as its heartbeat reports them if all are running.
+pub fn reported_running(model: &ClusterModel, id: &MachineId) -> Vec<ReportedTask> {
+    reported_in_state(model, id, TaskState::Running)
 }
 
-/// The tasks of a machine's slots, as its heartbeat would list them: all fetch their image.
-pub fn fetching(m: &ClusterModel, id: &MachineId) -> Vec<ReportedTask> {
-    all_in_state(m, id, TaskState::Fetching)
+/// The tasks in a machine's slots as its heartbeat reports them if all are fetching
+/// their image.
+pub fn reported_fetching(model: &ClusterModel, id: &MachineId) -> Vec<ReportedTask> {
+    reported_in_state(model, id, TaskState::Fetching)
 }
 
-fn all_in_state(m: &ClusterModel, id: &MachineId, state: TaskState) -> Vec<ReportedTask> {
-    m.machines()[id]
+fn reported_in_state(model: &ClusterModel, id: &MachineId, state: TaskState) -> Vec<ReportedTask> {
+    model.machines()[id]
         .slots
         .iter()
-        .map(|(t, s)| ReportedTask {
-            task: *t,
-            attempt: s.attempt,
+        .map(|(task, slot)| ReportedTask {
+            task: *task,
+            attempt: slot.attempt,
             state,
             exit_reason: None,
             saved: None,
@@ -176,28 +187,29 @@
         .collect()
 }
 
-/// The same, the first so many of them done.
-pub fn ended(m: &ClusterModel, id: &MachineId, first: usize) -> Vec<ReportedTask> {
-    let mut tasks = running(m, id);
-    for t in tasks.iter_mut().take(first) {
-        (t.state, t.exit_reason) = (TaskState::Ended, Some(ExitReason::Done));
+/// Like [`reported_running`], but the first `count` tasks have ended successfully.
+pub fn reported_ended(model: &ClusterModel, id: &MachineId, count: usize) -> Vec<ReportedTask> {
+    let mut tasks = reported_running(model, id);
+    for task in tasks.iter_mut().take(count) {
+        (task.state, task.exit_reason) = (TaskState::Ended, Some(ExitReason::Done));
     }
     tasks
 }
 
-/// Notes that tasks of a job failed on three machines, which aren't among those
-/// of the test, each after it had run for `run`.
-pub fn fail_on_three_machines(job: &mut Job, run: Duration, now: Instant) {
+/// Records that a task of a job failed on each of three machines that the tests don't
+/// use otherwise, after it had run for `run_time`.
+pub fn fail_on_three_machines(job: &mut Job, run_time: Duration, now: Instant) {
     for id in ["i-91", "i-92", "i-93"] {
-        job.failures.record(&id.into(), run, now);
+        job.failures.record(&id.into(), run_time, now);
     }
 }
 
-pub fn secs(s: u64) -> Duration {
-    Duration::from_secs(s)
+pub fn secs(seconds: u64) -> Duration {
+    Duration::from_secs(seconds)
 }
 
+/// The instant at which a test's simulated time begins.
 pub fn start() -> Instant {
-    // Well after the clock's zero, so that times before it exist.
+    // Far after the zero of the monotonic clock, so that tests can compute earlier instants.
     Instant::now() + Duration::from_secs(100_000)
 }
--- a/tests/support/site.rs
+++ b/tests/support/site.rs
@@ -1,4 +1,5 @@
-//! A whole site on loopback, for tests through the real endpoints.
+//! A whole site on loopback: controllers with their real endpoints, against stand-ins of
+//! the state service and the cloud.
 #![allow(dead_code)]
 
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,81 +12,82 @@
 use serde_json::{json, Value};
 use tokio::time::sleep;
 
-use crate::standins::{send_request, Cloud, State};
+use crate::standins::{send_request, Cloud, StateService};
 use crate::support;
 
-/// Far above what anything here takes; a test that waits so long has failed.
-pub const LONG: Duration = Duration::from_secs(60);
+/// How long a test waits for a condition before it fails; far longer than any of them takes.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// An address of loopback that no other server of any test uses. On a common one, a
-/// port that becomes free while a controller is down may be taken by a stand-in,
-/// which then responds in its place.
+/// An address on a loopback IP that no other server of any test uses. If servers shared
+/// an IP, a stand-in could take the port of a controller that is down and respond in
+/// its place.
 fn free_address() -> SocketAddr {
-    static TAKEN: AtomicU8 = AtomicU8::new(1);
-    let process = std::process::id();
-    let own = Ipv4Addr::new(
+    static NEXT_OCTET: AtomicU8 = AtomicU8::new(1);
+    let process_id = std::process::id();
+    let ip = Ipv4Addr::new(
         127,
-        100 + (process % 100) as u8,
-        (process / 100 % 250) as u8,
-        TAKEN.fetch_add(1, Ordering::Relaxed),
+        100 + (process_id % 100) as u8,
+        (process_id / 100 % 250) as u8,
+        NEXT_OCTET.fetch_add(1, Ordering::Relaxed),
     );
-    let listener = std::net::TcpListener::bind((own, 0)).expect("a port");
+    let listener = std::net::TcpListener::bind((ip, 0)).expect("a port");
     listener.local_addr().expect("an address")
 }
 
 /// The id of the job with this number.
-pub fn job_name(n: u32) -> String {
+pub fn job_id(n: u32) -> String {
     format!("job-{n:06}")
 }
 
 /// Three controllers, a state service and a cloud.
 pub struct Site {
-    pub state: Arc<State>,
+    pub state: Arc<StateService>,
     pub cloud: Arc<Cloud>,
-    pub api: Vec<SocketAddr>,
-    pub back: Vec<SocketAddr>,
-    texts: Vec<String>,
-    stops: Vec<Option<std::sync::mpsc::Sender<()>>>,
+    pub api_addrs: Vec<SocketAddr>,
+    pub peer_addrs: Vec<SocketAddr>,
+    settings: Vec<String>,
+    /// Dropping a controller's sender kills the controller; `None`: it doesn't run.
+    stop_senders: Vec<Option<std::sync::mpsc::Sender<()>>>,
 }
 
 impl Site {
-    /// A site with default settings, whose tasks run for `run`.
-    pub async fn start(run: Duration) -> Self {
-        Self::with(run, |text| text).await
+    /// Starts a site with default settings, whose tasks run for `task_duration`.
+    pub async fn start(task_duration: Duration) -> Self {
+        Self::with_settings(task_duration, |settings| settings).await
     }
 
-    /// A site whose settings are changed by `edit`.
-    pub async fn with(run: Duration, edit: impl Fn(String) -> String) -> Self {
-        let mut site = Self::without_controllers(run, edit).await;
+    /// Starts a site; `edit` changes the settings text of each controller.
+    pub async fn with_settings(task_duration: Duration, edit: impl Fn(String) -> String) -> Self {
+        let mut site = Self::without_controllers(task_duration, edit).await;
         for i in 0..3 {
-            site.boot(i);
+            site.start_controller(i);
         }
         site
     }
 
-    /// The same, none of whose controllers has been started.
-    pub async fn without_controllers(run: Duration, edit: impl Fn(String) -> String) -> Self {
-        let api: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
-        let back: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
-        let state = Arc::new(State::default());
+    /// Like [`with_settings`](Self::with_settings), but starts no controller.
+    pub async fn without_controllers(task_duration: Duration, edit: impl Fn(String) -> String) -> Self {
+        let api_addrs: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
+        let peer_addrs: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
+        let state = Arc::new(StateService::default());
         let mut state_addrs = Vec::new();
         for i in 0..3 {
             state_addrs.push(state.start(i).await);
         }
-        let names = (0..3).map(|i| (format!("heron-{i}"), api[i])).collect();
-        let cloud = Cloud::new(names, run);
+        let controllers = (0..3).map(|i| (format!("heron-{i}"), api_addrs[i])).collect();
+        let cloud = Cloud::new(controllers, task_duration);
         let cloud_addr = cloud.start().await;
-        let texts = (0..3)
+        let settings = (0..3)
             .map(|i| {
                 let seeds: String = (0..3)
                     .filter(|j| *j != i)
-                    .map(|j| format!("[[seeds]]\nhost_name = \"heron-{j}\"\nendpoint = \"{}\"\n", back[j]))
+                    .map(|j| format!("[[seeds]]\nhost_name = \"heron-{j}\"\nendpoint = \"{}\"\n", peer_addrs[j]))
                     .collect();
                 let rest = support::SETTINGS.split("[services]").nth(1).expect("a table");
                 edit(format!(
                     "host_name = \"heron-{i}\"\nzone = \"north\"\napi_addr = \"{}\"\nback = \"{}\"\n{seeds}[services]{}",
-                    api[i],
-                    back[i],
+                    api_addrs[i],
+                    peer_addrs[i],
                     rest.replace("127.0.0.1:4", &cloud_addr.to_string())
                         .replace("127.0.0.1:5", &state_addrs[i].to_string()),
                 ))
@@ -94,31 +96,31 @@
         Self {
             state,
             cloud,
-            api,
-            back,
-            texts,
-            stops: vec![None, None, None],
+            api_addrs,
+            peer_addrs,
+            settings,
+            stop_senders: vec![None, None, None],
         }
     }
 
-    /// A controller's settings.
+    /// The text of a controller's settings file.
     pub fn settings(&self, i: usize) -> &str {
-        &self.texts[i]
+        &self.settings[i]
     }
 
-    /// Runs a controller on a thread of its own, as a process would.
-    pub fn boot(&mut self, i: usize) {
-        let deployment = DeploymentSettings::parse(&self.texts[i], "test").expect("settings");
-        let (tx, rx) = std::sync::mpsc::channel::<()>();
-        self.stops[i] = Some(tx);
+    /// Starts a controller on a thread and runtime of its own, as in a process of its own.
+    pub fn start_controller(&mut self, i: usize) {
+        let deployment = DeploymentSettings::parse(&self.settings[i], "test").expect("settings");
+        let (stop_sender, stop_receiver) = std::sync::mpsc::channel::<()>();
+        self.stop_senders[i] = Some(stop_sender);
         std::thread::spawn(move || {
-            let rt = tokio::runtime::Builder::new_current_thread()
+            let runtime = tokio::runtime::Builder::new_current_thread()
                 .enable_all()
                 .build()
                 .expect("a runtime");
-            rt.block_on(async move {
+            runtime.block_on(async move {
                 tokio::spawn(async move {
-                    // A restart may find the port still closing.
+                    // After a restart, the port may not be free again yet.
                     while leader::run(deployment.clone(), OperatorSettings::default())
                         .await
                         .is_err()
@@ -126,93 +128,109 @@
                         sleep(Duration::from_millis(50)).await;
                     }
                 });
-                while rx.try_recv() == Err(std::sync::mpsc::TryRecvError::Empty) {
+                while stop_receiver.try_recv() == Err(std::sync::mpsc::TryRecvError::Empty) {
                     sleep(Duration::from_millis(20)).await;
                 }
             });
         });
     }
 
-    /// Which controller leads, if one does.
+    /// The number of the leading controller, if there is a leader.
     pub fn leader(&self) -> Option<usize> {
         self.state.leader()?.strip_prefix("heron-")?.parse().ok()
     }
 
-    /// Waits until somebody leads.
-    pub async fn until_some_leader(&self) {
+    /// Waits until a controller has been elected leader.
+    pub async fn wait_for_leader(&self) {
         let began = Instant::now();
         while self.leader().is_none() {
-            assert!(began.elapsed() < LONG, "nobody is elected");
+            assert!(began.elapsed() < TEST_TIMEOUT, "no leader was elected");
             sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// Waits until as many tasks run as `enough` says.
-    pub async fn until_running(&self, enough: impl Fn(usize) -> bool) {
+    /// Waits until `is_expected` holds for the number of running tasks.
+    pub async fn wait_for_running_tasks(&self, is_expected: impl Fn(usize) -> bool) {
         let began = Instant::now();
-        while !enough(self.cloud.running()) {
-            assert!(began.elapsed() < LONG, "{} tasks run", self.cloud.running());
+        while !is_expected(self.cloud.running_tasks()) {
+            assert!(
+                began.elapsed() < TEST_TIMEOUT,
+                "{} tasks run",
+                self.cloud.running_tasks()
+            );
             sleep(Duration::from_millis(50)).await;
         }
     }
 
-    /// Whether a controller was booted and not killed since.
+    /// Whether a controller has been started and not killed since.
     pub fn is_up(&self, i: usize) -> bool {
-        self.stops[i].is_some()
+        self.stop_senders[i].is_some()
     }
 
-    /// Kills a controller.
-    pub fn kill(&mut self, i: usize) {
-        self.stops[i] = None;
+    /// Kills a controller: its runtime is dropped with everything that runs on it.
+    pub fn kill_controller(&mut self, i: usize) {
+        self.stop_senders[i] = None;
     }
 
-    /// A job of tasks with 2 CPUs.
+    /// The body that submits job `n`, whose tasks have 2 CPUs each.
     pub fn job(&self, n: u32, tasks: u32) -> Value {
-        let mut v = serde_json::to_value(support::job(n, tasks, 2.0)).expect("json");
-        v["expected_s"] = json!(1.0);
-        v
+        let mut body = serde_json::to_value(support::job(n, tasks, 2.0)).expect("json");
+        body["expected_s"] = json!(1.0);
+        body
     }
 
-    /// A job that waits for others.
+    /// The body that submits a job that depends on others.
     pub fn job_awaiting(&self, n: u32, tasks: u32, others: &[u32]) -> Value {
-        let mut v = self.job(n, tasks);
-        v["awaits"] = json!(others.iter().map(|other| job_name(*other)).collect::<Vec<_>>());
-        v
+        let mut body = self.job(n, tasks);
+        body["awaits"] = json!(others.iter().map(|other| job_id(*other)).collect::<Vec<_>>());
+        body
     }
 
-    /// Repeats a request until its response has another status than 503.
-    pub async fn insist(&self, method: &str, at: usize, path: &str, body: Option<Value>) -> (u16, Value) {
+    /// Sends a request to controller `at`, and repeats it after a response of 503 or none at
+    /// all.
+    pub async fn request_with_retries(
+        &self,
+        method: &str,
+        at: usize,
+        path: &str,
+        body: Option<Value>,
+    ) -> (u16, Value) {
         let began = Instant::now();
         loop {
-            let (status, body) = send_request(method, self.api[at], path, body.clone()).await;
+            let (status, body) = send_request(method, self.api_addrs[at], path, body.clone()).await;
             if status != 503 && status != 0 {
                 return (status, body);
             }
-            assert!(began.elapsed() < LONG, "{method} {path} gets no response but 503");
+            assert!(
+                began.elapsed() < TEST_TIMEOUT,
+                "{method} {path} got only 503 or no response"
+            );
             sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// Polls a job at a controller until it has this state; the response's body.
-    pub async fn until(&self, at: usize, job: &str, state: &str) -> Value {
+    /// Polls a job at controller `at` until it has this state; returns the response's body.
+    pub async fn wait_for_state(&self, at: usize, job: &str, state: &str) -> Value {
         let began = Instant::now();
         loop {
-            let (status, v) = self.insist("GET", at, &format!("/v2/runs/{job}"), None).await;
-            assert_eq!(status, 200, "{job}: {v}");
-            if v["standing"] == state {
-                return v;
+            let (status, view) = self
+                .request_with_retries("GET", at, &format!("/v2/runs/{job}"), None)
+                .await;
+            assert_eq!(status, 200, "{job}: {view}");
+            if view["standing"] == state {
+                return view;
             }
-            assert!(began.elapsed() < LONG, "{job} is still {v}");
+            assert!(began.elapsed() < TEST_TIMEOUT, "{job} is still {view}");
             sleep(Duration::from_millis(100)).await;
         }
     }
 }
 
-/// Runs a test in a runtime of its own.
-pub fn on_loopback<F: std::future::Future>(f: F) -> F::Output {
+/// Runs a test's future on a new single-threaded runtime.
+pub fn run_async_test<F: std::future::Future>(test: F) -> F::Output {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime")
-        .block_on(f)
+        .block_on(test)
 }
--- a/tests/support/standins.rs
+++ b/tests/support/standins.rs
@@ -1,5 +1,5 @@
-//! Stand-ins for the external services, speaking their protocols on loopback: a state
-//! service ([`State`]), and a cloud with its workers ([`Cloud`]).
+//! Stand-ins for the external services, which speak their protocols on loopback: a state
+//! service ([`StateService`]), and a cloud with its workers ([`Cloud`]).
 #![allow(dead_code)]
 
 pub mod cloud;
@@ -15,18 +15,19 @@
 use warp::Filter;
 
 pub use cloud::Cloud;
-pub use state_service::State;
+pub use state_service::StateService;
 
 /// The status and body of a response.
-type Json = (u16, Value);
+type JsonResponse = (u16, Value);
 
-fn json_response((status, body): Json) -> impl warp::Reply {
+fn json_response((status, body): JsonResponse) -> impl warp::Reply {
     warp::reply::with_status(
         warp::reply::json(&body),
         warp::http::StatusCode::from_u16(status).expect("a status"),
     )
 }
 
+/// Serves these routes on a free port of 127.0.0.1; returns the address.
 async fn serve<F>(routes: F) -> SocketAddr
 where
     F: Filter<Error = warp::Rejection> + Clone + Send + Sync + 'static,
@@ -38,16 +39,20 @@
     addr
 }
 
-/// Sends a user's request; the status and the body, or 0 and null without a response.
+/// Sends a request. Returns the status and the body, or 0 and null if there is no
+/// response.
 pub async fn send_request(method: &str, addr: SocketAddr, path: &str, body: Option<Value>) -> (u16, Value) {
-    let http = HttpClient::default();
+    let client = HttpClient::default();
     let method = hyper::Method::from_bytes(method.as_bytes()).expect("a method");
-    let body = body.map(|b| Bytes::from(b.to_string()).to_vec());
-    match http
+    let body = body.map(|body| Bytes::from(body.to_string()).to_vec());
+    match client
         .call(method, &addr.to_string(), path, body, Duration::from_secs(5))
         .await
     {
-        Ok(r) => (r.status, serde_json::from_slice(&r.body).unwrap_or(Value::Null)),
+        Ok(response) => (
+            response.status,
+            serde_json::from_slice(&response.body).unwrap_or(Value::Null),
+        ),
         Err(_) => (0, Value::Null),
     }
 }
--- a/tests/support/state_service/data.rs
+++ b/tests/support/state_service/data.rs
@@ -1,4 +1,4 @@
-//! What the state service stores, and what it remembers for tests.
+//! The data of the state service, the faults that are injected and the observations.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -6,50 +6,55 @@
 use bitternfold::wire::*;
 use serde_json::Value;
 
-/// Each `every`-th transaction gets no response and is carried out after the delay.
+/// Fault: every `every`-th transaction is carried out after `delay`, and its response comes
+/// too late for its sender.
 #[derive(Clone, Copy)]
 pub struct LateWrites {
     pub every: u64,
     pub delay: Duration,
 }
 
-/// What became of late transactions.
+/// How many late transactions failed and how many were applied.
 #[derive(Clone, Copy, Default)]
 pub struct LateOutcomes {
-    /// Those that failed by their conditions.
+    /// Transactions that got another status than 200, such as when a condition didn't hold.
     pub failed: u32,
-    /// Those that were carried out.
+    /// Transactions that got the status 200.
     pub applied: u32,
 }
 
 #[derive(Default)]
 pub(super) struct Data {
     pub(super) revision: u64,
-    /// Each key's value, revision, and the lease that it ends with, if any.
+    /// The value of each key, the revision of its latest change, and the lease with whose end
+    /// it is deleted, if any.
     pub(super) keys: BTreeMap<String, (Value, u64, Option<u64>)>,
-    /// Each lease's duration and expiry.
+    /// The duration and the expiry time of each lease.
     pub(super) leases: HashMap<u64, (Duration, Instant)>,
-    /// The changes of keys, with revision; no value: the key was deleted.
-    pub(super) log: Vec<(u64, String, Option<Value>)>,
-    pub(super) next_lease: u64,
-    pub(super) down: bool,
-    /// How often a single key was read.
-    pub(super) reads: u64,
-    /// Transactions that were carried out.
-    pub(super) carried_out: Vec<Transaction>,
+    /// The changes of keys that watches report, by revision, oldest first; `None`: the key
+    /// was deleted.
+    pub(super) changes: Vec<(u64, String, Option<Value>)>,
+    /// The id of the lease that was granted last.
+    pub(super) last_lease: u64,
+    /// Fault: every request gets the status 503, except watches, which wait for its end.
+    pub(super) is_down: bool,
+    /// The number of requests that read a single key.
+    pub(super) key_reads: u64,
+    /// All transactions that were applied, oldest first.
+    pub(super) applied: Vec<Transaction>,
     /// Which transactions are carried out late, if any.
-    pub(super) late: Option<LateWrites>,
-    /// Transactions that arrived while `late` was set.
+    pub(super) late_writes: Option<LateWrites>,
+    /// The number of transactions that arrived while `late_writes` was set.
     pub(super) arrived: u64,
     pub(super) late_outcomes: LateOutcomes,
-    /// Limits on a value's bytes and a transaction's changes, if it has any.
+    /// The largest accepted value in bytes and number of changes of a transaction, if limited.
     pub(super) size_limits: Option<(usize, usize)>,
-    /// How many transactions were refused for these limits.
-    pub(super) too_large: u32,
-    /// Refuses so many of the next transactions for their rate.
-    pub(super) refuse_for_rate: u32,
-    /// Controllers whose requests are refused, while others are served.
-    pub(super) refused: BTreeSet<usize>,
+    /// The number of transactions that were refused for these limits.
+    pub(super) oversized_transactions: u32,
+    /// Fault: this many of the next transactions get the status 429.
+    pub(super) rate_limit_next: u32,
+    /// Fault: controllers whose requests get the status 503.
+    pub(super) refused_controllers: BTreeSet<usize>,
 }
 
 impl Data {
@@ -59,13 +64,13 @@
         let expired_keys: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, k)| k.2 == Some(id))
-            .map(|(k, _)| k.clone())
+            .filter(|(_, stored)| stored.2 == Some(id))
+            .map(|(key, _)| key.clone())
             .collect();
-        for k in expired_keys {
+        for key in expired_keys {
             self.revision += 1;
-            self.keys.remove(&k);
-            self.log.push((self.revision, k, None));
+            self.keys.remove(&key);
+            self.changes.push((self.revision, key, None));
         }
     }
 }
--- a/tests/support/state_service/faults.rs
+++ b/tests/support/state_service/faults.rs
@@ -1,49 +1,51 @@
-//! The faults of the state service that tests inject.
+//! Faults of the state service that tests inject.
 
 use std::time::Instant;
 
 use serde_json::Value;
 
-use super::{LateWrites, State};
+use super::{LateWrites, StateService};
 
-impl State {
-    /// Makes it refuse everything, or serve again with all leases renewed.
-    pub fn outage(&self, down: bool) {
-        let mut d = self.0.lock();
-        d.down = down;
+impl StateService {
+    /// Begins or ends an outage, in which every request gets the status 503, except watches,
+    /// which wait for its end. Renews all leases either way.
+    pub fn set_outage(&self, is_down: bool) {
+        let mut data = self.0.lock();
+        data.is_down = is_down;
         let now = Instant::now();
-        d.leases.values_mut().for_each(|h| h.1 = now + h.0);
+        data.leases.values_mut().for_each(|lease| lease.1 = now + lease.0);
     }
 
-    /// From now on larger values and transactions get 400.
-    pub fn limit_sizes(&self, value_bytes: usize, txn_ops: usize) {
-        self.0.lock().size_limits = Some((value_bytes, txn_ops));
+    /// From now on, transactions with a larger value or more changes get the status 400.
+    pub fn limit_sizes(&self, max_value_bytes: usize, max_changes: usize) {
+        self.0.lock().size_limits = Some((max_value_bytes, max_changes));
     }
 
-    /// Refuses so many of the next transactions for their rate.
-    pub fn refuse_for_rate(&self, transactions: u32) {
-        self.0.lock().refuse_for_rate = transactions;
+    /// Makes this many of the next transactions get the status 429.
+    pub fn rate_limit_next(&self, transactions: u32) {
+        self.0.lock().rate_limit_next = transactions;
     }
 
-    /// Refuses one controller while others are served, or serves it again.
-    pub fn refuse(&self, who: usize, refused: bool) {
-        let mut d = self.0.lock();
-        if refused {
-            d.refused.insert(who);
+    /// Refuses the requests of one controller from now on, or serves them again. Other
+    /// controllers are served all the time.
+    pub fn set_controller_refused(&self, controller: usize, is_refused: bool) {
+        let mut data = self.0.lock();
+        if is_refused {
+            data.refused_controllers.insert(controller);
         } else {
-            d.refused.remove(&who);
+            data.refused_controllers.remove(&controller);
         }
     }
 
-    /// Writes a key that no controller has written.
-    pub fn plant(&self, key: &str, value: Value) {
-        let mut d = self.0.lock();
-        d.revision += 1;
-        let revision = d.revision;
-        d.keys.insert(key.to_owned(), (value, revision, None));
+    /// Writes a key on behalf of no controller. Watches don't report the change.
+    pub fn put_directly(&self, key: &str, value: Value) {
+        let mut data = self.0.lock();
+        data.revision += 1;
+        let revision = data.revision;
+        data.keys.insert(key.to_owned(), (value, revision, None));
     }
 
-    /// Ends every lease: whoever leads is deposed.
+    /// Ends every lease, which deposes the leader.
     pub fn end_leases(&self) {
         let ids: Vec<u64> = self.0.lock().leases.keys().copied().collect();
         for id in ids {
@@ -51,15 +53,17 @@
         }
     }
 
-    /// From now on some transactions are carried out late and get no response.
-    pub fn late_writes(&self, late: Option<LateWrites>) {
-        self.0.lock().late = late;
+    /// Makes some transactions late from now on; `None`: no further ones.
+    pub fn set_late_writes(&self, late_writes: Option<LateWrites>) {
+        self.0.lock().late_writes = late_writes;
     }
 
-    /// Late copies of all transactions that were carried out arrive; how many
-    /// are carried out once more.
-    pub fn repeat_all(&self) -> usize {
-        let all = self.0.lock().carried_out.clone();
-        all.iter().filter(|t| self.multi(t).0 == 200).count()
+    /// Delivers all applied transactions once more. Returns how many are applied again.
+    pub fn replay_transactions(&self) -> usize {
+        let applied = self.0.lock().applied.clone();
+        applied
+            .iter()
+            .filter(|transaction| self.apply_transaction(transaction).0 == 200)
+            .count()
     }
 }
--- a/tests/support/state_service/mod.rs
+++ b/tests/support/state_service/mod.rs
@@ -1,4 +1,5 @@
-//! A state service in memory, with faults that tests inject.
+//! A stand-in of the state service, which keeps its data in memory, with faults that tests
+//! inject.
 
 mod data;
 mod faults;
@@ -18,17 +19,18 @@
 use data::Data;
 pub use data::{LateOutcomes, LateWrites};
 
-/// A state service in memory.
+/// A state service that keeps its data in memory.
 #[derive(Default)]
-pub struct State(Mutex<Data>);
+pub struct StateService(Mutex<Data>);
 
-impl State {
-    /// Starts an endpoint for one controller; its address.
-    pub async fn start(self: &Arc<Self>, who: usize) -> SocketAddr {
-        let s = self.clone();
-        let gate = warp::any()
+impl StateService {
+    /// Starts the endpoint for one controller on a free port of 127.0.0.1; returns the
+    /// address. Each controller has its own, so that tests can refuse its requests alone.
+    pub async fn start(self: &Arc<Self>, controller: usize) -> SocketAddr {
+        let state = self.clone();
+        let check_refused = warp::any()
             .and_then(move || {
-                let refused = s.0.lock().refused.contains(&who);
+                let refused = state.0.lock().refused_controllers.contains(&controller);
                 async move {
                     if refused {
                         Err(warp::reject::reject())
@@ -38,49 +40,61 @@
                 }
             })
             .untuple_one();
-        let s = self.clone();
-        let with = warp::any().map(move || s.clone());
+        let state = self.clone();
+        let with_state = warp::any().map(move || state.clone());
         let query = warp::query::<HashMap<String, String>>();
         let list = warp::get()
             .and(warp::path!("kv"))
             .and(query)
-            .and(with.clone())
-            .map(|q: HashMap<String, String>, s: Arc<State>| json_response(s.list(&q)));
+            .and(with_state.clone())
+            .map(|query: HashMap<String, String>, state: Arc<StateService>| {
+                json_response(state.list(&query))
+            });
         let get = warp::get()
             .and(warp::path("kv"))
             .and(warp::path::tail())
-            .and(with.clone())
-            .map(|t: warp::path::Tail, s: Arc<State>| json_response(s.get(t.as_str())));
-        let multi = warp::post()
+            .and(with_state.clone())
+            .map(|key: warp::path::Tail, state: Arc<StateService>| json_response(state.get(key.as_str())));
+        let transaction = warp::post()
             .and(warp::path!("multi"))
             .and(warp::body::json())
-            .and(with.clone())
-            .then(|t: Transaction, s: Arc<State>| async move { json_response(s.multi_or_late(&t).await) });
+            .and(with_state.clone())
+            .then(|transaction: Transaction, state: Arc<StateService>| async move {
+                json_response(state.apply_or_delay(&transaction).await)
+            });
         let grant_lease = warp::post()
             .and(warp::path!("holds"))
             .and(warp::body::json())
-            .and(with.clone())
-            .map(|b: Value, s: Arc<State>| json_response(s.grant_lease(b["life_ms"].as_u64().unwrap_or(0))));
+            .and(with_state.clone())
+            .map(|body: Value, state: Arc<StateService>| {
+                json_response(state.grant_lease(body["life_ms"].as_u64().unwrap_or(0)))
+            });
         let renew_lease = warp::post()
             .and(warp::path!("holds" / u64 / "touch"))
-            .and(with.clone())
-            .map(|id, s: Arc<State>| json_response(s.renew_lease(id)));
+            .and(with_state.clone())
+            .map(|id, state: Arc<StateService>| json_response(state.renew_lease(id)));
         let end_lease = warp::delete()
             .and(warp::path!("holds" / u64))
-            .and(with.clone())
-            .map(|id, s: Arc<State>| json_response(s.end_lease(id)));
-        let watch = warp::get().and(warp::path!("watch")).and(query).and(with).then(
-            |q: HashMap<String, String>, s: Arc<State>| async move { json_response(s.watch(&q).await) },
-        );
+            .and(with_state.clone())
+            .map(|id, state: Arc<StateService>| json_response(state.end_lease(id)));
+        let watch = warp::get()
+            .and(warp::path!("watch"))
+            .and(query)
+            .and(with_state)
+            .then(
+                |query: HashMap<String, String>, state: Arc<StateService>| async move {
+                    json_response(state.watch(&query).await)
+                },
+            );
         let routes = list
             .or(get)
-            .or(multi)
+            .or(transaction)
             .or(grant_lease)
             .or(renew_lease)
             .or(end_lease)
             .or(watch);
         let refusal =
             |_| async { Ok::<_, warp::Rejection>(json_response((503, json!({"error": "trouble"})))) };
-        serve(gate.and(routes).recover(refusal)).await
+        serve(check_refused.and(routes).recover(refusal)).await
     }
 }
--- a/tests/support/state_service/requests.rs
+++ b/tests/support/state_service/requests.rs
@@ -1,4 +1,4 @@
-//! The requests of the protocol and their responses.
+//! The requests of the state service's protocol and their responses.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,176 +8,189 @@
 use serde_json::{json, Value};
 use tokio::time::sleep;
 
-use super::super::Json;
+use super::super::JsonResponse;
 use super::data::{Data, LateWrites};
-use super::State;
+use super::StateService;
 
-impl State {
-    pub(super) fn with<T>(&self, f: impl FnOnce(&mut Data) -> (u16, T)) -> Json
+impl StateService {
+    /// Answers a request by `respond` after ending the expired leases, or with 503 during an
+    /// outage.
+    pub(super) fn respond<T>(&self, respond: impl FnOnce(&mut Data) -> (u16, T)) -> JsonResponse
     where
         Value: From<T>,
     {
-        let mut d = self.0.lock();
-        if d.down {
+        let mut data = self.0.lock();
+        if data.is_down {
             return (503, json!({"error": "trouble"}));
         }
         let now = Instant::now();
-        let expired: Vec<u64> = d
+        let expired: Vec<u64> = data
             .leases
             .iter()
-            .filter(|(_, h)| h.1 < now)
-            .map(|(i, _)| *i)
+            .filter(|(_, lease)| lease.1 < now)
+            .map(|(id, _)| *id)
             .collect();
-        expired.into_iter().for_each(|id| d.end_lease(id));
-        let (status, body) = f(&mut d);
+        expired.into_iter().for_each(|id| data.end_lease(id));
+        let (status, body) = respond(&mut data);
         (status, body.into())
     }
 
-    pub(super) fn get(&self, key: &str) -> Json {
-        self.0.lock().reads += 1;
-        self.with(|d| match d.keys.get(key) {
-            Some((v, stamp, _)) => (200, json!({"path": key, "v": v, "stamp": stamp})),
-            None => (404, json!({"ledger": d.revision})),
+    pub(super) fn get(&self, key: &str) -> JsonResponse {
+        self.0.lock().key_reads += 1;
+        self.respond(|data| match data.keys.get(key) {
+            Some((value, revision, _)) => (200, json!({"path": key, "v": value, "stamp": revision})),
+            None => (404, json!({"ledger": data.revision})),
         })
     }
 
-    pub(super) fn list(&self, q: &HashMap<String, String>) -> Json {
-        self.with(|d| {
-            let (starts, since) = (&q["starts"], q.get("since").cloned().unwrap_or_default());
-            let limit: usize = q["limit"].parse().expect("a number");
-            let all: Vec<_> = d
+    pub(super) fn list(&self, query: &HashMap<String, String>) -> JsonResponse {
+        self.respond(|data| {
+            let (prefix, after) = (&query["starts"], query.get("since").cloned().unwrap_or_default());
+            let limit: usize = query["limit"].parse().expect("a number");
+            let all: Vec<_> = data
                 .keys
                 .iter()
-                .filter(|(k, _)| k.starts_with(starts.as_str()) && **k > since)
-                .map(|(k, (v, s, _))| json!({"path": k, "v": v, "stamp": s}))
+                .filter(|(key, _)| key.starts_with(prefix.as_str()) && **key > after)
+                .map(|(key, (value, revision, _))| json!({"path": key, "v": value, "stamp": revision}))
                 .collect();
-            let more = all.len() > limit;
+            let has_next = all.len() > limit;
             let pairs: Vec<_> = all.into_iter().take(limit).collect();
             (
                 200,
-                json!({"pairs": pairs, "has_next": more, "ledger": d.revision}),
+                json!({"pairs": pairs, "has_next": has_next, "ledger": data.revision}),
             )
         })
     }
 
-    pub(super) fn multi(&self, t: &Transaction) -> Json {
-        self.with(|d| {
-            if d.refuse_for_rate > 0 {
-                d.refuse_for_rate -= 1;
+    /// Applies a transaction, unless it is refused for its rate or size, one of its conditions
+    /// doesn't hold or a lease that it uses doesn't exist.
+    pub(super) fn apply_transaction(&self, transaction: &Transaction) -> JsonResponse {
+        self.respond(|data| {
+            if data.rate_limit_next > 0 {
+                data.rate_limit_next -= 1;
                 return (429, json!({"error": "too many changes"}));
             }
-            if let Some((bytes, ops)) = d.size_limits {
-                let large = |c: &Change| match c {
-                    Change::Put { value, .. } => value.to_string().len() > bytes,
+            if let Some((max_bytes, max_changes)) = data.size_limits {
+                let is_too_large = |change: &Change| match change {
+                    Change::Put { value, .. } => value.to_string().len() > max_bytes,
                     Change::Delete { .. } => false,
                 };
-                if t.changes.len() > ops || t.changes.iter().any(large) {
-                    d.too_large += 1;
+                if transaction.changes.len() > max_changes || transaction.changes.iter().any(is_too_large) {
+                    data.oversized_transactions += 1;
                     return (400, json!({"error": "too large"}));
                 }
             }
-            let failed: Vec<_> = t
+            let failed: Vec<_> = transaction
                 .conditions
                 .iter()
-                .filter(|g| d.keys.get(&g.key).map_or(0, |k| k.1) != g.version)
-                .map(|g| g.key.clone())
+                .filter(|condition| {
+                    data.keys.get(&condition.key).map_or(0, |stored| stored.1) != condition.version
+                })
+                .map(|condition| condition.key.clone())
                 .collect();
             if !failed.is_empty() {
-                return (409, json!({"failed": failed, "ledger": d.revision}));
+                return (409, json!({"failed": failed, "ledger": data.revision}));
             }
-            for c in &t.changes {
-                if let Change::Put { lease: Some(l), .. } = c {
-                    if !d.leases.contains_key(l) {
+            for change in &transaction.changes {
+                if let Change::Put {
+                    lease: Some(lease), ..
+                } = change
+                {
+                    if !data.leases.contains_key(lease) {
                         return (400, json!({"error": "no such lease"}));
                     }
                 }
             }
-            d.revision += 1;
-            let rev = d.revision;
-            for c in &t.changes {
-                match c {
+            data.revision += 1;
+            let revision = data.revision;
+            for change in &transaction.changes {
+                match change {
                     Change::Put { put, value, lease } => {
-                        d.keys.insert(put.clone(), (value.clone(), rev, *lease));
-                        d.log.push((rev, put.clone(), Some(value.clone())));
+                        data.keys.insert(put.clone(), (value.clone(), revision, *lease));
+                        data.changes.push((revision, put.clone(), Some(value.clone())));
                     }
                     Change::Delete { delete } => {
-                        d.keys.remove(delete);
-                        d.log.push((rev, delete.clone(), None));
+                        data.keys.remove(delete);
+                        data.changes.push((revision, delete.clone(), None));
                     }
                 }
             }
-            d.carried_out.push(t.clone());
-            (200, json!({"ledger": rev}))
+            data.applied.push(transaction.clone());
+            (200, json!({"ledger": revision}))
         })
     }
 
-    pub(super) async fn multi_or_late(self: &Arc<Self>, t: &Transaction) -> Json {
+    /// Applies a transaction at once, or if `late_writes` selects it, after the delay. The
+    /// sender of a late one gets its response, a 500, only after 30 s.
+    pub(super) async fn apply_or_delay(self: &Arc<Self>, transaction: &Transaction) -> JsonResponse {
         let late = {
-            let mut d = self.0.lock();
-            d.arrived += u64::from(d.late.is_some());
-            let arrived = d.arrived;
-            d.late.filter(|late| arrived.is_multiple_of(late.every))
+            let mut data = self.0.lock();
+            data.arrived += u64::from(data.late_writes.is_some());
+            let arrived = data.arrived;
+            data.late_writes.filter(|late| arrived.is_multiple_of(late.every))
         };
         let Some(LateWrites { delay, .. }) = late else {
-            return self.multi(t);
+            return self.apply_transaction(transaction);
         };
-        let (s, t) = (self.clone(), t.clone());
-        // Carried out whether its sender still waits or not.
+        let (state, transaction) = (self.clone(), transaction.clone());
+        // In a task of its own, so that it is carried out even if the sender gives up waiting.
         tokio::spawn(async move {
             sleep(delay).await;
-            let status = s.multi(&t).0;
-            let mut d = s.0.lock();
-            d.late_outcomes.failed += u32::from(status != 200);
-            d.late_outcomes.applied += u32::from(status == 200);
+            let status = state.apply_transaction(&transaction).0;
+            let mut data = state.0.lock();
+            data.late_outcomes.failed += u32::from(status != 200);
+            data.late_outcomes.applied += u32::from(status == 200);
         });
         sleep(Duration::from_secs(30)).await;
         (500, json!({}))
     }
 
-    pub(super) fn grant_lease(&self, ms: u64) -> Json {
-        self.with(|d| {
-            d.next_lease += 1;
-            let life = Duration::from_millis(ms);
-            d.leases.insert(d.next_lease, (life, Instant::now() + life));
-            (200, json!({"tenancy": d.next_lease}))
+    pub(super) fn grant_lease(&self, duration_ms: u64) -> JsonResponse {
+        self.respond(|data| {
+            data.last_lease += 1;
+            let duration = Duration::from_millis(duration_ms);
+            data.leases
+                .insert(data.last_lease, (duration, Instant::now() + duration));
+            (200, json!({"tenancy": data.last_lease}))
         })
     }
 
-    pub(super) fn renew_lease(&self, id: u64) -> Json {
-        self.with(|d| match d.leases.get_mut(&id) {
-            Some(h) => {
-                h.1 = Instant::now() + h.0;
+    pub(super) fn renew_lease(&self, id: u64) -> JsonResponse {
+        self.respond(|data| match data.leases.get_mut(&id) {
+            Some(lease) => {
+                lease.1 = Instant::now() + lease.0;
                 (200, json!({}))
             }
             None => (404, json!({})),
         })
     }
 
-    pub(super) fn end_lease(&self, id: u64) -> Json {
-        self.with(|d| {
-            d.end_lease(id);
+    pub(super) fn end_lease(&self, id: u64) -> JsonResponse {
+        self.respond(|data| {
+            data.end_lease(id);
             (200, json!({}))
         })
     }
 
-    pub(super) async fn watch(&self, q: &HashMap<String, String>) -> Json {
-        let since: u64 = q["since"].parse().expect("a number");
-        let until = Instant::now() + Duration::from_millis(q["hold_ms"].parse().expect("a number"));
+    /// Returns the changes after the revision `since`; waits up to `hold_ms` for the first one.
+    pub(super) async fn watch(&self, query: &HashMap<String, String>) -> JsonResponse {
+        let since: u64 = query["since"].parse().expect("a number");
+        let deadline = Instant::now() + Duration::from_millis(query["hold_ms"].parse().expect("a number"));
         loop {
-            let (status, body) = self.with(|d| {
-                let log: Vec<_> = d
-                    .log
+            let (status, body) = self.respond(|data| {
+                let changes: Vec<_> = data
+                    .changes
                     .iter()
-                    .filter(|(r, k, _)| *r > since && k.starts_with(&q["starts"]))
-                    .map(|(r, k, v)| match v {
-                        Some(v) => json!({"put": k, "v": v, "stamp": r}),
-                        None => json!({"drop": k, "stamp": r}),
+                    .filter(|(revision, key, _)| *revision > since && key.starts_with(&query["starts"]))
+                    .map(|(revision, key, value)| match value {
+                        Some(value) => json!({"put": key, "v": value, "stamp": revision}),
+                        None => json!({"drop": key, "stamp": revision}),
                     })
                     .collect();
-                (200, json!({"ledger": d.revision, "log": log}))
+                (200, json!({"ledger": data.revision, "log": changes}))
             });
-            let empty = body["log"].as_array().is_none_or(Vec::is_empty);
-            if status == 200 && (!empty || Instant::now() > until) {
+            let is_empty = body["log"].as_array().is_none_or(Vec::is_empty);
+            if status == 200 && (!is_empty || Instant::now() > deadline) {
                 return (status, body);
             }
             sleep(Duration::from_millis(10)).await;
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -1,4 +1,4 @@
-//! A worker, as the protocol describes it, without any I/O.
+//! A worker that follows the protocol, without any I/O.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -6,10 +6,10 @@
 
 use bitternfold::wire::*;
 
-/// How long a worker waits for the response to a heartbeat. Later ones are dropped.
+/// How long a worker waits for the response to a heartbeat; a later response is ignored.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What a worker knows of one of its tasks.
+/// A worker's record of one of its tasks.
 #[derive(Debug, Clone, Copy)]
 pub struct WorkerTask {
     pub attempt: u64,
@@ -19,7 +19,7 @@
 }
 
 impl WorkerTask {
-    /// Whether it takes up resources: it fetches its image or runs.
+    /// Whether the task uses resources of the machine: it hasn't ended.
     pub fn is_live(&self) -> bool {
         self.state != TaskState::Ended
     }
@@ -31,26 +31,26 @@
     }
 }
 
-/// A worker, as the protocol describes it.
+/// A worker that follows the protocol.
 pub struct Worker {
     pub id: MachineId,
     pub spot: bool,
     pub incarnation: u64,
     pub sequence: u64,
-    /// The highest fencing token that it has seen.
+    /// The highest fencing token that the worker has seen.
     pub token: u64,
     pub tasks: BTreeMap<TaskId, WorkerTask>,
     pub alive: bool,
-    /// Its heartbeats arrive, but responses and commands don't reach it.
+    /// Fault: its heartbeats arrive, but responses and commands don't reach it.
     pub unreachable: bool,
-    /// Responses to its heartbeats reach it, but direct commands don't.
+    /// Fault: responses to its heartbeats reach it, but command requests don't.
     pub commands_lost: bool,
-    /// When the last heartbeat that got a response was sent; the lease runs from there.
+    /// When the last heartbeat that got a response was sent; the lease is counted from then.
     pub lease_renewed: Instant,
 }
 
 impl Worker {
-    /// A worker whose incarnation begins now.
+    /// A worker without tasks whose first incarnation and lease begin at `now`.
     pub fn new(id: &str, spot: bool, now: Instant) -> Self {
         Self {
             id: id.into(),
@@ -66,12 +66,12 @@
         }
     }
 
-    /// Whether a direct command would arrive.
-    pub fn takes_commands(&self) -> bool {
+    /// Whether command requests reach the worker.
+    pub fn receives_commands(&self) -> bool {
         self.alive && !self.unreachable && !self.commands_lost
     }
 
-    /// Kills and forgets all tasks if the lease has expired.
+    /// If the lease has expired, removes all tasks and begins the next incarnation.
     pub fn expire_lease(&mut self, now: Instant, lease: Duration) {
         if now.saturating_duration_since(self.lease_renewed) > lease {
             self.tasks.clear();
@@ -80,14 +80,14 @@
         }
     }
 
-    /// Begins the next incarnation, whose heartbeats are counted anew.
+    /// Begins the next incarnation, whose heartbeats are numbered from 1 again.
     pub fn begin_incarnation(&mut self) {
         self.incarnation += 1;
         self.sequence = 0;
     }
 
-    /// Its next heartbeat.
-    pub fn heartbeat(&mut self) -> Heartbeat {
+    /// The worker's next heartbeat.
+    pub fn next_heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         let tasks = self.tasks.iter().map(|(id, task)| ReportedTask {
             task: *id,
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Executes a batch of commands, unless it is of an earlier leader or for another
-    /// incarnation; the tasks that it started.
+    /// Executes a batch of commands, unless it has an older fencing token than the worker
+    /// has seen or is for another incarnation. Returns the tasks that it started.
     pub fn execute(&mut self, batch: &CommandBatch) -> Vec<TaskId> {
         if batch.token < self.token || batch.incarnation != self.incarnation {
             return Vec::new();
@@ -126,13 +126,14 @@
                     }
                 }
                 Command::Stop { task, attempt, .. } => self.stop(task, attempt),
-                Command::Acknowledge { task, attempt } => self.forget(task, attempt),
+                Command::Acknowledge { task, attempt } => self.remove_ended(task, attempt),
             }
         }
         started
     }
 
-    /// Starts an attempt, unless another one is live or this one is known already.
+    /// Starts an attempt and returns true, unless another attempt of the task is live or this
+    /// one has been started already.
     fn start(&mut self, task: TaskId, attempt: u64) -> bool {
         let may_start = match self.tasks.get(&task) {
             Some(known) => known.attempt != attempt && !known.is_live(),
@@ -157,7 +158,7 @@
         }
     }
 
-    fn forget(&mut self, task: TaskId, attempt: u64) {
+    fn remove_ended(&mut self, task: TaskId, attempt: u64) {
         let known = self.tasks.get(&task);
         if known.is_some_and(|known| known.attempt == attempt && !known.is_live()) {
             self.tasks.remove(&task);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,6 +1,6 @@
-//! The version in production and this one side by side, as real processes on
-//! loopback: controllers are replaced one by one, and back. The production version
-//! is built from the repository's history.
+//! Upgrade of a running site from the version in production to this one, and back. The
+//! controllers are real processes on loopback and are replaced one by one, so both versions
+//! run side by side. The production version is built from the repository's history.
 
 #[path = "support/site.rs"]
 mod site;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use serde_json::Value;
-use site::{job_name, on_loopback, Site};
+use site::{job_id, run_async_test, Site};
 use tokio::time::sleep;
 
 const ROOT: &str = env!("CARGO_MANIFEST_DIR");
@@ -25,15 +25,15 @@
     New,
 }
 
-/// When the leader is replaced, among the three controllers.
+/// The position of the leader in the order in which the three controllers are replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum LeaderPlace {
+enum LeaderPosition {
     First,
     Last,
 }
 
-impl LeaderPlace {
-    fn other(self) -> Self {
+impl LeaderPosition {
+    fn opposite(self) -> Self {
         match self {
             Self::First => Self::Last,
             Self::Last => Self::First,
@@ -41,21 +41,21 @@
     }
 }
 
-/// Runs a command that has to succeed.
+/// Runs a command to its end; panics if it fails.
 fn run(command: &mut Command) {
     let output = command.output().expect("it can be run");
     let errors = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "{command:?}: {errors}");
 }
 
-/// The commit that `deploy/service.toml` names as the one in production.
+/// The commit that is in production according to `deploy/service.toml`.
 fn production_commit() -> String {
     let text = std::fs::read_to_string(Path::new(ROOT).join("deploy/service.toml")).expect("a file");
     let deploy: toml::Table = text.parse().expect("TOML");
     deploy["production"].as_str().expect("a commit").to_owned()
 }
 
-/// The production version's program, built once.
+/// The path of the production version's program, which is built by the first call.
 fn production_program() -> &'static Path {
     static PROGRAM: OnceLock<PathBuf> = OnceLock::new();
     PROGRAM.get_or_init(|| {
@@ -81,7 +81,7 @@
     })
 }
 
-/// A site whose controllers are processes of either version.
+/// A site whose controllers are processes, each of either version.
 struct Cluster {
     site: Site,
     processes: [Option<Child>; 3],
@@ -89,24 +89,24 @@
 
 impl Drop for Cluster {
     fn drop(&mut self) {
-        (0..3).for_each(|i| self.kill(i));
+        (0..3).for_each(|i| self.kill_controller(i));
     }
 }
 
 impl Cluster {
-    /// All controllers run the version in production.
+    /// Starts a site all of whose controllers run the version in production.
     async fn start() -> Self {
         let site = Site::without_controllers(Duration::from_millis(300), |text| text).await;
         let mut cluster = Self {
             site,
             processes: [None, None, None],
         };
-        (0..3).for_each(|i| cluster.boot(i, Version::Production));
+        (0..3).for_each(|i| cluster.start_controller(i, Version::Production));
         cluster
     }
 
-    fn boot(&mut self, i: usize, version: Version) {
-        let own = self.site.api[i].to_string().replace([':', '.'], "-");
+    fn start_controller(&mut self, i: usize, version: Version) {
+        let own = self.site.api_addrs[i].to_string().replace([':', '.'], "-");
         let file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("settings-{own}.toml"));
         std::fs::write(&file, self.site.settings(i)).expect("settings");
         let program = match version {
@@ -122,116 +122,126 @@
         self.processes[i] = Some(process.expect("it starts"));
     }
 
-    /// Kills a controller (SIGKILL).
-    fn kill(&mut self, i: usize) {
+    /// Kills a controller with SIGKILL, if it runs.
+    fn kill_controller(&mut self, i: usize) {
         if let Some(mut process) = self.processes[i].take() {
             process.kill().expect("it can be killed");
             process.wait().expect("it has ended");
         }
     }
 
-    async fn replace(&mut self, i: usize, version: Version) {
-        self.kill(i);
+    /// Kills a controller and starts this version of it.
+    async fn replace_controller(&mut self, i: usize, version: Version) {
+        self.kill_controller(i);
         sleep(Duration::from_millis(200)).await;
-        self.boot(i, version);
+        self.start_controller(i, version);
     }
 
-    /// Submits a job at one controller; it is known at all that run.
-    async fn accept(&self, at: usize, body: Value) {
-        let (status, v) = self.site.insist("POST", at, "/v2/runs", Some(body.clone())).await;
-        assert!([200, 201].contains(&status), "{status} {v}");
+    /// Submits a job to controller `at`, and checks that all running controllers know it.
+    async fn submit(&self, at: usize, body: Value) {
+        let (status, view) = self
+            .site
+            .request_with_retries("POST", at, "/v2/runs", Some(body.clone()))
+            .await;
+        assert!([200, 201].contains(&status), "{status} {view}");
         let path = format!("/v2/runs/{}", body["name_id"].as_str().expect("an id"));
         for other in (0..3).filter(|i| self.processes[*i].is_some()) {
             assert_eq!(
-                self.site.insist("GET", other, &path, None).await.0,
+                self.site.request_with_retries("GET", other, &path, None).await.0,
                 200,
                 "at {other}"
             );
         }
     }
 
-    /// Waits until every controller reports these jobs done.
-    async fn until_done(&self, jobs: std::ops::RangeInclusive<u32>) {
+    /// Waits until every controller reports that these jobs are done.
+    async fn wait_for_done(&self, jobs: std::ops::RangeInclusive<u32>) {
         for n in jobs {
             for at in 0..3 {
-                self.site.until(at, &job_name(n), "done").await;
+                self.site.wait_for_state(at, &job_id(n), "done").await;
             }
         }
     }
 
-    /// The order in which controllers are replaced.
-    fn order(&self, place: LeaderPlace) -> Vec<usize> {
+    /// The order in which the controllers are replaced.
+    fn replacement_order(&self, leader_position: LeaderPosition) -> Vec<usize> {
         let leader = self.site.leader().expect("a leader");
         let mut order: Vec<usize> = (0..3).filter(|i| *i != leader).collect();
-        let index = match place {
-            LeaderPlace::First => 0,
-            LeaderPlace::Last => 2,
+        let index = match leader_position {
+            LeaderPosition::First => 0,
+            LeaderPosition::Last => 2,
         };
         order.insert(index, leader);
         order
     }
 }
 
-/// Replaces all controllers by the new version, lets jobs wait for others, and
-/// goes back again.
-async fn upgrade_and_back(place: LeaderPlace) {
+/// Replaces all controllers by the new version, submits jobs that depend on others, which
+/// only the new version supports, and replaces all controllers by the production version
+/// again.
+async fn upgrade_and_downgrade(leader_position: LeaderPosition) {
     let mut cluster = Cluster::start().await;
-    cluster.site.until_some_leader().await;
+    cluster.site.wait_for_leader().await;
     for n in 1..=3 {
-        cluster.accept(n as usize % 3, cluster.site.job(n, 4)).await;
+        cluster.submit(n as usize % 3, cluster.site.job(n, 4)).await;
     }
-    cluster.site.cloud.run_slowly(&job_name(4));
-    cluster.accept(0, cluster.site.job(4, 1)).await;
-    for (turn, i) in cluster.order(place).into_iter().enumerate() {
-        // One is restarted before its turn, in its old version.
+    cluster.site.cloud.slow_down_job(&job_id(4));
+    cluster.submit(0, cluster.site.job(4, 1)).await;
+    for (turn, i) in cluster.replacement_order(leader_position).into_iter().enumerate() {
+        // The second one is restarted with its old version before it is replaced.
         if turn == 1 {
-            cluster.replace(i, Version::Production).await;
+            cluster.replace_controller(i, Version::Production).await;
         }
-        cluster.replace(i, Version::New).await;
+        cluster.replace_controller(i, Version::New).await;
         let n = 10 + turn as u32;
-        cluster.accept((i + 1) % 3, cluster.site.job(n, 4)).await;
+        cluster.submit((i + 1) % 3, cluster.site.job(n, 4)).await;
     }
-    cluster.until_done(1..=3).await;
-    // The new feature: jobs depend on those that the other version accepted.
+    cluster.wait_for_done(1..=3).await;
+    // The new feature: jobs that depend on others, among them jobs that the production
+    // version accepted.
     cluster
-        .accept(0, cluster.site.job_awaiting(20, 2, &[1, 10]))
+        .submit(0, cluster.site.job_awaiting(20, 2, &[1, 10]))
         .await;
     cluster
-        .accept(1, cluster.site.job_awaiting(21, 2, &[20, 12]))
+        .submit(1, cluster.site.job_awaiting(21, 2, &[20, 12]))
         .await;
-    cluster.accept(2, cluster.site.job_awaiting(22, 2, &[4])).await;
-    cluster.until_done(20..=21).await;
-    let path = format!("/v2/runs/{}/cancel", job_name(4));
+    cluster.submit(2, cluster.site.job_awaiting(22, 2, &[4])).await;
+    cluster.wait_for_done(20..=21).await;
+    let path = format!("/v2/runs/{}/cancel", job_id(4));
     assert_eq!(
-        cluster.site.insist("POST", 1, &path, None).await.1["standing"],
+        cluster.site.request_with_retries("POST", 1, &path, None).await.1["standing"],
         "cancelled"
     );
     for at in 0..3 {
-        cluster.site.until(at, &job_name(22), "cancelled").await;
+        cluster.site.wait_for_state(at, &job_id(22), "cancelled").await;
     }
-    // And back, now that no such job is left.
-    for (turn, i) in cluster.order(place.other()).into_iter().enumerate() {
-        cluster.replace(i, Version::Production).await;
+    // Downgrade, now that all jobs that depend on others have ended.
+    for (turn, i) in cluster
+        .replacement_order(leader_position.opposite())
+        .into_iter()
+        .enumerate()
+    {
+        cluster.replace_controller(i, Version::Production).await;
         let n = 30 + turn as u32;
-        cluster.accept((i + 1) % 3, cluster.site.job(n, 4)).await;
+        cluster.submit((i + 1) % 3, cluster.site.job(n, 4)).await;
     }
     for jobs in [1..=3, 10..=12, 20..=21, 30..=32] {
-        cluster.until_done(jobs).await;
+        cluster.wait_for_done(jobs).await;
     }
     for n in [4, 22] {
         for at in 0..3 {
-            cluster.site.until(at, &job_name(n), "cancelled").await;
+            cluster.site.wait_for_state(at, &job_id(n), "cancelled").await;
         }
     }
-    assert!(cluster.site.cloud.doubles.lock().is_empty());
+    assert!(cluster.site.cloud.tasks_run_twice.lock().is_empty());
 }
 
 #[test]
-fn controllers_are_replaced_one_by_one_the_leader_first() {
-    on_loopback(upgrade_and_back(LeaderPlace::First));
+fn upgrade_and_downgrade_keep_jobs_if_the_leader_is_replaced_first_and_then_last() {
+    run_async_test(upgrade_and_downgrade(LeaderPosition::First));
 }
 
 #[test]
-fn controllers_are_replaced_one_by_one_the_leader_last() {
-    on_loopback(upgrade_and_back(LeaderPlace::Last));
+fn upgrade_and_downgrade_keep_jobs_if_the_leader_is_replaced_last_and_then_first() {
+    run_async_test(upgrade_and_downgrade(LeaderPosition::Last));
 }
