--- a/tests/chains.rs
+++ b/tests/chains.rs
@@ -11,12 +11,14 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use site::{job_name, on_loopback, Site, LONG};
+use site::{job_id, run_async_test, Site, TEST_TIMEOUT};
 use standins::send_request;
 use tokio::time::sleep;
 
 async fn accept(site: &Site, at: usize, body: Value) {
-    let (status, v) = site.insist("POST", at, "/v2/runs", Some(body)).await;
+    let (status, v) = site
+        .request_with_retries("POST", at, "/v2/runs", Some(body))
+        .await;
     assert!([200, 201].contains(&status), "at {at}: {status} {v}");
 }
 
@@ -30,7 +32,9 @@
 /// Submits a job and checks the status, and that the reason contains a text.
 async fn check_refusal(site: &Site, at: usize, n: u32, awaits: Value, status: u16, reason: &str) {
     let body = submission(site, n, awaits.clone());
-    let (actual, v) = site.insist("POST", at, "/v2/runs", Some(body)).await;
+    let (actual, v) = site
+        .request_with_retries("POST", at, "/v2/runs", Some(body))
+        .await;
     let error = v["error"].as_str().unwrap_or_default().to_owned();
     assert!(
         actual == status && error.contains(reason),
@@ -52,21 +56,21 @@
         check_refusal(site, at, first, awaits, 400, "awaits").await;
     }
     let impossible = [
-        (json!([job_name(999_999)]), "never accepted"),
-        (json!([job_name(1), job_name(999_999)]), "never accepted"),
-        (json!([job_name(first)]), "itself"),
-        (json!([job_name(3)]), "service"),
+        (json!([job_id(999_999)]), "never accepted"),
+        (json!([job_id(1), job_id(999_999)]), "never accepted"),
+        (json!([job_id(first)]), "itself"),
+        (json!([job_id(3)]), "service"),
     ];
     for (awaits, reason) in impossible {
         check_refusal(site, at, first, awaits, 422, reason).await;
     }
-    let path = format!("/v2/runs/{}", job_name(first));
+    let path = format!("/v2/runs/{}", job_id(first));
     assert_eq!(
-        site.insist("GET", at, &path, None).await.0,
+        site.request_with_retries("GET", at, &path, None).await.0,
         404,
         "nothing was stored"
     );
-    assert!(!site.state.has(&format!("jobs/{}", job_name(first))));
+    assert!(!site.state.has_key(&format!("jobs/{}", job_id(first))));
 }
 
 /// Checks every response to a submission that names others, at one controller, for jobs
@@ -78,47 +82,54 @@
     for (n, awaits) in [
         (0, json!(null)),
         (1, json!([])),
-        (2, json!([job_name(1), job_name(1)])),
+        (2, json!([job_id(1), job_id(1)])),
     ] {
         accept(site, at, submission(site, first + n, awaits)).await;
-        site.until(at, &job_name(first + n), "done").await;
+        site.wait_for_state(at, &job_id(first + n), "done").await;
     }
     // Cancelled dependencies, also indirect ones accepted at another controller.
     let other = (0..3).find(|o| *o != at && site.is_up(*o)).unwrap_or(at);
     accept(site, at, site.job_awaiting(first + 3, 1, &[2])).await;
     accept(site, other, site.job_awaiting(first + 4, 1, &[1, first + 3])).await;
     for n in [3, 4] {
-        let v = site.until(at, &job_name(first + n), "cancelled").await;
+        let v = site.wait_for_state(at, &job_id(first + n), "cancelled").await;
         assert_eq!(v["done"], 0);
     }
     // A dependency that waits for a running job.
     accept(site, at, site.job_awaiting(first + 5, 1, &[4, 5])).await;
-    let path = format!("/v2/runs/{}", job_name(first + 5));
-    let (_, v) = site.insist("GET", other, &path, None).await;
+    let path = format!("/v2/runs/{}", job_id(first + 5));
+    let (_, v) = site.request_with_retries("GET", other, &path, None).await;
     assert_eq!(v["standing"], "queued");
     // A known id is looked up first, whatever stands in the body.
     let mut again = site.job_awaiting(first + 5, 1, &[999_999]);
     assert_eq!(
-        site.insist("POST", at, "/v2/runs", Some(again.clone())).await.0,
+        site.request_with_retries("POST", at, "/v2/runs", Some(again.clone()))
+            .await
+            .0,
         200
     );
     again["awaits"] = json!("x");
-    assert_eq!(site.insist("POST", at, "/v2/runs", Some(again)).await.0, 200);
+    assert_eq!(
+        site.request_with_retries("POST", at, "/v2/runs", Some(again))
+            .await
+            .0,
+        200
+    );
 }
 
 #[test]
 fn every_controller_takes_jobs_that_wait_for_others_alike() {
-    on_loopback(async {
+    run_async_test(async {
         let mut site = Site::start(Duration::from_millis(200)).await;
         for n in [2, 5] {
-            site.cloud.run_slowly(&job_name(n));
+            site.cloud.slow_down_job(&job_id(n));
         }
         accept(&site, 0, site.job(1, 1)).await;
-        site.until(0, &job_name(1), "done").await;
+        site.wait_for_state(0, &job_id(1), "done").await;
         accept(&site, 0, site.job(2, 1)).await;
-        let path = format!("/v2/runs/{}/cancel", job_name(2));
+        let path = format!("/v2/runs/{}/cancel", job_id(2));
         assert_eq!(
-            site.insist("POST", 0, &path, None).await.1["standing"],
+            site.request_with_retries("POST", 0, &path, None).await.1["standing"],
             "cancelled"
         );
         let mut service = site.job(3, 1);
@@ -131,23 +142,23 @@
         }
         // Without a leader, the others decide by what is stored.
         let killed = site.leader().expect("a leader");
-        site.kill(killed);
+        site.kill_controller(killed);
         for at in (0..3).filter(|at| *at != killed) {
             check_acceptance(&site, at, 1000 * (at as u32 + 1)).await;
         }
         // Nothing can be known: 503 at once.
-        site.state.outage(true);
+        site.state.set_outage(true);
         let at = (killed + 1) % 3;
         let began = Instant::now();
         let (status, _) = send_request(
             "POST",
-            site.api[at],
+            site.api_addrs[at],
             "/v2/runs",
             Some(site.job_awaiting(9000, 1, &[1])),
         )
         .await;
         assert_eq!(status, 503);
-        assert!(began.elapsed() < LONG / 10);
+        assert!(began.elapsed() < TEST_TIMEOUT / 10);
     });
 }
 
@@ -155,8 +166,8 @@
 async fn check_all_cancelled(site: &Site, jobs: std::ops::Range<u32>) {
     for at in (0..3).filter(|at| site.is_up(*at)) {
         for n in jobs.clone() {
-            let path = format!("/v2/runs/{}", job_name(n));
-            let (status, v) = site.insist("GET", at, &path, None).await;
+            let path = format!("/v2/runs/{}", job_id(n));
+            let (status, v) = site.request_with_retries("GET", at, &path, None).await;
             assert_eq!(
                 (status, &v["standing"]),
                 (200, &json!("cancelled")),
@@ -168,23 +179,23 @@
 
 #[test]
 fn a_cancellation_is_reported_for_all_dependent_jobs_at_every_controller() {
-    on_loopback(async {
+    run_async_test(async {
         let mut site = Site::start(Duration::from_millis(200)).await;
-        site.cloud.run_slowly(&job_name(1));
+        site.cloud.slow_down_job(&job_id(1));
         accept(&site, 0, site.job(1, 1)).await;
         for n in 2..6 {
             accept(&site, n as usize % 3, site.job_awaiting(n, 1, &[n - 1])).await;
         }
-        site.until(0, &job_name(1), "running").await;
+        site.wait_for_state(0, &job_id(1), "running").await;
         for n in 2..6 {
             let (_, v) = site
-                .insist("GET", 0, &format!("/v2/runs/{}", job_name(n)), None)
+                .request_with_retries("GET", 0, &format!("/v2/runs/{}", job_id(n)), None)
                 .await;
             assert_eq!(v["standing"], "queued", "job {n} waits");
         }
         let follower = (site.leader().expect("a leader") + 1) % 3;
-        let path = format!("/v2/runs/{}/cancel", job_name(1));
-        let (_, v) = site.insist("POST", follower, &path, None).await;
+        let path = format!("/v2/runs/{}/cancel", job_id(1));
+        let (_, v) = site.request_with_retries("POST", follower, &path, None).await;
         assert_eq!(v["standing"], "cancelled");
         check_all_cancelled(&site, 1..6).await;
         // Records that no leader has touched since: the first is cancelled, those
@@ -197,25 +208,28 @@
             };
             let spec: bitternfold::wire::JobSpec = serde_json::from_value(body).expect("a job");
             let record = json!({"spec": spec, "at": 0, "cancelled": n == 51});
-            site.state.plant(&format!("jobs/{}", job_name(n)), record);
+            site.state.put_directly(&format!("jobs/{}", job_id(n)), record);
         }
         check_all_cancelled(&site, 52..55).await;
         // The next leader knows only what is stored.
-        site.kill(site.leader().expect("a leader"));
+        site.kill_controller(site.leader().expect("a leader"));
         site.state.end_leases();
         check_all_cancelled(&site, 1..6).await;
         check_all_cancelled(&site, 51..55).await;
         // A cancellation of one of them says the same, and all final states are stored.
         let up = (0..3).find(|at| site.is_up(*at)).expect("one is up");
-        let path = format!("/v2/runs/{}/cancel", job_name(54));
+        let path = format!("/v2/runs/{}/cancel", job_id(54));
         assert_eq!(
-            site.insist("POST", up, &path, None).await.1["standing"],
+            site.request_with_retries("POST", up, &path, None).await.1["standing"],
             "cancelled"
         );
         let began = Instant::now();
         for n in (1..6).chain(51..55) {
-            while !site.state.has(&format!("final/{}", job_name(n))) {
-                assert!(began.elapsed() < LONG, "the end of job {n} is never stored");
+            while !site.state.has_key(&format!("final/{}", job_id(n))) {
+                assert!(
+                    began.elapsed() < TEST_TIMEOUT,
+                    "the end of job {n} is never stored"
+                );
                 sleep(Duration::from_millis(50)).await;
             }
         }
@@ -225,7 +239,7 @@
 #[test]
 fn a_chain_runs_in_order_while_leaders_change() {
     const JOBS: u32 = 8;
-    on_loopback(async {
+    run_async_test(async {
         let mut site = Site::start(Duration::from_millis(400)).await;
         for n in 1..=JOBS {
             let before: Vec<u32> = (n.saturating_sub(2).max(1)..n).collect();
@@ -233,7 +247,7 @@
         }
         let state_of = async |site: &Site, at: usize, n: u32| -> String {
             let (_, v) = site
-                .insist("GET", at, &format!("/v2/runs/{}", job_name(n)), None)
+                .request_with_retries("GET", at, &format!("/v2/runs/{}", job_id(n)), None)
                 .await;
             v["standing"].as_str().unwrap_or_default().to_owned()
         };
@@ -257,16 +271,16 @@
             if done > changes && changes < 3 {
                 changes += 1;
                 if let Some(leader) = site.leader() {
-                    site.kill(leader);
+                    site.kill_controller(leader);
                     site.state.end_leases();
                     sleep(Duration::from_millis(100)).await;
-                    site.boot(leader);
+                    site.start_controller(leader);
                 }
             }
-            assert!(began.elapsed() < LONG, "{done} of the chain are done");
+            assert!(began.elapsed() < TEST_TIMEOUT, "{done} of the chain are done");
             sleep(Duration::from_millis(50)).await;
         }
         assert!(changes > 0, "no leader changed");
-        assert!(site.cloud.doubles.lock().is_empty());
+        assert!(site.cloud.tasks_run_twice.lock().is_empty());
     });
 }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -257,6 +257,12 @@
 #[test]
 fn without_announced_limits_the_current_limits_apply() {
     let limits = deployment_settings().cluster.state;
-    assert_eq!((limits.max_value_bytes(), limits.max_transaction_changes()), (4096, 12));
-    assert_eq!((limits.max_requests_per_s(), limits.max_changes_per_s()), (200.0, 100.0));
+    assert_eq!(
+        (limits.max_value_bytes(), limits.max_transaction_changes()),
+        (4096, 12)
+    );
+    assert_eq!(
+        (limits.max_requests_per_s(), limits.max_changes_per_s()),
+        (200.0, 100.0)
+    );
 }
--- a/tests/dependencies/cancellation.rs
+++ b/tests/dependencies/cancellation.rs
@@ -101,7 +101,7 @@
     model.place(&machine, task, attempt, false, now);
     let mut message = heartbeat(&machine, "large", "north", false, 7, 2);
     message.token = (7 << 20) + 1000;
-    message.tasks = running(&model, &machine);
+    message.tasks = reported_running(&model, &machine);
     model.apply_heartbeat(&message, now);
     model.cancel(id(1), now);
     model.cancellation_stored(id(1));
--- a/tests/dependencies/fixtures.rs
+++ b/tests/dependencies/fixtures.rs
@@ -17,7 +17,7 @@
 pub fn job_awaiting(number: u32, awaits: &[u32]) -> JobRecord {
     let mut spec = job(number, 1, 1.0);
     spec.awaits = awaits.iter().map(|a| id(*a as usize)).collect();
-    record(spec)
+    job_record(spec)
 }
 
 /// A model with an idle machine that has seen its fencing token.
@@ -43,7 +43,7 @@
 pub fn end_tasks(model: &mut ClusterModel, machine: &MachineId, sequence: u64, now: Instant) {
     let mut message = heartbeat(machine, "large", "north", false, 7, sequence);
     message.token = model.machines()[machine].seen_token.max((7 << 20) + 1000);
-    message.tasks = ended(model, machine, usize::MAX);
+    message.tasks = reported_ended(model, machine, usize::MAX);
     model.apply_heartbeat(&message, now);
 }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -32,7 +32,7 @@
 /// A model with `per_zone` machines in each zone, each with a running task of its own.
 fn cluster(per_zone: usize, now: Instant) -> ClusterModel {
     let mut model = model(7);
-    model.add_job(record(job(1, 2 * per_zone as u32, 8.0)), now);
+    model.add_job(job_record(job(1, 2 * per_zone as u32, 8.0)), now);
     for zone in ["north", "south"] {
         for i in 0..per_zone {
             model.apply_heartbeat(
@@ -50,7 +50,7 @@
         let id = due.machine;
         let mut message = heartbeat(&id, "small", &model.machines()[&id].zone.clone(), false, 7, 2);
         message.token = due.batch.token;
-        message.tasks = running(&model, &id);
+        message.tasks = reported_running(&model, &id);
         model.command_finished(&id, Some(&message), now);
     }
     model
@@ -68,7 +68,7 @@
     for id in ids {
         let mut message = heartbeat(&id, "small", zone, false, 7, sequence);
         message.token = model.machines()[&id].seen_token;
-        message.tasks = running(model, &id);
+        message.tasks = reported_running(model, &id);
         model.apply_heartbeat(&message, now);
         model.heartbeat_response(&id, message.token, now);
     }
@@ -169,13 +169,13 @@
         );
         assert!(config.silence_limit <= config.worker_lease);
         let mut model = ClusterModel::new(Arc::new(config), 7);
-        model.set_machine_types(types());
+        model.set_machine_types(machine_types());
         let now = start();
         for i in 0..4 {
             model.apply_heartbeat(&heartbeat(&format!("i-{i}"), "small", "north", true, 7, 1), now);
         }
         // They are warm capacity for a job that needs them soon.
-        model.add_job(record(job(1, 40, 8.0)), now);
+        model.add_job(job_record(job(1, 40, 8.0)), now);
         assert_eq!(released(&mut model, now + longest * 3 / 2), Vec::<String>::new());
     }
 }
@@ -188,7 +188,7 @@
     let stops_task = |model: &mut ClusterModel, sequence: u64, reclaim_in_s: f64, now: Instant| {
         let mut message = heartbeat(&id, "small", "north", false, 7, sequence);
         message.token = model.machines()[&id].seen_token;
-        message.tasks = running(model, &id);
+        message.tasks = reported_running(model, &id);
         message.reclaim_in_s = Some(reclaim_in_s);
         model.apply_heartbeat(&message, now);
         model.plan_fleet(now);
@@ -266,7 +266,7 @@
         for id in ids.iter().filter(|i| i.contains("north") && ***i != *"i-north-0") {
             let mut message = heartbeat(id, "small", "north", false, 7, 30 + second);
             message.token = model.machines()[id].seen_token;
-            message.tasks = running(&model, id);
+            message.tasks = reported_running(&model, id);
             model.apply_heartbeat(&message, resumed_at + secs(second));
             model.heartbeat_response(id, message.token, resumed_at + secs(second));
         }
@@ -315,7 +315,7 @@
     };
 
     let mut paused = idle_fleet();
-    paused.add_job(record(job(1, 50, 8.0)), later);
+    paused.add_job(job_record(job(1, 50, 8.0)), later);
     let failing = paused.set_up().jobs.values_mut().next().expect("the job");
     fail_on_three_machines(failing, secs(1), later);
     let pause = failing.failures.pause();
@@ -323,7 +323,7 @@
     assert_eq!(released(&mut paused, later).len(), 20, "it pauses");
 
     let mut on_trial = idle_fleet();
-    on_trial.add_job(record(job(1, 50, 8.0)), later);
+    on_trial.add_job(job_record(job(1, 50, 8.0)), later);
     let failing = on_trial.set_up().jobs.values_mut().next().expect("the job");
     fail_on_three_machines(failing, secs(1), later);
     on_trial.plan(later);
@@ -333,7 +333,7 @@
     let mut limited = idle_fleet();
     let mut spec = job(1, 50, 8.0);
     spec.team = "red".into();
-    limited.add_job(record(spec), later);
+    limited.add_job(job_record(spec), later);
     limited.plan(later);
     assert_eq!(
         limited.jobs().values().next().expect("the job").place_count,
@@ -346,6 +346,6 @@
     );
 
     let mut startable = idle_fleet();
-    startable.add_job(record(job(1, 50, 8.0)), later);
+    startable.add_job(job_record(job(1, 50, 8.0)), later);
     assert_eq!(released(&mut startable, later), Vec::<String>::new());
 }
--- a/tests/gap/world/leaders.rs
+++ b/tests/gap/world/leaders.rs
@@ -73,7 +73,7 @@
         self.grant_lease(controller);
         let now = self.clock(controller);
         let mut model = ClusterModel::new(self.config.clone(), self.term);
-        model.set_machine_types(types());
+        model.set_machine_types(machine_types());
         for record in self.stored_jobs.values() {
             model.add_job(record.clone(), now);
         }
--- a/tests/gap/world/messages.rs
+++ b/tests/gap/world/messages.rs
@@ -129,7 +129,7 @@
                 task.state = TaskState::Running;
             }
         }
-        (!given_up).then(|| worker.heartbeat())
+        (!given_up).then(|| worker.next_heartbeat())
     }
 
     /// Delivers a response to a heartbeat. The worker drops it if it is late, for an earlier
--- a/tests/gap/world/mod.rs
+++ b/tests/gap/world/mod.rs
@@ -90,7 +90,7 @@
     /// A site without a leader.
     pub fn new(scenario: Scenario, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
-        let mut deployment = deployment();
+        let mut deployment = deployment_settings();
         let settings = &mut deployment.cluster.workers;
         settings.heartbeat_interval = Duration::from_secs_f64(scenario.heartbeat_interval);
         settings.lease = Duration::from_secs_f64(scenario.worker_lease);
--- a/tests/gap/world/run.rs
+++ b/tests/gap/world/run.rs
@@ -118,7 +118,7 @@
 
     /// Runs the scenario. Returns whether the cancellation was confirmed while tasks ran.
     pub fn run(&mut self) -> bool {
-        let record = record(job(JOB, 8, 4.0));
+        let record = job_record(job(JOB, 8, 4.0));
         self.stored_jobs.insert(record.spec.id, record);
         while self.now < FAULT_FREE_PERIOD {
             self.step();
--- a/tests/gap/world/workers.rs
+++ b/tests/gap/world/workers.rs
@@ -33,7 +33,7 @@
         }
         let interval = self.scenario.heartbeat_interval * self.rng.random_range(0.75..1.25);
         self.reporting[machine].next_due = self.now + Duration::from_secs_f64(interval);
-        let heartbeat = self.workers[machine].heartbeat();
+        let heartbeat = self.workers[machine].next_heartbeat();
         let controller = self.reporting[machine].controller;
         // A controller that doesn't lead relays the heartbeat to the latest leader.
         let mut receivers = vec![controller];
--- a/tests/guest.rs
+++ b/tests/guest.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use site::{on_loopback, Site};
+use site::{run_async_test, Site};
 
 /// Largest value that the settings allow, in bytes.
 const VALUE_BYTES: usize = 4096;
@@ -29,30 +29,35 @@
 
 #[test]
 fn an_array_of_100_000_tasks_keeps_neither_others_nor_small_jobs_waiting() {
-    on_loopback(async {
-        let site = Site::with(Duration::from_millis(150), |text| {
+    run_async_test(async {
+        let site = Site::with_settings(Duration::from_millis(150), |text| {
             text.replace("name = \"blue\"", "name = \"blue\"\ncpus_max = 24.0")
         })
         .await;
         let mut array = tiny_tasks(&site, 0, 100_000);
         array["urgency"] = json!("best_effort");
-        let (status, view) = site.insist("POST", 0, "/v2/runs", Some(array)).await;
+        let (status, view) = site
+            .request_with_retries("POST", 0, "/v2/runs", Some(array))
+            .await;
         assert!([200, 201].contains(&status), "{view}");
-        site.until(1, "job-000000", "running").await;
+        site.wait_for_state(1, "job-000000", "running").await;
         for n in 1..=SMALL_JOBS {
             let small = tiny_tasks(&site, n, 1);
-            site.insist("POST", n as usize % 3, "/v2/runs", Some(small)).await;
+            site.request_with_retries("POST", n as usize % 3, "/v2/runs", Some(small))
+                .await;
         }
         // Within its team's quota, beside the over-quota array.
         let mut urgent = site.job(900, 4);
         urgent["desk"] = json!("red");
         urgent["urgency"] = json!("high");
-        site.insist("POST", 2, "/v2/runs", Some(urgent)).await;
-        site.until(0, "job-000900", "done").await;
+        site.request_with_retries("POST", 2, "/v2/runs", Some(urgent))
+            .await;
+        site.wait_for_state(0, "job-000900", "done").await;
         for n in 1..=SMALL_JOBS {
-            site.until(n as usize % 3, &format!("job-{n:06}"), "done").await;
+            site.wait_for_state(n as usize % 3, &format!("job-{n:06}"), "done")
+                .await;
         }
-        let array_now = site.until(1, "job-000000", "running").await;
+        let array_now = site.wait_for_state(1, "job-000000", "running").await;
         assert!(array_now["done"].as_u64() > Some(0), "{array_now}");
         // What is stored stays within the limits, however many tasks have ended.
         for key in site.state.revisions().into_keys() {
@@ -65,11 +70,13 @@
         };
         assert!(segments(&site) <= 8, "{} segments of the log", segments(&site));
         // Once it is cancelled, no task of it runs after the time for a cancellation.
-        let (status, view) = site.insist("POST", 2, "/v2/runs/job-000000/cancel", None).await;
+        let (status, view) = site
+            .request_with_retries("POST", 2, "/v2/runs/job-000000/cancel", None)
+            .await;
         assert_eq!((status, &view["standing"]), (200, &json!("cancelled")));
         let began = Instant::now();
-        site.until_running(|running| running == 0).await;
+        site.wait_for_running_tasks(|running| running == 0).await;
         assert!(began.elapsed() < CANCEL_WITHIN);
-        assert!(site.cloud.doubles.lock().is_empty());
+        assert!(site.cloud.tasks_run_twice.lock().is_empty());
     });
 }
--- a/tests/input.rs
+++ b/tests/input.rs
@@ -14,7 +14,7 @@
 use bitternfold::response::ApiResponse;
 use proptest::prelude::*;
 use serde_json::{json, Map, Value};
-use site::{on_loopback, Site};
+use site::{run_async_test, Site};
 use standins::send_request;
 
 const TEXTS: [&str; 6] = ["name_id", "lot_class", "desk", "sort", "urgency", "kit"];
@@ -110,8 +110,8 @@
 
 #[test]
 fn what_is_malformed_is_named() {
-    let controller = Controller::new(support::deployment(), Default::default());
-    let types = support::types();
+    let controller = Controller::new(support::deployment_settings(), Default::default());
+    let types = support::machine_types();
     assert!(controller
         .parse_submission(&serde_json::to_vec(&valid()).expect("json"), &types)
         .is_ok());
@@ -188,8 +188,8 @@
         v.insert("desk".into(), json!(if red { "red" } else { "blue" }));
         let only_small = rig == json!(["small"]);
         v.insert("rigs".into(), rig);
-        let controller = Controller::new(support::deployment(), Default::default());
-        let parsed = controller.parse_submission(Value::Object(v).to_string().as_bytes(), &support::types());
+        let controller = Controller::new(support::deployment_settings(), Default::default());
+        let parsed = controller.parse_submission(Value::Object(v).to_string().as_bytes(), &support::machine_types());
         let sane = cpus.is_finite() && cpus > 0.0 && memory.is_finite() && memory >= 0.0 && (1..=100_000).contains(&lots);
         let (max_cpus, max_memory) = if only_small { (8.0, 16.0) } else { (32.0, 64.0) };
         let all = if service { lots as f64 } else { 1.0 };
@@ -204,18 +204,23 @@
 
 #[test]
 fn every_controller_judges_alike_and_knows_a_repeat_whatever_its_body() {
-    on_loopback(async {
+    run_async_test(async {
         let mut site = Site::start(Duration::from_millis(300)).await;
-        site.insist("POST", 0, "/v2/runs", Some(site.job(1, 2))).await;
-        site.until(0, "job-000001", "done").await;
+        site.request_with_retries("POST", 0, "/v2/runs", Some(site.job(1, 2)))
+            .await;
+        site.wait_for_state(0, "job-000001", "done").await;
         let check = async |site: &Site, at: usize| {
             for (name, value) in malformed().into_iter().step_by(7) {
-                let (status, _) = site.insist("POST", at, "/v2/runs", Some(with(name, value))).await;
+                let (status, _) = site
+                    .request_with_retries("POST", at, "/v2/runs", Some(with(name, value)))
+                    .await;
                 assert_eq!(status, 400, "{name} at {at}");
             }
             for body in impossible().into_iter().step_by(3) {
                 assert_eq!(
-                    site.insist("POST", at, "/v2/runs", Some(body)).await.0,
+                    site.request_with_retries("POST", at, "/v2/runs", Some(body))
+                        .await
+                        .0,
                     422,
                     "at {at}"
                 );
@@ -224,16 +229,24 @@
                 json!({"name_id": "job-000001"}),
                 json!({"name_id": "job-000001", "cpus": "x"}),
             ] {
-                let (status, v) = site.insist("POST", at, "/v2/runs", Some(body)).await;
+                let (status, v) = site
+                    .request_with_retries("POST", at, "/v2/runs", Some(body))
+                    .await;
                 assert_eq!((status, &v["standing"]), (200, &json!("done")), "at {at}");
             }
             let path = "/v2/runs/job-000001/cancel";
-            let (status, v) = site.insist("POST", at, path, None).await;
+            let (status, v) = site.request_with_retries("POST", at, path, None).await;
             assert_eq!((status, &v["standing"]), (200, &json!("done")), "at {at}");
             let path = "/v2/runs/job-999999/cancel";
-            assert_eq!(site.insist("POST", at, path, None).await.0, 404, "at {at}");
             assert_eq!(
-                site.insist("GET", at, "/v2/runs/job-000007", None).await.0,
+                site.request_with_retries("POST", at, path, None).await.0,
+                404,
+                "at {at}"
+            );
+            assert_eq!(
+                site.request_with_retries("GET", at, "/v2/runs/job-000007", None)
+                    .await
+                    .0,
                 404,
                 "none was taken"
             );
@@ -243,13 +256,13 @@
         }
         // Without a leader, the others decide by what is stored.
         let killed = site.leader().expect("a leader");
-        site.kill(killed);
+        site.kill_controller(killed);
         check(&site, (killed + 1) % 3).await;
         // Nothing can be known: 503 at once.
-        site.state.outage(true);
+        site.state.set_outage(true);
         let (status, _) = send_request(
             "POST",
-            site.api[(killed + 1) % 3],
+            site.api_addrs[(killed + 1) % 3],
             "/v2/runs",
             Some(Value::Object(valid())),
         )
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -15,7 +15,7 @@
 use bitternfold::store::Store;
 use bitternfold::wire::Transaction;
 use serde_json::json;
-use site::{on_loopback, Site};
+use site::{run_async_test, Site};
 use standins::state_service::LateWrites;
 use tokio::time::sleep;
 
@@ -37,24 +37,28 @@
         if n > 1 {
             body["awaits"] = json!([format!("job-{:06}", n - 1)]);
         }
-        let (status, view) = site.insist("POST", n as usize % 3, "/v2/runs", Some(body)).await;
+        let (status, view) = site
+            .request_with_retries("POST", n as usize % 3, "/v2/runs", Some(body))
+            .await;
         assert!([200, 201].contains(&status), "{view}");
         if n == jobs / 2 {
             site.state.end_leases();
         }
     }
     for n in 1..=jobs {
-        let job = site.until(n as usize % 3, &format!("job-{n:06}"), "done").await;
+        let job = site
+            .wait_for_state(n as usize % 3, &format!("job-{n:06}"), "done")
+            .await;
         assert_eq!(job["done"], TASKS);
     }
-    assert!(site.cloud.doubles.lock().is_empty());
+    assert!(site.cloud.tasks_run_twice.lock().is_empty());
 }
 
 /// Submits jobs of one task all at once, each until it is accepted.
 async fn submit_at_once(site: &Site, jobs: std::ops::RangeInclusive<u32>) {
     let mut waiting = tokio::task::JoinSet::new();
     for n in jobs {
-        let (api, body) = (site.api[n as usize % 3], site.job(n, 1));
+        let (api, body) = (site.api_addrs[n as usize % 3], site.job(n, 1));
         waiting.spawn(async move {
             loop {
                 let (status, _) = standins::send_request("POST", api, "/v2/runs", Some(body.clone())).await;
@@ -73,13 +77,13 @@
 
 #[test]
 fn announced_limits_are_kept_from_the_start() {
-    on_loopback(async {
+    run_async_test(async {
         let settings = |text: String| text.replace("\n[cluster.cloud]", ANNOUNCED_LIMITS);
-        let mut site = Site::with(Duration::from_millis(100), settings).await;
+        let mut site = Site::with_settings(Duration::from_millis(100), settings).await;
         serve_through_changes(&mut site, 8, 3, |site| site.state.limit_sizes(2048, 4)).await;
         submit_at_once(&site, 101..=160).await;
-        site.until(0, "job-000160", "done").await;
-        assert_eq!(site.state.too_large(), 0, "nothing larger was sent");
+        site.wait_for_state(0, "job-000160", "done").await;
+        assert_eq!(site.state.oversized_transactions(), 0, "nothing larger was sent");
         let (bytes, changes) = site.state.largest_written();
         assert!(bytes <= 2048 && changes <= 4, "{bytes} bytes, {changes} changes");
         assert!(
@@ -92,22 +96,27 @@
 #[test]
 fn limits_that_fall_without_notice_lose_and_repeat_no_acceptance() {
     // Only the refusals show them: transactions are split and sent again.
-    on_loopback(async {
+    run_async_test(async {
         let site = Site::start(Duration::from_millis(100)).await;
-        site.until_some_leader().await;
+        site.wait_for_leader().await;
         site.state.limit_sizes(4096, 2);
         submit_at_once(&site, 1..=40).await;
         // An array whose placements fill several segments of the log at once.
-        let (status, view) = site.insist("POST", 0, "/v2/runs", Some(site.job(41, 1500))).await;
+        let (status, view) = site
+            .request_with_retries("POST", 0, "/v2/runs", Some(site.job(41, 1500)))
+            .await;
         assert!([200, 201].contains(&status), "{view}");
-        assert_eq!(site.until(0, "job-000041", "done").await["done"], 1500);
-        assert!(site.state.too_large() > 0, "no transaction was too large");
+        assert_eq!(site.wait_for_state(0, "job-000041", "done").await["done"], 1500);
+        assert!(
+            site.state.oversized_transactions() > 0,
+            "no transaction was too large"
+        );
         for n in 1..=40u32 {
-            site.until(0, &format!("job-{n:06}"), "done").await;
-            let accepted = site.state.puts_of(&format!("jobs/job-{n:06}"));
+            site.wait_for_state(0, &format!("job-{n:06}"), "done").await;
+            let accepted = site.state.put_count(&format!("jobs/job-{n:06}"));
             assert_eq!(accepted, 1, "job {n} is accepted once");
         }
-        assert!(site.cloud.doubles.lock().is_empty());
+        assert!(site.cloud.tasks_run_twice.lock().is_empty());
     });
 }
 
@@ -115,10 +124,10 @@
 fn limits_that_fall_between_a_write_and_its_answer_lose_and_repeat_no_acceptance() {
     // Some transactions get no response and are carried out late; their repetition
     // may be refused for its size meanwhile. The keys show which copy was executed.
-    on_loopback(async {
+    run_async_test(async {
         let site = Site::start(Duration::from_millis(100)).await;
-        site.until_some_leader().await;
-        site.state.late_writes(Some(LateWrites {
+        site.wait_for_leader().await;
+        site.state.set_late_writes(Some(LateWrites {
             every: 4,
             delay: Duration::from_millis(700),
         }));
@@ -127,14 +136,15 @@
             site.state.limit_sizes(4096, 2);
         };
         tokio::join!(submit_at_once(&site, 1..=30), lower);
-        site.state.late_writes(None);
+        site.state.set_late_writes(None);
         let late = site.state.late_outcomes();
         assert!(late.failed + late.applied > 0, "no transaction was late");
         for n in 1..=30u32 {
-            site.until(n as usize % 3, &format!("job-{n:06}"), "done").await;
-            assert_eq!(site.state.puts_of(&format!("jobs/job-{n:06}")), 1, "job {n}");
+            site.wait_for_state(n as usize % 3, &format!("job-{n:06}"), "done")
+                .await;
+            assert_eq!(site.state.put_count(&format!("jobs/job-{n:06}")), 1, "job {n}");
         }
-        assert!(site.cloud.doubles.lock().is_empty());
+        assert!(site.cloud.tasks_run_twice.lock().is_empty());
     });
 }
 
@@ -142,9 +152,9 @@
 fn a_record_that_is_too_large_by_now_is_cancelled_all_the_same() {
     // Accepted while values could be larger. To write it again as it is would be
     // refused for ever, and the cancellation never confirmed.
-    on_loopback(async {
+    run_async_test(async {
         let settings = |text: String| text.replace("\n[cluster.cloud]", ANNOUNCED_LIMITS);
-        let site = Site::with(Duration::from_millis(100), settings).await;
+        let site = Site::with_settings(Duration::from_millis(100), settings).await;
         let mut body = site.job(1, 1);
         body["rigs"] = json!(["large"]);
         body["cpus"] = json!(30.0);
@@ -152,13 +162,15 @@
         spec.machine_types = Some((0..200).map(|n| format!("machine-type-{n}")).collect());
         let record = json!({"spec": spec, "at": bitternfold::clock::unix_time_ms()});
         assert!(record.to_string().len() > 2048);
-        site.state.plant("jobs/job-000001", record);
+        site.state.put_directly("jobs/job-000001", record);
         site.state.limit_sizes(2048, 4);
-        let (status, view) = site.insist("POST", 0, "/v2/runs/job-000001/cancel", None).await;
+        let (status, view) = site
+            .request_with_retries("POST", 0, "/v2/runs/job-000001/cancel", None)
+            .await;
         assert_eq!((status, &view["standing"]), (200, &json!("cancelled")));
-        assert_eq!(site.state.too_large(), 0);
+        assert_eq!(site.state.oversized_transactions(), 0);
         for controller in 0..3 {
-            site.until(controller, "job-000001", "cancelled").await;
+            site.wait_for_state(controller, "job-000001", "cancelled").await;
         }
     });
 }
@@ -178,8 +190,8 @@
 
 #[test]
 fn one_refusal_for_the_rate_is_enough() {
-    on_loopback(async {
-        let state = std::sync::Arc::new(standins::State::default());
+    run_async_test(async {
+        let state = std::sync::Arc::new(standins::StateService::default());
         let address = state.start(0).await.to_string();
         let settings = support::SETTINGS.replace("\n[cluster.cloud]", ANNOUNCED_LIMITS);
         let limits = DeploymentSettings::parse(&settings, "test")
@@ -195,7 +207,7 @@
         };
         assert!(store.transact(&nothing, second * 10).await.is_ok());
         assert_eq!(store.max_changes_within(second), before, "not without a refusal");
-        state.refuse_for_rate(1);
+        state.rate_limit_next(1);
         assert!(store.transact(&nothing, second * 10).await.is_err());
         assert_eq!(store.max_changes_within(second), before * 60.0 / 100.0);
     });
@@ -203,9 +215,9 @@
 
 #[test]
 fn work_goes_on_after_refusals_for_the_rate() {
-    on_loopback(async {
+    run_async_test(async {
         let settings = |text: String| text.replace("\n[cluster.cloud]", ANNOUNCED_LIMITS);
-        let mut site = Site::with(Duration::from_millis(100), settings).await;
-        serve_through_changes(&mut site, 4, 2, |site| site.state.refuse_for_rate(20)).await;
+        let mut site = Site::with_settings(Duration::from_millis(100), settings).await;
+        serve_through_changes(&mut site, 4, 2, |site| site.state.rate_limit_next(20)).await;
     });
 }
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -18,13 +18,13 @@
 use bitternfold::http::{post_once, PostError};
 use bitternfold::sockets::SocketBudget;
 use serde_json::json;
-use site::{on_loopback, Site, LONG};
+use site::{run_async_test, Site, TEST_TIMEOUT};
 use standins::send_request;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-pub use support::types;
+pub use support::machine_types;
 
 /// Sends a heartbeat over a connection that stays open. Whether the response requests
 /// that it be closed; `None` without a response.
@@ -83,33 +83,36 @@
     // One controller is left, and its limit of sockets has room for fewer than
     // a third of the workers. At the limit neither a connection could be taken
     // nor the state service be reached, and the leadership would be lost.
-    on_loopback(async {
-        let mut site = Site::with(Duration::from_millis(300), |text| {
+    run_async_test(async {
+        let mut site = Site::with_settings(Duration::from_millis(300), |text| {
             format!("{text}\n[cluster.machine_limits]\nfd_limit = 64\n")
         })
         .await;
-        site.insist("POST", 0, "/v2/runs", Some(site.job(1, 3))).await;
-        site.kill(1);
-        site.kill(2);
+        site.request_with_retries("POST", 0, "/v2/runs", Some(site.job(1, 3)))
+            .await;
+        site.kill_controller(1);
+        site.kill_controller(2);
         let load = Arc::new(WorkerLoad::default());
         for worker in 0..100 {
-            tokio::spawn(send_heartbeats(site.api[0], worker, load.clone()));
+            tokio::spawn(send_heartbeats(site.api_addrs[0], worker, load.clone()));
         }
         let began = Instant::now();
         while load.served.load(Ordering::Relaxed) < 100 {
             assert!(
-                began.elapsed() < LONG,
+                began.elapsed() < TEST_TIMEOUT,
                 "{:?} of 100 workers got a response",
                 load.served
             );
             sleep(Duration::from_millis(50)).await;
         }
         assert!(load.closes.load(Ordering::Relaxed) > 0, "many had to close");
-        let (status, v) = site.insist("POST", 0, "/v2/runs", Some(site.job(2, 3))).await;
+        let (status, v) = site
+            .request_with_retries("POST", 0, "/v2/runs", Some(site.job(2, 3)))
+            .await;
         assert!([200, 201].contains(&status), "{v}");
-        assert_eq!(send_request("GET", site.api[0], "/up", None).await.0, 200);
-        site.until(0, "job-000002", "done").await;
-        assert!(site.cloud.doubles.lock().is_empty());
+        assert_eq!(send_request("GET", site.api_addrs[0], "/up", None).await.0, 200);
+        site.wait_for_state(0, "job-000002", "done").await;
+        assert!(site.cloud.tasks_run_twice.lock().is_empty());
         load.stopped.store(true, Ordering::Relaxed);
     });
 }
@@ -118,8 +121,9 @@
 fn a_connection_whose_peer_has_lost_power_is_closed() {
     // A machine that loses power closes nothing, before a request or within one.
     // Hundreds of them a day would use up the sockets.
-    on_loopback(async {
-        let controller = bitternfold::controller::Controller::new(support::deployment(), Default::default());
+    run_async_test(async {
+        let controller =
+            bitternfold::controller::Controller::new(support::deployment_settings(), Default::default());
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
         let timeouts = ConnectionTimeouts {
@@ -136,7 +140,7 @@
             let mut stream = TcpStream::connect(addr).await.expect("a connection");
             stream.write_all(request.as_bytes()).await.expect("sent");
             let mut response = Vec::new();
-            let end = tokio::time::timeout(LONG, stream.read_to_end(&mut response)).await;
+            let end = tokio::time::timeout(TEST_TIMEOUT, stream.read_to_end(&mut response)).await;
             assert!(end.is_ok(), "{request:?} keeps its socket");
         }
     });
@@ -148,7 +152,7 @@
         let sockets = SocketBudget::new(limit);
         let commands = sockets.available_command_sockets();
         assert!(commands >= 8 && !sockets.is_incoming_over_half_used());
-        on_loopback(async {
+        run_async_test(async {
             let mut permits = Vec::new();
             while let Ok(permit) =
                 tokio::time::timeout(Duration::from_millis(10), sockets.acquire_incoming_socket()).await
@@ -176,7 +180,7 @@
 fn what_was_decided_before_a_pause_is_not_handed_over_after() {
     // A controller may be paused between its decision and the sending of it; by then
     // another leads. The permit is checked once the connection is established.
-    on_loopback(async {
+    run_async_test(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address").to_string();
         let server = tokio::spawn(async move {
@@ -192,8 +196,9 @@
             }
             lengths
         });
-        let send =
-            |permit: Result<(), ()>| post_once(&addr, "/commands", b"{}".to_vec(), LONG, move || permit);
+        let send = |permit: Result<(), ()>| {
+            post_once(&addr, "/commands", b"{}".to_vec(), TEST_TIMEOUT, move || permit)
+        };
         assert!(matches!(send(Err(())).await, Err(PostError::Withheld(()))));
         assert_eq!(send(Ok(())).await.expect("a response").status, 200);
         let lengths = server.await.expect("it ran");
@@ -206,30 +211,33 @@
 fn a_flood_of_questions_is_refused_at_once_and_work_goes_on() {
     // Polls of unknown jobs need the state service. Without a bound they
     // queue for its budget, and what the leader needs queues behind them.
-    on_loopback(async {
-        let site = Site::with(Duration::from_millis(300), |text| {
+    run_async_test(async {
+        let site = Site::with_settings(Duration::from_millis(300), |text| {
             text.replace("rps = 200.0\nwrite_rps", "rps = 40.0\nwrite_rps")
         })
         .await;
         // A controller that has not opened its port yet would refuse connections.
         for at in 0..3 {
-            site.insist("GET", at, "/up", None).await;
+            site.request_with_retries("GET", at, "/up", None).await;
         }
-        site.insist("POST", 0, "/v2/runs", Some(site.job(1, 3))).await;
+        site.request_with_retries("POST", 0, "/v2/runs", Some(site.job(1, 3)))
+            .await;
         let mut flood = tokio::task::JoinSet::new();
-        let before = site.state.reads();
+        let before = site.state.key_reads();
         let began = Instant::now();
         for n in 0..400usize {
-            let addr = site.api[n % 3];
+            let addr = site.api_addrs[n % 3];
             flood.spawn(async move {
                 let response = client::request("GET", addr, &format!("/v2/runs/job-9{n:05}"), None).await;
                 (n, response.map(|(status, _)| status).map_err(|e| e.to_string()))
             });
         }
-        let (status, v) = site.insist("POST", 1, "/v2/runs", Some(site.job(2, 3))).await;
+        let (status, v) = site
+            .request_with_retries("POST", 1, "/v2/runs", Some(site.job(2, 3)))
+            .await;
         assert!([200, 201].contains(&status), "{v}");
         let responses = flood.join_all().await;
-        let reads = site.state.reads() - before;
+        let reads = site.state.key_reads() - before;
         // Three budgets of 0.6 of 40, a second's worth each at once, and the rest as time allows.
         let max_reads = 3.0 * 24.0 * (2.0 + began.elapsed().as_secs_f64());
         assert!((reads as f64) < max_reads, "{reads} reads of {max_reads}");
@@ -248,7 +256,7 @@
             responses.iter().any(|(_, status)| matches!(status, Ok(503))),
             "what can't be known soon is refused at once"
         );
-        site.until(2, "job-000002", "done").await;
+        site.wait_for_state(2, "job-000002", "done").await;
     });
 }
 
@@ -256,8 +264,8 @@
 fn a_takeover_of_many_machines_goes_on_while_leaders_come_and_go() {
     // All controllers end at once, come back within a fraction of a second, and
     // end one after the other while the next sends commands to its machines.
-    on_loopback(async {
-        let mut site = Site::with(Duration::from_secs(2), |text| {
+    run_async_test(async {
+        let mut site = Site::with_settings(Duration::from_secs(2), |text| {
             format!("{text}\n[cluster.machine_limits]\nfd_limit = 256\n")
         })
         .await;
@@ -267,27 +275,27 @@
                 .await;
         }
         for n in 0..6 {
-            site.insist("POST", n as usize % 3, "/v2/runs", Some(site.job(n, 40)))
+            site.request_with_retries("POST", n as usize % 3, "/v2/runs", Some(site.job(n, 40)))
                 .await;
         }
-        site.until(0, "job-000000", "running").await;
+        site.wait_for_state(0, "job-000000", "running").await;
         for round in 0..3 {
-            (0..3).for_each(|i| site.kill(i));
+            (0..3).for_each(|i| site.kill_controller(i));
             sleep(Duration::from_millis(100)).await;
-            (0..3).for_each(|i| site.boot(i));
+            (0..3).for_each(|i| site.start_controller(i));
             sleep(Duration::from_millis(300 * (round + 1))).await;
             site.state.end_leases();
         }
         for n in 0..6 {
-            site.until(n % 3, &format!("job-{n:06}"), "done").await;
+            site.wait_for_state(n % 3, &format!("job-{n:06}"), "done").await;
         }
         let max_concurrent = site.cloud.concurrent_commands.lock().max;
         // A quarter of what is left beside the controller's own; two leaders may overlap.
         assert!(max_concurrent <= 2 * 58, "{max_concurrent} commands at once");
         assert!(
-            site.cloud.doubles.lock().is_empty(),
+            site.cloud.tasks_run_twice.lock().is_empty(),
             "{:?}",
-            site.cloud.doubles.lock()
+            site.cloud.tasks_run_twice.lock()
         );
     });
 }
@@ -296,25 +304,26 @@
 fn nothing_that_was_said_happens_twice() {
     // Late copies of every kind of request that was carried out: transactions
     // (elections among them), commands, heartbeats, submissions, cancellations.
-    on_loopback(async {
+    run_async_test(async {
         let mut site = Site::start(Duration::from_millis(300)).await;
         for n in 0..4 {
-            site.insist("POST", n as usize % 3, "/v2/runs", Some(site.job(n, 5)))
+            site.request_with_retries("POST", n as usize % 3, "/v2/runs", Some(site.job(n, 5)))
                 .await;
         }
-        site.insist("POST", 1, "/v2/runs/job-000003/cancel", None).await;
+        site.request_with_retries("POST", 1, "/v2/runs/job-000003/cancel", None)
+            .await;
         // A term ends between, so that there are copies of an earlier leader's requests, too.
         site.state.end_leases();
-        site.kill(0);
+        site.kill_controller(0);
         sleep(Duration::from_millis(200)).await;
-        site.boot(0);
+        site.start_controller(0);
         let ends = ["done", "done", "done", "cancelled"];
         for (n, end) in ends.iter().enumerate() {
-            site.until(n % 3, &format!("job-{n:06}"), end).await;
+            site.wait_for_state(n % 3, &format!("job-{n:06}"), end).await;
         }
         let began = Instant::now();
-        while !(0..4).all(|n| site.state.has(&format!("final/job-{n:06}"))) {
-            assert!(began.elapsed() < LONG, "the ends are stored");
+        while !(0..4).all(|n| site.state.has_key(&format!("final/job-{n:06}"))) {
+            assert!(began.elapsed() < TEST_TIMEOUT, "the ends are stored");
             sleep(Duration::from_millis(50)).await;
         }
         let starts = *site.cloud.starts.lock();
@@ -324,30 +333,40 @@
             all
         };
         let stored = finals(&site);
-        assert_eq!(site.state.repeat_all(), 0, "a transaction's conditions hold once");
-        site.cloud.repeat_commands();
-        for (i, body) in site.cloud.reported().into_iter().enumerate().step_by(7) {
+        assert_eq!(
+            site.state.replay_transactions(),
+            0,
+            "a transaction's conditions hold once"
+        );
+        site.cloud.replay_commands();
+        for (i, body) in site
+            .cloud
+            .answered_heartbeats()
+            .into_iter()
+            .enumerate()
+            .step_by(7)
+        {
             let heartbeat = serde_json::from_slice(&body).expect("json");
-            send_request("POST", site.api[i % 3], "/v1/report", Some(heartbeat)).await;
+            send_request("POST", site.api_addrs[i % 3], "/v1/report", Some(heartbeat)).await;
         }
         for (n, end) in ends.iter().enumerate() {
             for at in 0..3 {
                 let job = format!("job-{n:06}");
                 let (status, v) = site
-                    .insist("POST", at, "/v2/runs", Some(site.job(n as u32, 5)))
+                    .request_with_retries("POST", at, "/v2/runs", Some(site.job(n as u32, 5)))
                     .await;
                 assert_eq!((status, &v["standing"]), (200, &json!(end)));
                 let (status, v) = site
-                    .insist("POST", at, &format!("/v2/runs/{job}/cancel"), None)
+                    .request_with_retries("POST", at, &format!("/v2/runs/{job}/cancel"), None)
                     .await;
                 assert_eq!((status, &v["standing"]), (200, &json!(end)));
-                site.until(at, &job, end).await;
+                site.wait_for_state(at, &job, end).await;
             }
         }
         // Long enough for a round of everything that could follow.
         sleep(Duration::from_millis(1500)).await;
         assert_eq!(*site.cloud.starts.lock(), starts, "no task is started once more");
         assert_eq!(finals(&site), stored);
-        assert!(site.cloud.doubles.lock().is_empty());
+        assert!(site.cloud.tasks_run_twice.lock().is_empty());
     });
 }
--- a/tests/planner/backfilling.rs
+++ b/tests/planner/backfilling.rs
@@ -14,10 +14,10 @@
     let now = start();
     let mut model = model(1);
     add_machine(&mut model, "i-1", "large", "north", false, now);
-    model.add_job(record(job(1, 3, 8.0)), now);
+    model.add_job(job_record(job(1, 3, 8.0)), now);
     model.plan(now);
     mark_all_running(&mut model, now);
-    model.add_job(record(job(2, 1, 16.0)), now + secs(1));
+    model.add_job(job_record(job(2, 1, 16.0)), now + secs(1));
     (model, now + secs(1))
 }
 
@@ -26,10 +26,10 @@
     let (mut model, now) = blocked_head();
     let mut long = job(3, 1, 8.0);
     long.estimate_s = 500.0;
-    model.add_job(record(long), now);
+    model.add_job(job_record(long), now);
     let mut short = job(4, 1, 8.0);
     short.estimate_s = 20.0;
-    model.add_job(record(short), now + secs(1));
+    model.add_job(job_record(short), now + secs(1));
     let round = model.plan(now + secs(1));
     assert_eq!(
         (round.started_in_order, round.backfilled, round.preempted),
@@ -46,7 +46,7 @@
     let (mut model, now) = blocked_head();
     let mut long = job(3, 1, 8.0);
     long.estimate_s = 500.0;
-    model.add_job(record(long), now);
+    model.add_job(job_record(long), now);
     let round = model.plan(now);
     assert_eq!(round.backfilled, 1);
     assert!(model.machines()[&MachineId::from("i-1")]
@@ -60,7 +60,7 @@
     let (mut model, now) = blocked_head();
     let mut long = job(3, 1, 8.0);
     long.estimate_s = 500.0;
-    model.add_job(record(long), now);
+    model.add_job(job_record(long), now);
     model.plan(now);
     mark_all_running(&mut model, now);
     // Preempting the shadow load frees 8 CPUs: not enough for the head's 16.
--- a/tests/planner/cordon.rs
+++ b/tests/planner/cordon.rs
@@ -13,7 +13,7 @@
         let mut model = model(1);
         add_machine(&mut model, "i-1", "small", "north", false, now);
         for n in 1..=jobs {
-            model.add_job(record(job(n, 2, 1.0)), now);
+            model.add_job(job_record(job(n, 2, 1.0)), now);
         }
         if succeeds_elsewhere {
             let first = model.set_up().jobs.values_mut().next().expect("a job");
@@ -40,7 +40,7 @@
     ids.iter()
         .for_each(|id| add_machine(&mut model, id, "small", "north", false, now));
     for n in [1, 2] {
-        model.add_job(record(job(n, 16, 4.0)), now);
+        model.add_job(job_record(job(n, 16, 4.0)), now);
     }
     let failing: Vec<JobId> = model.jobs().keys().copied().collect();
     let mut attempts = 0;
@@ -87,10 +87,10 @@
     let ids: Vec<String> = (1..=4).map(|i| format!("i-{i}")).collect();
     ids.iter()
         .for_each(|id| add_machine(&mut model, id, "small", "north", false, now));
-    model.add_job(record(job(1, 4, 8.0)), now);
+    model.add_job(job_record(job(1, 4, 8.0)), now);
     model.plan(now);
     let mut message = heartbeat("i-1", "small", "north", false, 1, 2);
-    message.tasks = running(&model, &"i-1".into());
+    message.tasks = reported_running(&model, &"i-1".into());
     model.apply_heartbeat(&message, now + secs(1));
     for id in &ids[1..] {
         end_all_tasks(&mut model, id, ExitReason::Failed, 2, now + secs(2));
@@ -121,7 +121,7 @@
         let mut model = model(1);
         add_machine(&mut model, "i-1", "small", "north", false, now);
         if busy {
-            model.add_job(record(job(1, 1, 4.0)), now);
+            model.add_job(job_record(job(1, 1, 4.0)), now);
             model.plan(now);
         }
         let id = MachineId::from("i-1");
@@ -131,11 +131,11 @@
             .get_mut(&id)
             .expect("known")
             .cordoned_since = Some(now);
-        model.add_job(record(job(2, 1, 4.0)), now);
+        model.add_job(job_record(job(2, 1, 4.0)), now);
         model.plan(now + secs(30));
         assert_eq!(tasks_on(&model, "i-1").len(), usize::from(busy), "still cordoned");
         let mut message = heartbeat("i-1", "small", "north", false, 1, 9);
-        message.tasks = running(&model, &id);
+        message.tasks = reported_running(&model, &id);
         model.apply_heartbeat(&message, now + secs(60));
         model.plan(now + secs(60));
         assert_eq!(tasks_on(&model, "i-1").len(), 1 + usize::from(busy));
--- a/tests/planner/fixtures.rs
+++ b/tests/planner/fixtures.rs
@@ -89,7 +89,7 @@
     let id = MachineId::from(machine);
     mark_all_running(model, now);
     let mut message = heartbeat(machine, "small", "north", false, 1, sequence);
-    message.tasks = running(model, &id);
+    message.tasks = reported_running(model, &id);
     for reported in &mut message.tasks {
         (reported.state, reported.exit_reason) = (TaskState::Ended, Some(reason));
     }
--- a/tests/planner/generated.rs
+++ b/tests/planner/generated.rs
@@ -121,14 +121,14 @@
             let (kind, zone) = (if *large { "large" } else { "small" }, if *south { "south" } else { "north" });
             add_machine(&mut model, &format!("i-{i}"), kind, zone, *spot, now);
         }
-        for spec in first { model.add_job(record(spec), now); }
+        for spec in first { model.add_job(job_record(spec), now); }
         model.plan(now);
         check_placements(&model)?;
         mark_all_running(&mut model, now);
         let later = now + secs(2);
         for mut spec in second {
             spec.id = format!("{}9", spec.id).parse().expect("an id");
-            model.add_job(record(spec), later);
+            model.add_job(job_record(spec), later);
         }
         let shadow_before: HashMap<TaskId, bool> = model.machines().values()
             .flat_map(|machine| machine.slots.iter().map(|(t, s)| (*t, s.backfilled))).collect();
@@ -187,7 +187,7 @@
         };
         let (mut together, mut one_by_one) = (build(), build());
         for model in [&mut together, &mut one_by_one] {
-            for spec in &first { model.add_job(record(spec.clone()), now); }
+            for spec in &first { model.add_job(job_record(spec.clone()), now); }
         }
         prop_assert_eq!(together.plan(now), one_by_one.plan_one_by_one(now));
         prop_assert_eq!(places(&together), places(&one_by_one));
@@ -197,7 +197,7 @@
             for spec in &second {
                 let mut spec = spec.clone();
                 spec.id = format!("{}9", spec.id).parse().expect("an id");
-                model.add_job(record(spec), later);
+                model.add_job(job_record(spec), later);
             }
         }
         prop_assert_eq!(together.plan(later), one_by_one.plan_one_by_one(later));
--- a/tests/planner/overload.rs
+++ b/tests/planner/overload.rs
@@ -34,7 +34,7 @@
                 spec.estimate_s = 20.0;
                 spec.deadline_s = (submitted % 3 > 0).then_some(60.0);
                 arrived.insert(spec.id, (second, tasks));
-                model.add_job(record(spec), at);
+                model.add_job(job_record(spec), at);
             }
         };
         submit_every(&mut model, 10, 3, Priority::High);
@@ -82,7 +82,7 @@
                 spec.priority = priority;
                 spec.deadline_s = due.map(f64::from);
                 wide_jobs.push(spec.id);
-                model.add_job(record(spec), now);
+                model.add_job(job_record(spec), now);
             }
         }
         let mut begun: HashMap<JobId, u64> = HashMap::new();
@@ -92,7 +92,7 @@
             for k in 0..flood {
                 let mut spec = job(10_000 + (second as u32) * 8 + k, 4, 4.0);
                 spec.priority = Priority::High;
-                model.add_job(record(spec), at);
+                model.add_job(job_record(spec), at);
             }
             advance_second(&mut model, second, at, run);
             for id in &wide_jobs {
--- a/tests/planner/prediction.rs
+++ b/tests/planner/prediction.rs
@@ -24,7 +24,7 @@
     let now = start();
     let mut model = model(1);
     add_machine(&mut model, "i-1", "small", "north", false, now);
-    model.add_job(record(job(1, 1, 1.0)), now);
+    model.add_job(job_record(job(1, 1, 1.0)), now);
     model.plan(now);
     let id = MachineId::from("i-1");
     let mut sequence = 2;
--- a/tests/planner/preemption.rs
+++ b/tests/planner/preemption.rs
@@ -25,20 +25,20 @@
     spec.priority = Priority::Low;
     spec.estimate_s = 300.0;
     set_low(&mut spec);
-    model.add_job(record(spec), now);
+    model.add_job(job_record(spec), now);
     model.plan(now);
     mark_all_running(&mut model, now);
     let later = now + run;
     for i in 0..4 {
         let id = format!("i-{i}");
         let mut message = heartbeat(&id, "small", "north", false, 5, 2);
-        message.tasks = running(&model, &id.as_str().into());
+        message.tasks = reported_running(&model, &id.as_str().into());
         model.apply_heartbeat(&message, later);
     }
     let mut spec = job(2, 3, 4.0);
     spec.deadline_s = Some(120.0);
     set_urgent(&mut spec);
-    model.add_job(record(spec), later);
+    model.add_job(job_record(spec), later);
     model.plan(later);
     let slots = model
         .machines()
@@ -99,10 +99,10 @@
     for i in 0..4 {
         let id = format!("i-{i}");
         let mut message = heartbeat(&id, "small", "north", false, 5, 3);
-        message.tasks = running(&model, &id.as_str().into());
+        message.tasks = reported_running(&model, &id.as_str().into());
         model.apply_heartbeat(&message, at);
     }
-    model.add_job(record(again), at);
+    model.add_job(job_record(again), at);
     model.plan(at);
     let slots = model
         .machines()
--- a/tests/planner/probation.rs
+++ b/tests/planner/probation.rs
@@ -14,7 +14,7 @@
 /// after it had run for `run`, and eight more, idle machines.
 fn failed_on_three_machines(tasks: u32, run: Duration, now: Instant) -> ClusterModel {
     let mut model = model(1);
-    model.add_job(record(job(1, tasks, 4.0)), now);
+    model.add_job(job_record(job(1, tasks, 4.0)), now);
     let only = model.set_up().jobs.values_mut().next().expect("the job");
     fail_on_three_machines(only, run, now);
     only.pause_until = Some(now + only.failures.pause());
@@ -35,9 +35,9 @@
             let mut message = heartbeat(&id, "small", "north", false, 1, 1 + i);
             let machine = id.as_str().into();
             message.tasks = if tasks_run {
-                running(model, &machine)
+                reported_running(model, &machine)
             } else {
-                fetching(model, &machine)
+                reported_fetching(model, &machine)
             };
             model.apply_heartbeat(&message, at);
         }
--- a/tests/planner/ranking.rs
+++ b/tests/planner/ranking.rs
@@ -13,9 +13,9 @@
     add_machine(&mut model, "i-1", "small", "north", false, now);
     let mut low = job(1, 1, 8.0);
     low.priority = Priority::Low;
-    model.add_job(record(low), now);
-    model.add_job(record(job(2, 1, 8.0)), now + secs(1));
-    model.add_job(record(job(3, 1, 8.0)), now);
+    model.add_job(job_record(low), now);
+    model.add_job(job_record(job(2, 1, 8.0)), now + secs(1));
+    model.add_job(job_record(job(3, 1, 8.0)), now);
     model.plan(now + secs(1));
     assert_eq!(tasks_on(&model, "i-1"), ["job-000003/0"]);
 }
@@ -28,8 +28,8 @@
     add_machine(&mut model, "i-2", "large", "north", false, now);
     let mut big = job(1, 8, 8.0);
     big.team = "red".into();
-    model.add_job(record(big), now);
-    model.add_job(record(job(2, 3, 8.0)), now);
+    model.add_job(job_record(big), now);
+    model.add_job(job_record(job(2, 3, 8.0)), now);
     let round = model.plan(now);
     assert_eq!(
         (round.started_in_order, round.backfilled),
@@ -47,7 +47,7 @@
         let mut spec = job(n, 1, 8.0);
         spec.deadline_s = due;
         spec.team = team.into();
-        (record(spec), now - secs(age))
+        (job_record(spec), now - secs(age))
     };
     let late = submitted(1, Some(50.0), 100, "blue");
     let in_time = submitted(2, Some(100.0), 20, "blue");
@@ -76,7 +76,7 @@
     for (n, tasks) in [(1, 40), (2, 5), (3, 1)] {
         let mut spec = job(n, tasks, 8.0);
         spec.deadline_s = Some(200.0);
-        model.add_job(record(spec), now + secs(u64::from(n)));
+        model.add_job(job_record(spec), now + secs(u64::from(n)));
     }
     model.plan(now + secs(4));
     assert_eq!(tasks_on(&model, "i-1"), ["job-000003/0"]);
@@ -89,7 +89,7 @@
     for n in 1..4 {
         let mut spec = job(n, 1, 8.0);
         spec.team = "red".into();
-        model.add_job(record(spec), now + secs(u64::from(n)));
+        model.add_job(job_record(spec), now + secs(u64::from(n)));
     }
     let ranks = model.ranks(now + secs(9));
     let tiers: Vec<Tier> = ranks.values().map(|r| r.tier).collect();
--- a/tests/safety/cluster/delivery.rs
+++ b/tests/safety/cluster/delivery.rs
@@ -55,8 +55,8 @@
     }
 
     fn deliver_command(&mut self, to: MachineId, commands: &CommandBatch, term: u64) {
-        let takes_commands = |worker: &&mut Worker| worker.takes_commands();
-        let Some(worker) = self.worker(&to).filter(takes_commands) else {
+        let receives_commands = |worker: &&mut Worker| worker.receives_commands();
+        let Some(worker) = self.worker(&to).filter(receives_commands) else {
             self.in_flight.push(Message::CommandResponse {
                 from: to,
                 heartbeat: None,
@@ -65,7 +65,7 @@
             return;
         };
         let started = worker.execute(commands);
-        let heartbeat = Some(worker.heartbeat());
+        let heartbeat = Some(worker.next_heartbeat());
         for task in started {
             self.check_runs_once_within_limit(task);
             self.check_dependencies_are_done(task);
@@ -156,8 +156,8 @@
                     .heartbeat_response(&heartbeat.machine, heartbeat.token, self.now);
             }
             Message::Command { to, commands, .. } => {
-                let takes_commands = |worker: &&mut Worker| worker.takes_commands();
-                if let Some(worker) = self.worker(&to).filter(takes_commands) {
+                let receives_commands = |worker: &&mut Worker| worker.receives_commands();
+                if let Some(worker) = self.worker(&to).filter(receives_commands) {
                     for task in worker.execute(&commands) {
                         self.check_runs_once_within_limit(task);
                     }
--- a/tests/safety/cluster/step/network.rs
+++ b/tests/safety/cluster/step/network.rs
@@ -10,7 +10,7 @@
         let index = machine % self.workers.len();
         let worker = &mut self.workers[index];
         if worker.alive && !self.heartbeats_lost.contains(&worker.id) {
-            let heartbeat = worker.heartbeat();
+            let heartbeat = worker.next_heartbeat();
             let sent = self.now;
             self.in_flight.push(Message::Heartbeat { heartbeat, sent });
         }
@@ -89,7 +89,7 @@
         let Some(deposed) = self.deposed.as_mut().filter(|_| worker.alive) else {
             return;
         };
-        let heartbeat = worker.heartbeat();
+        let heartbeat = worker.next_heartbeat();
         deposed.apply_heartbeat(&heartbeat, self.now);
         let response = deposed.heartbeat_response(&heartbeat.machine, heartbeat.token, self.now);
         if let Some(response) = response {
--- a/tests/safety/cluster/step/users.rs
+++ b/tests/safety/cluster/step/users.rs
@@ -18,7 +18,7 @@
         if red_team {
             spec.team = "red".into();
         }
-        let record = record(spec);
+        let record = job_record(spec);
         self.submitted.push(record.spec.id);
         self.stored_jobs.insert(record.spec.id, record.clone());
         self.model.add_job(record, self.now);
@@ -44,7 +44,7 @@
             }
         }
         let alive = worker.alive;
-        let heartbeat = worker.heartbeat();
+        let heartbeat = worker.next_heartbeat();
         if alive && !self.heartbeats_lost.contains(&heartbeat.machine) {
             let sent = self.now;
             self.in_flight.push(Message::Heartbeat { heartbeat, sent });
--- a/tests/safety/commands.rs
+++ b/tests/safety/commands.rs
@@ -12,7 +12,7 @@
     let mut model = model(7);
     let id = MachineId::from("i-1");
     model.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
-    model.add_job(record(job(1, 1, 4.0)), now);
+    model.add_job(job_record(job(1, 1, 4.0)), now);
     model.plan(now);
     let writes = model.take_due_writes(now);
     assert!(!writes.is_empty());
@@ -80,7 +80,7 @@
     let mut model = model(7);
     let id = MachineId::from("i-1");
     model.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
-    let job_record = record(job(1, 1, 4.0));
+    let job_record = job_record(job(1, 1, 4.0));
     let job = job_record.spec.id;
     model.add_job(job_record, now);
     model.plan(now);
@@ -130,7 +130,7 @@
     let mut model = model(7);
     let id = MachineId::from("i-1");
     model.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
-    model.add_job(record(job(1, 2, 4.0)), now);
+    model.add_job(job_record(job(1, 2, 4.0)), now);
     model.plan(now);
     let writes = model.take_due_writes(now);
     writes
@@ -139,7 +139,7 @@
     let batch = model.next_command(&id, now).expect("starts").batch;
     let mut message = heartbeat("i-1", "small", "north", false, 7, 2);
     message.token = batch.token;
-    message.tasks = ended(&model, &id, 1);
+    message.tasks = reported_ended(&model, &id, 1);
     model.command_finished(&id, Some(&message), now);
     let writes = model.take_due_writes(now + secs(1));
     let response = model
--- a/tests/safety/heartbeats.rs
+++ b/tests/safety/heartbeats.rs
@@ -46,7 +46,7 @@
     // started elsewhere.
     let now = start();
     let mut model = model(9);
-    model.add_job(record(job(1, 1, 4.0)), now);
+    model.add_job(job_record(job(1, 1, 4.0)), now);
     let mut late = heartbeat("i-1", "small", "north", false, 8, 400);
     late.tasks = vec![ReportedTask {
         task: "job-000001/0".parse().expect("a task"),
@@ -94,7 +94,7 @@
     let mut model = model(7);
     let id = MachineId::from("i-1");
     model.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
-    let job_record = record(job(1, 1, 4.0));
+    let job_record = job_record(job(1, 1, 4.0));
     let task = TaskId {
         job: job_record.spec.id,
         index: 0,
@@ -102,7 +102,7 @@
     model.add_job(job_record, now);
     model.plan(now);
     let mut message = heartbeat("i-1", "small", "north", false, 7, 2);
-    message.tasks = running(&model, &id);
+    message.tasks = reported_running(&model, &id);
     assert_eq!(model.unknown_tasks(&message).count(), 0);
     // Not the attempt that was placed.
     message.tasks[0].attempt += 1;
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -72,17 +72,17 @@
     }
     for number in 0..machines / 20 {
         // 40 tasks of 4 CPUs: as many as fit on 20 machines of 8 CPUs.
-        model.add_job(record(job(number as u32, 40, 4.0)), now);
+        model.add_job(job_record(job(number as u32, 40, 4.0)), now);
     }
     model.plan(now);
     for number in 0..30 {
-        model.add_job(record(job(100_000 + number, 100, 4.0)), now);
+        model.add_job(job_record(job(100_000 + number, 100, 4.0)), now);
     }
     let segments = store_all_writes(&mut model, now);
     for due in model.take_due_commands(now, usize::MAX) {
         let mut message = heartbeat(&due.machine, "small", "north", false, 7, 2);
         message.token = due.batch.token;
-        message.tasks = running(&model, &due.machine);
+        message.tasks = reported_running(&model, &due.machine);
         model.command_finished(&due.machine, Some(&message), now);
     }
     let running: usize = model.jobs().values().map(|j| j.running.len()).sum();
@@ -94,7 +94,7 @@
 fn heartbeat_with_one_task_ended(model: &ClusterModel, machine: usize, sequence: u64) -> Heartbeat {
     let mut message = heartbeat(&id(machine), "small", "north", false, 7, sequence);
     message.token = model.machines()[&id(machine)].seen_token;
-    message.tasks = ended(model, &id(machine), 1);
+    message.tasks = reported_ended(model, &id(machine), 1);
     message
 }
 
@@ -312,7 +312,7 @@
     let mut stored = std::collections::BTreeMap::new();
     for turn in 0..400u32 {
         let at = now + secs(u64::from(turn) * 2);
-        model.add_job(record(job(turn, 80, 4.0)), at);
+        model.add_job(job_record(job(turn, 80, 4.0)), at);
         for i in 0..40 {
             // The worker has removed the tasks that ended in the previous turn.
             let mut message = heartbeat(&id(i), "small", "north", false, 7, 2 + u64::from(turn) * 2);
@@ -335,7 +335,7 @@
         for due in model.take_due_commands(at, 64) {
             let mut message = heartbeat(&due.machine, "small", "north", false, 7, 3 + u64::from(turn) * 2);
             message.token = due.batch.token;
-            message.tasks = ended(&model, &due.machine, usize::MAX);
+            message.tasks = reported_ended(&model, &due.machine, usize::MAX);
             model.command_finished(&due.machine, Some(&message), at);
         }
         model.set_up().jobs.retain(|_, j| !j.is_complete());
@@ -359,7 +359,7 @@
             model.apply_heartbeat(&heartbeat(&id(i), "large", "north", true, 7, 1), now);
         }
         for n in 0..20 {
-            model.add_job(record(job(n, tasks, 1.0)), now);
+            model.add_job(job_record(job(n, tasks, 1.0)), now);
         }
         let round = model.plan(now);
         assert_eq!(round.started_in_order + round.backfilled, 40 * 32);
--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -8,12 +8,12 @@
 
 use crate::history::{Event, History, StatusResponse, Submitted};
 use crate::run::{CANCEL, RED_CPUS};
-use crate::site::job_name;
+use crate::site::job_id;
 
 const MACHINE: &str = "i-1";
 
 fn id(n: u32) -> JobId {
-    job_name(n).parse().expect("an id")
+    job_id(n).parse().expect("an id")
 }
 
 fn task(n: u32) -> TaskId {
--- a/tests/soak/fault_injection.rs
+++ b/tests/soak/fault_injection.rs
@@ -30,23 +30,23 @@
         Fault::KillAll if begins => (0..3).for_each(|i| processes.kill(i)),
         Fault::KillAll => (0..3).for_each(|i| processes.boot(i)),
         Fault::Pause => processes.pause(controller, begins),
-        Fault::StateRefuses => state.refuse(controller, begins),
-        Fault::StateOut => state.outage(begins),
-        Fault::LateWrites => state.late_writes(begins.then_some(LateWrites {
+        Fault::StateRefuses => state.set_controller_refused(controller, begins),
+        Fault::StateOut => state.set_outage(begins),
+        Fault::LateWrites => state.set_late_writes(begins.then_some(LateWrites {
             every: 4,
             delay: Duration::from_secs(3),
         })),
-        Fault::NoCommands => cloud.no_commands.store(begins, Ordering::Relaxed),
-        Fault::NoHeartbeats => cloud.mute.store(begins, Ordering::Relaxed),
+        Fault::NoCommands => cloud.reject_commands.store(begins, Ordering::Relaxed),
+        Fault::NoHeartbeats => cloud.suppress_heartbeats.store(begins, Ordering::Relaxed),
         Fault::ControllerUnreachable if begins => drop(cloud.unreachable.lock().insert(controller)),
         Fault::ControllerUnreachable => drop(cloud.unreachable.lock().remove(&controller)),
         Fault::Hang if begins => {
-            let machines = cloud.names();
+            let machines = cloud.machine_ids();
             let some = machines.len().div_ceil(3);
-            cloud.hang(&machines[..some]);
+            cloud.hang_machines(&machines[..some]);
         }
-        Fault::Hang => cloud.resume(),
-        Fault::LateHeartbeats => *cloud.late_copies.lock() = begins.then_some(Duration::from_secs(7)),
+        Fault::Hang => cloud.resume_machines(),
+        Fault::LateHeartbeats => *cloud.late_copy_delay.lock() = begins.then_some(Duration::from_secs(7)),
         Fault::PeersRefuse => {
             processes.set_links(controller, if begins { LinkMode::Refuse } else { LinkMode::Pass });
         }
@@ -57,8 +57,8 @@
             let delay = LinkMode::Delay(Duration::from_millis(300));
             processes.set_links(controller, if begins { delay } else { LinkMode::Pass });
         }
-        Fault::RateRefused if begins => state.refuse_for_rate(20),
-        Fault::RateRefused => state.refuse_for_rate(0),
+        Fault::RateRefused if begins => state.rate_limit_next(20),
+        Fault::RateRefused => state.rate_limit_next(0),
     }
 }
 
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -28,14 +28,14 @@
 use faults::{Fault, FAULTS};
 use request::Request;
 use run::{play, Plan};
-use site::on_loopback;
+use site::run_async_test;
 
 /// A run whose own timer was once later than this can't judge others' times.
 const MAX_TIMER_DELAY: Duration = Duration::from_secs(2);
 
 /// Plays a plan and prints its result; false if its own timer was too late to judge.
 fn judge(plan: &Plan) -> bool {
-    let outcome = on_loopback(play(plan));
+    let outcome = run_async_test(play(plan));
     println!(
         "soak: seed {}, {} jobs, {} starts and ends, own timer late by {:?}",
         plan.seed, outcome.jobs, outcome.starts, outcome.late
--- a/tests/soak/processes.rs
+++ b/tests/soak/processes.rs
@@ -38,8 +38,8 @@
         for i in 0..3 {
             let mut text = site.settings(i).to_owned();
             for j in (0..3).filter(|j| *j != i) {
-                let link = Proxy::start(site.back[j]).await;
-                let old = format!("endpoint = \"{}\"", site.back[j]);
+                let link = Proxy::start(site.peer_addrs[j]).await;
+                let old = format!("endpoint = \"{}\"", site.peer_addrs[j]);
                 text = text.replace(&old, &format!("endpoint = \"{}\"", link.addr));
                 links.insert((i, j), link);
             }
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -17,7 +17,7 @@
 use crate::faults::{schedule, Fault, Planned, Target};
 use crate::history::{Event, History, Violation};
 use crate::processes::Processes;
-use crate::standins::cloud::TaskChange;
+use crate::standins::cloud::TaskEventKind;
 use crate::users::Users;
 
 /// Workers' lease, and the time for a cancellation, of the soak's settings.
@@ -156,13 +156,13 @@
     let mut events = users.events.lock().clone();
     for change in processes.site.cloud.events() {
         let at = change.at.saturating_duration_since(users.began);
-        let event = match change.what {
-            TaskChange::Started => Event::Started {
+        let event = match change.kind {
+            TaskEventKind::Started => Event::Started {
                 task: change.task,
                 machine: change.machine,
                 zone: change.zone,
             },
-            TaskChange::Ended { done } => Event::Ended {
+            TaskEventKind::Ended { done } => Event::Ended {
                 task: change.task,
                 machine: change.machine,
                 done,
@@ -207,7 +207,7 @@
     let _ = std::fs::remove_dir_all(&folder);
     let mut processes = Processes::start(folder.clone(), RUN, settings).await;
     let cloud = processes.site.cloud.clone();
-    cloud.use_leases(LEASE);
+    cloud.set_worker_lease(LEASE);
     for i in 0..plan.workers {
         cloud
             .boot(if i % 2 == 0 { "north" } else { "south" }, i % 3 == 0)
@@ -215,7 +215,7 @@
     }
     let late = watch_own_clock();
     let users = Arc::new(Users {
-        api: processes.site.api.clone(),
+        api: processes.site.api_addrs.clone(),
         cloud: cloud.clone(),
         began: Instant::now(),
         events: Mutex::default(),
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 use crate::history::{Event, StatusResponse, Submitted};
-use crate::site::job_name;
+use crate::site::job_id;
 use crate::standins::{send_request, Cloud};
 use crate::support;
 
@@ -145,13 +145,13 @@
     pub async fn run_one(self: Arc<Self>, seed: u64) {
         let mut rng = StdRng::seed_from_u64(seed);
         let number = self.next.fetch_add(1, Ordering::Relaxed) as u32;
-        let job: JobId = job_name(number).parse().expect("an id");
+        let job: JobId = job_id(number).parse().expect("an id");
         let endless = rng.random_bool(0.25);
         let submitted = self.draw(&mut rng, endless);
         let body = body_of(number, &submitted, endless);
         let at = rng.random_range(0..3);
         if endless {
-            self.cloud.run_slowly(&job.to_string());
+            self.cloud.slow_down_job(&job.to_string());
         }
         self.submitting.fetch_add(1, Ordering::Relaxed);
         let accepted = self.submit(job, submitted, body.clone(), at).await;
--- a/tests/support/cloud/commands.rs
+++ b/tests/support/cloud/commands.rs
@@ -145,8 +145,7 @@
                 }
             }
             Command::Stop { task, attempt, .. } => {
-                let is_live =
-                    |known: &&mut Task| known.attempt == attempt && known.state != TaskState::Ended;
+                let is_live = |known: &&mut Task| known.attempt == attempt && known.state != TaskState::Ended;
                 if let Some(known) = machine.tasks.get_mut(&task).filter(is_live) {
                     (known.state, known.exit_reason) = (TaskState::Ended, Some(ExitReason::Stopped));
                     self.record_event(machine, task, TaskEventKind::Ended { done: false });
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -13,7 +13,7 @@
 use bitternfold::core::state::machine::{Machine, MachinePhase};
 use bitternfold::core::ClusterModel;
 use bitternfold::wire::{Command, CommandBatch, JobId, MachineId, TaskId};
-use site::{job_name, on_loopback, Site, LONG};
+use site::{job_id, run_async_test, Site, TEST_TIMEOUT};
 use tokio::time::sleep;
 
 /// Tasks of the job that occupies the machines that will hang, one on each: more stops than
@@ -30,7 +30,10 @@
 async fn wait_until(condition: &str, holds: impl Fn() -> bool) {
     let started_at = Instant::now();
     while !holds() {
-        assert!(started_at.elapsed() < LONG, "timed out waiting until {condition}");
+        assert!(
+            started_at.elapsed() < TEST_TIMEOUT,
+            "timed out waiting until {condition}"
+        );
         sleep(Duration::from_millis(10)).await;
     }
 }
@@ -40,32 +43,32 @@
 /// From then on none of its tasks may be started.
 #[test]
 fn a_start_that_waits_for_a_socket_is_not_sent_once_its_job_is_cancelled() {
-    on_loopback(async {
+    run_async_test(async {
         let limits = format!("\n[cluster.machine_limits]\nfd_limit = {SOCKET_LIMIT}\n");
-        let site = Site::with(Duration::from_secs(7200), |text| text + &limits).await;
-        site.until_some_leader().await;
+        let site = Site::with_settings(Duration::from_secs(7200), |text| text + &limits).await;
+        site.wait_for_leader().await;
 
         // The only machine in the zone `south` is for the job whose start will wait.
         site.cloud.boot("south", true).await;
         // One task fills a machine.
-        let (filler_job, waiting_job) = (job_name(1), job_name(2));
+        let (filler_job, waiting_job) = (job_id(1), job_id(2));
         let mut job = site.job(1, FILLER_TASKS);
         job["cpus"] = 8.0.into();
         job["yard"] = "north".into();
-        let (status, body) = site.insist("POST", 0, "/v2/runs", Some(job)).await;
+        let (status, body) = site.request_with_retries("POST", 0, "/v2/runs", Some(job)).await;
         assert_eq!(status, 201, "{body}");
-        site.until_running(|n| n >= MIN_RUNNING).await;
-        let empty_machines = site.cloud.empty_machines();
+        site.wait_for_running_tasks(|n| n >= MIN_RUNNING).await;
+        let idle_machines = site.cloud.idle_machines();
         let busy_machines: Vec<String> = site
             .cloud
-            .names()
+            .machine_ids()
             .into_iter()
-            .filter(|m| !empty_machines.contains(m))
+            .filter(|m| !idle_machines.contains(m))
             .collect();
 
-        site.cloud.hang(&busy_machines);
+        site.cloud.hang_machines(&busy_machines);
         let path = format!("/v2/runs/{filler_job}/cancel");
-        assert_eq!(site.insist("POST", 0, &path, None).await.0, 200);
+        assert_eq!(site.request_with_retries("POST", 0, &path, None).await.0, 200);
         wait_until("the sockets for commands are taken", || {
             site.cloud.hanging_commands() >= COMMAND_SOCKETS
         })
@@ -73,16 +76,21 @@
 
         let mut job = site.job(2, 1);
         job["yard"] = "south".into();
-        assert_eq!(site.insist("POST", 0, "/v2/runs", Some(job)).await.0, 201);
-        wait_until("the task is placed", || site.state.log_names(&waiting_job)).await;
+        assert_eq!(
+            site.request_with_retries("POST", 0, "/v2/runs", Some(job))
+                .await
+                .0,
+            201
+        );
+        wait_until("the task is placed", || site.state.log_contains(&waiting_job)).await;
         sleep(Duration::from_millis(200)).await;
         let path = format!("/v2/runs/{waiting_job}/cancel");
-        assert_eq!(site.insist("POST", 0, &path, None).await.0, 200);
-        let started_before = site.cloud.starts_of(&waiting_job);
+        assert_eq!(site.request_with_retries("POST", 0, &path, None).await.0, 200);
+        let started_before = site.cloud.start_count(&waiting_job);
 
         // By then every waiting command has been sent or given up.
         sleep(Duration::from_secs(8)).await;
-        let started = site.cloud.starts_of(&waiting_job);
+        let started = site.cloud.start_count(&waiting_job);
         assert_eq!(started, started_before, "a task of a cancelled job was started");
     });
 }
@@ -108,7 +116,7 @@
         let mut model = support::model(7);
         let machine = MachineId::from("i-1");
         model.apply_heartbeat(&support::heartbeat("i-1", "small", "north", false, 7, 1), now);
-        let record = support::record(support::job(1, 1, 4.0));
+        let record = support::job_record(support::job(1, 1, 4.0));
         let job: JobId = record.spec.id;
         model.add_job(record, now);
         model.plan(now);
@@ -161,7 +169,7 @@
     let mut dependent = support::job(2, 1, 4.0);
     dependent.awaits = vec![decided.task.job];
     decided.task.job = dependent.id;
-    decided.model.add_job(support::record(dependent), decided.now);
+    decided.model.add_job(support::job_record(dependent), decided.now);
     let start = Command::Start {
         task: decided.task,
         attempt: 1,
