--- a/tests/planner/admission.rs
+++ b/tests/planner/admission.rs
@@ -1,4 +1,4 @@
-//! Which jobs are refused because no cluster could ever run them.
+//! Admission refuses jobs that can never run on the cluster.
 
 use bitternfold::core::scheduling::admission::{check_admission, AdmissionError};
 use bitternfold::wire::*;
@@ -15,23 +15,23 @@
     assert_eq!(
         check_admission(&spec, teams, model.machine_types()),
         Ok(()),
-        "an array only needs room for one task"
+        "the tasks of an array may run one after the other"
     );
     spec.kind = JobKind::Service;
     assert_eq!(
         check_admission(&spec, teams, model.machine_types()),
         Err(AdmissionError::ExceedsTeamLimit),
-        "48 of 40 CPUs at once"
+        "48 CPUs at once, the limit is 40"
     );
     spec.team = "green".into();
     assert_eq!(
         check_admission(&spec, teams, model.machine_types()),
         Err(AdmissionError::UnknownTeam)
     );
-    let mut big = job(2, 1, 8.0);
-    big.memory_gb = 64.5;
+    let mut too_large = job(2, 1, 8.0);
+    too_large.memory_gb = 64.5;
     assert_eq!(
-        check_admission(&big, teams, model.machine_types()),
+        check_admission(&too_large, teams, model.machine_types()),
         Err(AdmissionError::FitsNoMachineType)
     );
 }
--- a/tests/planner/backfilling.rs
+++ b/tests/planner/backfilling.rs
@@ -1,4 +1,4 @@
-//! Venture backfilling beside a blocked head, and shadow load preemption.
+//! Venture backfilling behind a blocked head, and shadow load preemption.
 
 use std::time::Instant;
 
@@ -8,9 +8,10 @@
 use crate::fixtures::*;
 use crate::support::*;
 
-/// One large machine: 24 CPUs of sunny load until 60 s, 8 free; the head of the queue
+/// A model with one large machine, and the time of the next round. Sunny load takes 24 CPUs
+/// and is predicted to end after 60 s, 8 CPUs are free, and the job at the head of the queue
 /// needs 16.
-fn blocked_head() -> (ClusterModel, Instant) {
+fn model_with_blocked_head() -> (ClusterModel, Instant) {
     let now = start();
     let mut model = model(1);
     add_machine(&mut model, "i-1", "large", "north", false, now);
@@ -22,8 +23,8 @@
 }
 
 #[test]
-fn backfilling_goes_by_predicted_finish_within_the_reservation_first() {
-    let (mut model, now) = blocked_head();
+fn tasks_predicted_to_end_before_the_reservation_are_backfilled_first() {
+    let (mut model, now) = model_with_blocked_head();
     let mut long = job(3, 1, 8.0);
     long.estimate_s = 500.0;
     model.add_job(job_record(long), now);
@@ -37,13 +38,13 @@
     );
     assert!(
         tasks_on(&model, "i-1").contains(&"job-000004/0".into()),
-        "the short one, though it came later"
+        "the short job is backfilled, although it arrived later"
     );
 }
 
 #[test]
-fn leftover_room_goes_by_priority_whatever_the_prediction() {
-    let (mut model, now) = blocked_head();
+fn a_job_that_outlasts_the_reservation_is_backfilled_into_leftover_capacity() {
+    let (mut model, now) = model_with_blocked_head();
     let mut long = job(3, 1, 8.0);
     long.estimate_s = 500.0;
     model.add_job(job_record(long), now);
@@ -57,7 +58,7 @@
 
 #[test]
 fn shadow_load_is_preempted_only_when_that_starts_the_head_at_once() {
-    let (mut model, now) = blocked_head();
+    let (mut model, now) = model_with_blocked_head();
     let mut long = job(3, 1, 8.0);
     long.estimate_s = 500.0;
     model.add_job(job_record(long), now);
@@ -87,12 +88,12 @@
     model.apply_heartbeat(&message, now + secs(2));
     let round = model.plan(now + secs(2));
     assert_eq!((round.preempted, round.started_in_order), (1, 1));
-    // The stop goes out before the start, in one command.
+    // The stop comes before the start, in the same batch of commands.
     let writes = model.take_due_writes(now + secs(2));
     writes
         .iter()
         .for_each(|write| model.write_finished(write, true, now + secs(2)));
-    let batch = model.next_command(&id, now + secs(2)).expect("a command").batch;
+    let batch = model.next_command(&id, now + secs(2)).expect("a batch").batch;
     let stop = batch
         .commands
         .iter()
--- a/tests/planner/cordon.rs
+++ b/tests/planner/cordon.rs
@@ -1,4 +1,4 @@
-//! Machines that fail the tasks of several jobs are cordoned, for a bounded time.
+//! A machine on which tasks of several jobs fail is cordoned, for a bounded time.
 
 use bitternfold::wire::*;
 
@@ -6,16 +6,17 @@
 use crate::support::*;
 
 #[test]
-fn a_machine_that_fails_the_tasks_of_several_jobs_is_cordoned() {
-    // Jobs that succeed elsewhere, or more jobs than are likely to be faulty at once.
-    for (jobs, succeeds_elsewhere) in [(2, true), (3, false)] {
+fn a_machine_on_which_tasks_of_several_jobs_fail_is_cordoned() {
+    // Two jobs of which one is proven by a task that is done; or three jobs, as so many are
+    // unlikely to be faulty at the same time.
+    for (jobs, one_is_proven) in [(2, true), (3, false)] {
         let now = start();
         let mut model = model(1);
         add_machine(&mut model, "i-1", "small", "north", false, now);
         for n in 1..=jobs {
             model.add_job(job_record(job(n, 2, 1.0)), now);
         }
-        if succeeds_elsewhere {
+        if one_is_proven {
             let first = model.set_up().jobs.values_mut().next().expect("a job");
             first.waiting.remove(1);
             first.done.insert(1);
@@ -31,9 +32,9 @@
 }
 
 #[test]
-fn jobs_that_fail_everywhere_cordon_no_machine_and_take_little() {
-    // Submitted with a mistake: two such jobs fail wherever they are tried,
-    // beside a job that succeeds. Only their pauses grow, and not for long.
+fn jobs_that_fail_everywhere_cordon_no_machine_and_make_few_attempts() {
+    // Two jobs were submitted with a mistake, so their tasks fail on every machine. Only the
+    // pauses between their attempts grow, up to a bound.
     let mut now = start();
     let mut model = model(1);
     let ids: Vec<String> = (1..=8).map(|i| format!("i-{i}")).collect();
@@ -57,14 +58,15 @@
         .values()
         .all(|machine| machine.cordoned_since.is_none()));
     assert!((18..80).contains(&attempts), "{attempts} attempts in 300 s");
-    let longest = model
+    let last_pause_end = model
         .jobs()
         .values()
         .filter_map(|j| j.pause_until)
         .max()
         .expect("a pause");
-    assert!(longest <= now + secs(20));
-    // One failed by chance only: it is retried in time, and then runs in full.
+    assert!(last_pause_end <= now + secs(20));
+    // One of the jobs failed by chance only: it is retried in time, and once one of its tasks
+    // is done, all others are placed.
     let job = model.set_up().jobs.get_mut(&failing[0]).expect("known");
     job.done.insert(0);
     job.waiting.remove(0);
@@ -79,9 +81,9 @@
 }
 
 #[test]
-fn a_job_whose_other_tasks_run_on_does_not_stay_on_probation() {
-    // Three faulty machines among good ones, and no task is done for long: tried
-    // on one at a time, its other tasks would wait despite free machines.
+fn a_job_on_probation_may_run_all_its_tasks_once_one_keeps_running() {
+    // Three of the machines are faulty, and no task is done for a long time. If the job were
+    // limited to one task at a time until then, the others would wait despite free machines.
     let now = start();
     let mut model = model(1);
     let ids: Vec<String> = (1..=4).map(|i| format!("i-{i}")).collect();
@@ -95,15 +97,15 @@
     for id in &ids[1..] {
         end_all_tasks(&mut model, id, ExitReason::Failed, 2, now + secs(2));
     }
-    let only = model.jobs().values().next().expect("the job");
+    let job = model.jobs().values().next().expect("the job");
     assert_eq!(
-        model.placement_limit(only, now + secs(3)),
+        model.placement_limit(job, now + secs(3)),
         1,
-        "so far it may fail everywhere"
+        "its tasks may still fail everywhere"
     );
     assert!(
-        model.placement_limit(only, now + secs(60)) >= 4,
-        "one task runs on and on: all are admitted"
+        model.placement_limit(job, now + secs(60)) >= 4,
+        "one task has survived its trial, so all four may be placed"
     );
     add_machine(&mut model, "i-5", "small", "north", false, now + secs(60));
     add_machine(&mut model, "i-6", "small", "north", false, now + secs(60));
@@ -112,10 +114,10 @@
 }
 
 #[test]
-fn a_cordon_ends_whether_or_not_the_machine_runs_something() {
-    // An empty machine goes back to the cloud, but the cloud may refuse that for
-    // long. One with long tasks stays, and with it its free capacity. The cause of either
-    // may have ended.
+fn a_cordon_ends_whether_or_not_the_machine_is_empty() {
+    // An empty cordoned machine is released, but the cloud may refuse the release for a long
+    // time. One with long tasks stays, and its free capacity would stay unused. In both cases
+    // the cause of the cordon may be over.
     for busy in [false, true] {
         let now = start();
         let mut model = model(1);
--- a/tests/planner/fixtures.rs
+++ b/tests/planner/fixtures.rs
@@ -9,11 +9,18 @@
 use crate::support::*;
 
 /// Adds a schedulable machine.
-pub fn add_machine(model: &mut ClusterModel, id: &str, kind: &str, zone: &str, spot: bool, now: Instant) {
-    model.apply_heartbeat(&heartbeat(id, kind, zone, spot, model.term(), 1), now);
+pub fn add_machine(
+    model: &mut ClusterModel,
+    id: &str,
+    machine_type: &str,
+    zone: &str,
+    spot: bool,
+    now: Instant,
+) {
+    model.apply_heartbeat(&heartbeat(id, machine_type, zone, spot, model.term(), 1), now);
 }
 
-/// The tasks with a slot on a machine, by name.
+/// The ids of the tasks that have a slot on a machine.
 pub fn tasks_on(model: &ClusterModel, id: &str) -> Vec<String> {
     model.machines()[&MachineId::from(id)]
         .slots
@@ -22,7 +29,7 @@
         .collect()
 }
 
-/// Marks all placed tasks as running since `now`.
+/// Marks all placed tasks as started in this term and running since `now`.
 pub fn mark_all_running(model: &mut ClusterModel, now: Instant) {
     let term = model.term();
     for slot in model
@@ -39,11 +46,12 @@
     }
 }
 
-/// Advances four machines to `now`: tasks placed at least `run_s` seconds ago are done,
-/// and a scheduling round places what fits.
-pub fn advance_second(model: &mut ClusterModel, second: u64, now: Instant, run_s: u64) {
+/// Simulates a second of four machines: at `now` their heartbeats report the tasks that were
+/// placed at least `run_s` seconds ago as done, then a scheduling round places what fits.
+pub fn simulate_second(model: &mut ClusterModel, second: u64, now: Instant, run_s: u64) {
     for i in 0..4 {
         let mut message = heartbeat(&format!("i-{i}"), "small", "north", false, 5, second + 10);
+        // Above every start's token, so that a task that isn't listed counts as gone.
         message.token = (5 << 20) + 900;
         let id = MachineId::from(format!("i-{i}").as_str());
         message.tasks = model.machines()[&id]
@@ -68,6 +76,7 @@
         model.apply_heartbeat(&message, now);
     }
     model.plan(now);
+    // As if all starts had been sent.
     for slot in model
         .set_up()
         .machines
@@ -78,7 +87,8 @@
     }
 }
 
-/// Sends heartbeats in which all tasks on a machine have ended for `reason`.
+/// Applies two heartbeats of a machine: the first reports that all its tasks have ended for
+/// `reason`, the second lists none of them any more.
 pub fn end_all_tasks(
     model: &mut ClusterModel,
     machine: &str,
@@ -94,7 +104,7 @@
         (reported.state, reported.exit_reason) = (TaskState::Ended, Some(reason));
     }
     model.apply_heartbeat(&message, now);
-    // The worker has removed them, too.
+    // The worker has forgotten the ended tasks.
     let mut message = heartbeat(machine, "small", "north", false, 1, sequence + 1);
     message.token = (1 << 20) + 500_000;
     model.apply_heartbeat(&message, now);
--- a/tests/planner/gangs.rs
+++ b/tests/planner/gangs.rs
@@ -25,5 +25,5 @@
         .flat_map(|machine| machine.slots.values().map(|s| s.attempt))
         .collect();
     assert_eq!(model.jobs().values().next().expect("the job").places.len(), 3);
-    assert_eq!(attempts.len(), 1, "a gang's tasks share their attempt");
+    assert_eq!(attempts.len(), 1, "the tasks of a gang share one attempt number");
 }
--- a/tests/planner/main.rs
+++ b/tests/planner/main.rs
@@ -1,4 +1,5 @@
-//! PV-EASY: its invariants under generated clusters, and its steps one by one.
+//! Scheduling rounds of PV-EASY: their invariants with generated clusters and jobs, and each
+//! step by itself.
 
 mod admission;
 mod backfilling;
--- a/tests/planner/overload.rs
+++ b/tests/planner/overload.rs
@@ -10,10 +10,10 @@
 use crate::support::*;
 
 #[test]
-fn an_overload_leaves_no_class_team_or_size_unserved() {
-    // Ten minutes of nearly twice what the machines can do: all that has waited
-    // for four minutes has begun by then, whatever its priority, team or size, and
-    // once it ends all is done, the widest, too.
+fn jobs_of_every_priority_team_and_size_start_in_time_under_overload() {
+    // For ten minutes, nearly twice as much work arrives as the machines can do. Still every
+    // job starts within four minutes, whatever its priority, team or size. After the
+    // overload all jobs are done, also the widest.
     let now = start();
     let mut model = model(5);
     for i in 0..4 {
@@ -40,7 +40,7 @@
         submit_every(&mut model, 10, 3, Priority::High);
         submit_every(&mut model, 40, 8, Priority::Normal);
         submit_every(&mut model, 120, 24, Priority::Low);
-        advance_second(&mut model, second, at, 20);
+        simulate_second(&mut model, second, at, 20);
         for job in model.jobs().values().filter(|job| !job.has_started()) {
             let waited = second - arrived[&job.spec.id].0;
             assert!(
@@ -51,22 +51,22 @@
             );
         }
         second += 1;
-        assert!(second < 1800, "work is left over");
+        assert!(second < 1800, "jobs are left long after the overload");
     }
-    assert!(second > 900, "it was an overload: {second} s");
+    assert!(second > 900, "no overload: all jobs were done after {second} s");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// However much better-placed work keeps coming, the widest arrays of every
-    /// class and team begin well within four minutes, and go on to be done.
+    /// However many jobs of higher priority keep arriving, the widest arrays of every class
+    /// and team start well within four minutes.
     #[test]
-    fn no_overload_keeps_a_job_from_beginning(
-        wide in 8..60u32,
-        due in proptest::option::of(10..90u32),
-        flood in 1..4u32,
-        run in 10..40u64,
+    fn wide_arrays_start_in_time_under_any_overload_of_higher_priority(
+        wide_tasks in 8..60u32,
+        deadline_s in proptest::option::of(10..90u32),
+        jobs_per_s in 1..4u32,
+        run_s in 10..40u64,
     ) {
         let now = start();
         let mut model = model(5);
@@ -76,34 +76,34 @@
         let mut wide_jobs = Vec::new();
         for (n, team) in ["red", "blue"].into_iter().enumerate() {
             for priority in [Priority::Low, Priority::Normal] {
-                let mut spec = job(wide_jobs.len() as u32 + 900, wide, 4.0);
+                let mut spec = job(wide_jobs.len() as u32 + 900, wide_tasks, 4.0);
                 spec.team = team.into();
                 spec.class = format!("wide-{n}");
                 spec.priority = priority;
-                spec.deadline_s = due.map(f64::from);
+                spec.deadline_s = deadline_s.map(f64::from);
                 wide_jobs.push(spec.id);
                 model.add_job(job_record(spec), now);
             }
         }
-        let mut begun: HashMap<JobId, u64> = HashMap::new();
+        let mut started_at: HashMap<JobId, u64> = HashMap::new();
         for second in 0..240u64 {
             let at = now + secs(second);
             // More high-priority work than the machines can ever do.
-            for k in 0..flood {
+            for k in 0..jobs_per_s {
                 let mut spec = job(10_000 + (second as u32) * 8 + k, 4, 4.0);
                 spec.priority = Priority::High;
                 model.add_job(job_record(spec), at);
             }
-            advance_second(&mut model, second, at, run);
+            simulate_second(&mut model, second, at, run_s);
             for id in &wide_jobs {
                 if model.jobs().get(id).is_none_or(|j| j.has_started()) {
-                    begun.entry(*id).or_insert(second);
+                    started_at.entry(*id).or_insert(second);
                 }
             }
         }
         for id in &wide_jobs {
-            let at = begun.get(id).copied();
-            prop_assert!(at.is_some_and(|s| s < 220), "{} began at {:?}", id, at);
+            let at = started_at.get(id).copied();
+            prop_assert!(at.is_some_and(|s| s < 220), "{} started at {:?}", id, at);
         }
     }
 }
--- a/tests/planner/prediction.rs
+++ b/tests/planner/prediction.rs
@@ -1,4 +1,5 @@
-//! The Last Model: how long a job will run, learnt from its team's finished jobs.
+//! The Last Model: run times predicted from the run-to-estimate ratio of the team's last
+//! finished job.
 
 use std::collections::BTreeMap;
 
@@ -19,8 +20,8 @@
 }
 
 #[test]
-fn the_last_model_learns_from_done_only() {
-    // An instantly failing job must not make its team's long jobs look short.
+fn the_last_model_learns_only_from_tasks_that_are_done() {
+    // A job that fails at once must not shorten the predictions for its team's long jobs.
     let now = start();
     let mut model = model(1);
     add_machine(&mut model, "i-1", "small", "north", false, now);
@@ -29,41 +30,42 @@
     let id = MachineId::from("i-1");
     let mut sequence = 2;
     mark_all_running(&mut model, now);
-    for (reason, ran, expect) in [
+    for (reason, run_s, expected_ratio) in [
         (ExitReason::Failed, 0, None),
+        // The task runs for 3 s before it is first reported, and for 30 s after that.
         (ExitReason::Done, 30, Some(33.0 / 60.0)),
     ] {
-        let (task, slot) = model.machines()[&id]
+        let (task, attempt_number) = model.machines()[&id]
             .slots
             .iter()
             .next()
             .map(|(t, s)| (*t, s.attempt))
             .expect("placed");
         let mut message = heartbeat("i-1", "small", "north", false, 1, sequence);
-        let base = now + secs(sequence);
+        let reported_at = now + secs(sequence);
         message.tasks = vec![ReportedTask {
             task,
-            attempt: slot,
+            attempt: attempt_number,
             state: TaskState::Running,
             exit_reason: None,
             saved: None,
         }];
-        model.apply_heartbeat(&message, base);
+        model.apply_heartbeat(&message, reported_at);
         message.sequence += 1;
         message.tasks[0].state = TaskState::Ended;
         message.tasks[0].exit_reason = Some(reason);
-        model.apply_heartbeat(&message, base + secs(ran));
+        model.apply_heartbeat(&message, reported_at + secs(run_s));
         message.sequence += 1;
         message.tasks.clear();
         message.token = (1 << 20) + 900;
-        model.apply_heartbeat(&message, base + secs(ran));
+        model.apply_heartbeat(&message, reported_at + secs(run_s));
         sequence = message.sequence + 1;
-        let writes = model.take_due_writes(base + secs(ran));
+        let writes = model.take_due_writes(reported_at + secs(run_s));
         writes
             .iter()
-            .for_each(|write| model.write_finished(write, true, base));
-        assert_eq!(model.run_time_ratios().get("blue").copied(), expect);
-        model.plan(base + secs(ran));
-        mark_all_running(&mut model, base + secs(ran));
+            .for_each(|write| model.write_finished(write, true, reported_at));
+        assert_eq!(model.run_time_ratios().get("blue").copied(), expected_ratio);
+        model.plan(reported_at + secs(run_s));
+        mark_all_running(&mut model, reported_at + secs(run_s));
     }
 }
--- a/tests/planner/ranking.rs
+++ b/tests/planner/ranking.rs
@@ -1,4 +1,4 @@
-//! The order in which jobs are served: priority, age, deadline, quota.
+//! The order of the queue: by priority, quota, deadline and arrival.
 
 use bitternfold::core::scheduling::ranking::Tier;
 use bitternfold::wire::*;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_job_at_its_teams_limit_is_skipped_not_the_head() {
+fn a_job_at_its_teams_limit_does_not_block_the_jobs_behind_it() {
     let now = start();
     let mut model = model(1);
     add_machine(&mut model, "i-1", "large", "north", false, now);
@@ -34,42 +34,43 @@
     assert_eq!(
         (round.started_in_order, round.backfilled),
         (8, 0),
-        "5 of red's (limit 40), then 3 of blue's"
+        "5 tasks of red, whose limit is 40 CPUs, then 3 of blue"
     );
 }
 
 #[test]
 fn under_load_jobs_that_can_still_be_in_time_come_before_late_ones() {
-    // One machine, room for one: by arrival the job that is already late would come
-    // first, and all others would be late in turn.
+    // In the order of arrival, the job that is already late would come first, and with room
+    // for one job all others would be late in turn.
     let now = start();
-    let submitted = |n: u32, due: Option<f64>, age: u64, team: &str| {
+    let submitted = |n: u32, deadline_s: Option<f64>, age_s: u64, team: &str| {
         let mut spec = job(n, 1, 8.0);
-        spec.deadline_s = due;
+        spec.deadline_s = deadline_s;
         spec.team = team.into();
-        (job_record(spec), now - secs(age))
+        (job_record(spec), now - secs(age_s))
     };
     let late = submitted(1, Some(50.0), 100, "blue");
     let in_time = submitted(2, Some(100.0), 20, "blue");
     let no_deadline = submitted(3, None, 10, "blue");
     let within_quota = submitted(4, None, 5, "red");
     let starved = submitted(5, Some(50.0), 1000, "blue");
-    let order = [starved, late, in_time, no_deadline, within_quota];
+    let jobs = [starved, late, in_time, no_deadline, within_quota];
     let mut model = model(1);
-    order.iter().for_each(|(r, at)| model.add_job(r.clone(), *at));
+    jobs.iter()
+        .for_each(|(record, arrival)| model.add_job(record.clone(), *arrival));
     let ranks = model.ranks(now);
     let mut ids: Vec<JobId> = ranks.keys().copied().collect();
     ids.sort_by_key(|id| ranks[id]);
     let ids: Vec<String> = ids.iter().map(ToString::to_string).collect();
-    // The starved one has waited long enough; red's is within its quota;
-    // the one that is due can wait 20 s yet.
+    // Job 5 starves, and job 4 is within red's quota. Job 2 comes after job 3, which has no
+    // deadline, as it can wait for another 20 s. Job 1 has missed its deadline.
     let expected = [5, 4, 3, 2, 1].map(|n| format!("job-{n:06}"));
     assert_eq!(ids, expected);
 }
 
 #[test]
-fn under_load_the_least_work_goes_first_among_what_is_due() {
-    // By arrival or by latest start, a large job would make ten small ones late.
+fn under_load_the_job_with_the_least_work_comes_first_among_those_with_deadlines() {
+    // In the order of arrival or of latest start, a large job would make ten small ones late.
     let now = start();
     let mut model = model(1);
     add_machine(&mut model, "i-1", "small", "north", false, now);
@@ -96,6 +97,6 @@
     assert_eq!(
         tiers,
         [Tier::WithinQuota, Tier::WithinQuota, Tier::InTime],
-        "the quota is 16 CPUs"
+        "red's quota is 16 CPUs, and each job needs 8"
     );
 }
