--- a/tests/dependencies/graph.rs
+++ b/tests/dependencies/graph.rs
@@ -21,12 +21,12 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_graph_agrees_with_the_plain_rule(operations in proptest::collection::vec(any_operation(), 1..120)) {
+    fn the_graph_agrees_with_the_plain_model_after_any_operations(operations in proptest::collection::vec(any_operation(), 1..120)) {
         let mut plain = PlainModel::new();
         for operation in operations {
-            plain.step(operation);
-            let resolved = plain.graph.unresolved().is_empty();
-            plain.check(resolved)?;
+            plain.apply(operation);
+            let all_resolved = plain.graph.unresolved().is_empty();
+            plain.check(all_resolved)?;
         }
         while let Some(id) = plain.graph.unresolved().first().copied() {
             plain.resolve(id);
--- a/tests/dependencies/main.rs
+++ b/tests/dependencies/main.rs
@@ -1,5 +1,5 @@
-//! The dependency graph against a plain model of it, and what the cluster model
-//! makes of it: what is placed, started, ranked and counted, and which status
+//! Dependencies between jobs: the dependency graph compared with a plain model of it, and its
+//! effects in the cluster model on placement, starts, ranks, quotas, rentals and the status that
 //! clients are given.
 
 mod cancellation;
--- a/tests/dependencies/plain_model.rs
+++ b/tests/dependencies/plain_model.rs
@@ -1,5 +1,5 @@
-//! A plain model of jobs that wait for others, beside the graph under test: each query
-//! is evaluated by walking all jobs anew.
+//! The plain model: a reference for the dependency graph that evaluates each query by walking
+//! all jobs anew. It applies each operation to itself and to the graph under test.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -21,27 +21,31 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    Open,
+    Unfinished,
     Done,
     Cancelled,
 }
 
 #[derive(Debug, Clone)]
 pub enum Operation {
-    /// A job that awaits earlier ones; its priority, and its due time and run time in seconds.
+    /// Adds a job that depends on earlier ones, with its priority, its due time and its run
+    /// time; both in seconds, the due time after the start of the test.
     Add {
         awaits: Vec<usize>,
         priority: u8,
         due_s: Option<u16>,
         run_s: u8,
     },
-    /// An open job that waits for none is done.
+    /// An unfinished job whose dependencies are all done is done.
     Done(usize),
+    /// The cancellation of an unfinished job is stored.
     Cancel(usize),
     /// A cancellation is requested and not yet confirmed as stored.
     RequestCancellation(usize),
-    /// A new leader knows the open jobs, and looks up the others as it likes.
+    /// A new leader knows the unfinished jobs, and the outcomes of the others only once they
+    /// are resolved.
     Elect,
+    /// The outcome of an unresolved dependency is read.
     Resolve(usize),
 }
 
@@ -50,7 +54,7 @@
     state: State,
     /// Its cancellation is requested and not yet confirmed as stored.
     cancellation_requested: bool,
-    own: Urgency,
+    own_urgency: Urgency,
     run_time: Duration,
 }
 
@@ -69,38 +73,39 @@
         }
     }
 
-    fn nth(&self, which: usize) -> Option<JobId> {
-        let open = self.jobs.iter().filter(|(_, j)| j.state == State::Open);
-        let ids: Vec<JobId> = open.map(|(id, _)| *id).collect();
+    /// The unfinished job that a generated number selects.
+    fn select_unfinished(&self, which: usize) -> Option<JobId> {
+        let unfinished = self.jobs.iter().filter(|(_, j)| j.state == State::Unfinished);
+        let ids: Vec<JobId> = unfinished.map(|(id, _)| *id).collect();
         ids.get(which % ids.len().max(1)).copied()
     }
 
-    fn is_open(&self, id: JobId) -> bool {
-        self.jobs[&id].state == State::Open
+    fn is_unfinished(&self, id: JobId) -> bool {
+        self.jobs[&id].state == State::Unfinished
     }
 
     fn is_ready(&self, id: JobId) -> bool {
-        let done = |n: &JobId| self.jobs[n].state == State::Done;
-        self.jobs[&id].awaits.iter().all(done)
+        let is_done = |n: &JobId| self.jobs[n].state == State::Done;
+        self.jobs[&id].awaits.iter().all(is_done)
     }
 
-    /// By the plain rule: cancelled itself, or one that it names is.
+    /// Whether a job is cancelled, by itself or with a dependency.
     fn is_cancelled(&self, id: JobId) -> bool {
         let job = &self.jobs[&id];
         job.state == State::Cancelled
-            || job.state == State::Open && job.awaits.iter().any(|n| self.is_cancelled(*n))
+            || job.state == State::Unfinished && job.awaits.iter().any(|n| self.is_cancelled(*n))
     }
 
-    /// By the plain rule: of all open jobs that name it.
+    /// The priority and the due time that a job inherits from its unfinished dependents.
     fn inherited(&self, id: JobId) -> Option<(Priority, Option<Instant>)> {
-        let after = self
+        let dependents = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.state == State::Open && j.awaits.contains(&id));
-        let urgencies = after.map(|(dependent, job)| {
-            let beyond = self.inherited(*dependent);
-            let priority = beyond.map_or(job.own.priority, |b| b.0.max(job.own.priority));
-            let due = [job.own.due, beyond.and_then(|b| b.1)]
+            .filter(|(_, j)| j.state == State::Unfinished && j.awaits.contains(&id));
+        let urgencies = dependents.map(|(dependent, job)| {
+            let inherited = self.inherited(*dependent);
+            let priority = inherited.map_or(job.own_urgency.priority, |b| b.0.max(job.own_urgency.priority));
+            let due = [job.own_urgency.due, inherited.and_then(|b| b.1)]
                 .into_iter()
                 .flatten()
                 .min();
@@ -109,10 +114,14 @@
         urgencies.reduce(|a, b| (a.0.max(b.0), [a.1, b.1].into_iter().flatten().min()))
     }
 
-    /// By the plain rule: an open job needs another, directly or through open ones.
-    fn needs(&self, id: JobId, other: JobId) -> bool {
+    /// Whether an unfinished job depends on another, directly or through unfinished ones.
+    fn depends_on(&self, id: JobId, other: JobId) -> bool {
         let job = &self.jobs[&id];
-        job.state == State::Open && job.awaits.iter().any(|n| *n == other || self.needs(*n, other))
+        job.state == State::Unfinished
+            && job
+                .awaits
+                .iter()
+                .any(|n| *n == other || self.depends_on(*n, other))
     }
 
     fn add_to_graph(&mut self, id: JobId) {
@@ -120,40 +129,47 @@
         let dependent = DependentJob {
             id,
             awaits: &job.awaits,
-            urgency: job.own,
+            urgency: job.own_urgency,
             run_time: job.run_time,
         };
         let jobs = &self.jobs;
-        self.graph.add(&dependent, |n| jobs[&n].state == State::Open);
+        self.graph
+            .add(&dependent, |n| jobs[&n].state == State::Unfinished);
     }
 
     fn cancel(&mut self, id: JobId) {
-        let open: Vec<JobId> = self.jobs.keys().copied().filter(|j| self.is_open(*j)).collect();
-        let after = |j: &JobId| *j != id && self.needs(*j, id);
-        let expected: BTreeSet<JobId> = open.into_iter().filter(after).collect();
-        self.end(id, State::Cancelled);
+        let unfinished: Vec<JobId> = self
+            .jobs
+            .keys()
+            .copied()
+            .filter(|j| self.is_unfinished(*j))
+            .collect();
+        let is_dependent = |j: &JobId| *j != id && self.depends_on(*j, id);
+        let expected: BTreeSet<JobId> = unfinished.into_iter().filter(is_dependent).collect();
+        self.set_state(id, State::Cancelled);
         let got: BTreeSet<JobId> = self.graph.cancellation_stored(id).into_iter().collect();
-        assert_eq!(got, expected, "cancelled with {id}");
+        assert_eq!(got, expected, "jobs that are cancelled with {id}");
         self.graph.remove(id);
         for dependent in got {
-            self.end(dependent, State::Cancelled);
+            self.set_state(dependent, State::Cancelled);
             self.graph.remove(dependent);
         }
     }
 
-    fn end(&mut self, id: JobId, state: State) {
+    fn set_state(&mut self, id: JobId, state: State) {
         if let Some(job) = self.jobs.get_mut(&id) {
             job.state = state;
         }
     }
 
+    /// Tells the graph the outcome of a job; nothing if the job is unfinished.
     pub fn resolve(&mut self, id: JobId) {
         match self.jobs[&id].state {
-            State::Open => {}
+            State::Unfinished => {}
             State::Done => self.graph.done_stored(id, None),
             State::Cancelled => {
                 for dependent in self.graph.cancellation_stored(id) {
-                    self.end(dependent, State::Cancelled);
+                    self.set_state(dependent, State::Cancelled);
                     self.graph.remove(dependent);
                 }
             }
@@ -161,9 +177,12 @@
     }
 
     fn add(&mut self, awaits: Vec<usize>, priority: u8, due_s: Option<u16>, run_s: u8) {
-        let new = id(self.jobs.len());
-        let all = self.jobs.len();
-        let awaits = awaits.into_iter().filter(|_| all > 0).map(|n| id(n % all));
+        let new_id = job_id(self.jobs.len());
+        let job_count = self.jobs.len();
+        let awaits = awaits
+            .into_iter()
+            .filter(|_| job_count > 0)
+            .map(|n| job_id(n % job_count));
         let priority = [
             Priority::Low,
             Priority::Normal,
@@ -173,36 +192,45 @@
         let due = due_s.map(|s| self.start + Duration::from_secs(u64::from(s)));
         let job = PlainJob {
             awaits: awaits.collect(),
-            state: State::Open,
+            state: State::Unfinished,
             cancellation_requested: false,
-            own: urgency(priority, due),
+            own_urgency: urgency(priority, due),
             run_time: Duration::from_secs(u64::from(run_s)),
         };
-        self.jobs.insert(new, job);
-        self.add_to_graph(new);
+        self.jobs.insert(new_id, job);
+        self.add_to_graph(new_id);
     }
 
-    fn job_done(&mut self, which: usize) {
-        let ready =
+    fn finish_job(&mut self, which: usize) {
+        let may_finish =
             |plain: &PlainModel, id: &JobId| plain.is_ready(*id) && !plain.jobs[id].cancellation_requested;
-        if let Some(ended) = self.nth(which).filter(|j| ready(self, j)) {
-            self.end(ended, State::Done);
+        if let Some(ended) = self.select_unfinished(which).filter(|j| may_finish(self, j)) {
+            self.set_state(ended, State::Done);
             self.graph.done_stored(ended, Some(self.start));
             self.graph.remove(ended);
         }
     }
 
-    /// Builds the graph of a new leader, from the open jobs in reverse order.
+    /// Builds the graph of a new leader, from the unfinished jobs in reverse order.
     fn elect(&mut self) {
         self.graph = Dependencies::default();
-        let open: Vec<JobId> = self.jobs.keys().copied().filter(|j| self.is_open(*j)).collect();
-        for id in open.into_iter().rev() {
-            self.jobs.get_mut(&id).expect("open").cancellation_requested = false;
+        let unfinished: Vec<JobId> = self
+            .jobs
+            .keys()
+            .copied()
+            .filter(|j| self.is_unfinished(*j))
+            .collect();
+        for id in unfinished.into_iter().rev() {
+            self.jobs
+                .get_mut(&id)
+                .expect("an unfinished job")
+                .cancellation_requested = false;
             self.add_to_graph(id);
         }
     }
 
-    pub fn step(&mut self, operation: Operation) {
+    /// Applies an operation to this model and to the graph.
+    pub fn apply(&mut self, operation: Operation) {
         match operation {
             Operation::Add {
                 awaits,
@@ -212,16 +240,19 @@
             } => {
                 self.add(awaits, priority, due_s, run_s);
             }
-            Operation::Done(which) => self.job_done(which),
+            Operation::Done(which) => self.finish_job(which),
             Operation::Cancel(which) => {
-                if let Some(id) = self.nth(which) {
+                if let Some(id) = self.select_unfinished(which) {
                     self.cancel(id);
                 }
             }
             Operation::RequestCancellation(which) => {
-                if let Some(id) = self.nth(which) {
+                if let Some(id) = self.select_unfinished(which) {
                     self.graph.cancellation_requested(id);
-                    self.jobs.get_mut(&id).expect("open").cancellation_requested = true;
+                    self.jobs
+                        .get_mut(&id)
+                        .expect("an unfinished job")
+                        .cancellation_requested = true;
                 }
             }
             Operation::Elect => self.elect(),
@@ -234,20 +265,34 @@
         }
     }
 
-    pub fn check(&self, resolved: bool) -> Result<(), TestCaseError> {
-        for (id, job) in self.jobs.iter().filter(|(_, j)| j.state == State::Open) {
+    /// Compares what the graph and this model say of each unfinished job. Unless all
+    /// dependencies are resolved, the graph may know less than this model, but may call no
+    /// job ready too early and must hold those in doubt whose cancellation it can't know.
+    pub fn check(&self, all_resolved: bool) -> Result<(), TestCaseError> {
+        for (id, job) in self.jobs.iter().filter(|(_, j)| j.state == State::Unfinished) {
             if self.graph.is_ready(*id) {
-                prop_assert!(self.is_ready(*id), "{id} is called ready too early");
+                prop_assert!(self.is_ready(*id), "the graph calls {id} ready too early");
             }
             if !self.graph.in_doubt(*id) {
-                let requested = |n: &JobId| self.jobs[n].cancellation_requested && self.is_open(*n);
-                prop_assert!(!job.awaits.iter().any(requested), "{id} is in doubt");
-                prop_assert!(!self.is_cancelled(*id), "{id} is cancelled unknown to the graph");
+                let is_requested = |n: &JobId| self.jobs[n].cancellation_requested && self.is_unfinished(*n);
+                prop_assert!(
+                    !job.awaits.iter().any(is_requested),
+                    "{id} is in doubt, but the graph doesn't know"
+                );
+                prop_assert!(
+                    !self.is_cancelled(*id),
+                    "{id} is cancelled, but the graph doesn't know"
+                );
             }
-            if resolved {
-                prop_assert_eq!(self.graph.is_ready(*id), self.is_ready(*id), "{} is ready", id);
-                let got = self.graph.inherited_urgency(*id).map(|u| (u.priority, u.due));
-                prop_assert_eq!(got, self.inherited(*id), "what {} inherits", id);
+            if all_resolved {
+                prop_assert_eq!(
+                    self.graph.is_ready(*id),
+                    self.is_ready(*id),
+                    "whether {} is ready",
+                    id
+                );
+                let inherited = self.graph.inherited_urgency(*id).map(|u| (u.priority, u.due));
+                prop_assert_eq!(inherited, self.inherited(*id), "the urgency that {} inherits", id);
             }
         }
         Ok(())
--- a/tests/dependencies/size.rs
+++ b/tests/dependencies/size.rs
@@ -1,4 +1,4 @@
-//! Chains, fans and layers of ten thousand jobs.
+//! Chains, fan-outs and layers of 10,000 jobs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,15 +9,15 @@
 use crate::fixtures::*;
 use crate::support::*;
 
-/// Shapes of 10,000 jobs: the first is cancelled, or all are done one after another.
+/// Dependency graphs of 10,000 jobs, by name; all jobs depend on job 0, directly or indirectly.
 fn shapes() -> Vec<(&'static str, Vec<JobRecord>)> {
     const JOBS: u32 = 10_000;
     let chain = (1..JOBS).map(|n| job_awaiting(n, &[n - 1]));
     let fan = (1..JOBS).map(|n| job_awaiting(n, &[0]));
-    // Each layer of a hundred waits for three of the layer before.
+    // Layers of a hundred: each job depends on three jobs, mostly of the layer before.
     let layers = (1..JOBS).map(|n| {
-        let before = |k: u32| n.saturating_sub(100 + k * 7);
-        job_awaiting(n, &[before(0), before(1), before(2)])
+        let earlier = |k: u32| n.saturating_sub(100 + k * 7);
+        job_awaiting(n, &[earlier(0), earlier(1), earlier(2)])
     });
     let first = || std::iter::once(job_awaiting(0, &[]));
     vec![
@@ -32,30 +32,30 @@
     for (shape, records) in shapes() {
         let now = start();
         let mut model = model(7);
-        // In the order in which a new leader may read them.
+        // A new leader may read the jobs in any order, such as the last ones first.
         for record in records.iter().rev() {
             model.add_job(record.clone(), now);
         }
         assert!(model.dependencies().unresolved().is_empty(), "{shape}");
-        model.cancel(id(0), now);
-        model.cancellation_stored(id(0));
-        let cancelled = |n: &usize| state_of(&model, *n) == Some(JobState::Cancelled);
+        model.cancel(job_id(0), now);
+        model.cancellation_stored(job_id(0));
+        let is_cancelled = |n: &usize| state_of(&model, *n) == Some(JobState::Cancelled);
         assert_eq!(
-            (0..records.len()).filter(cancelled).count(),
+            (0..records.len()).filter(is_cancelled).count(),
             records.len(),
             "{shape}"
         );
         let mut stored = BTreeSet::new();
         while stored.len() < records.len() {
-            let finals = store_all(&mut model, now);
+            let finals = store_due_writes(&mut model, now);
             assert!(
                 !finals.is_empty(),
-                "{shape}: {} are left",
+                "{shape}: no final state is due, {} are left",
                 records.len() - stored.len()
             );
             assert!(
                 finals.len() <= model.config().max_transaction_changes,
-                "{shape}: {} at once",
+                "{shape}: {} final states at once",
                 finals.len()
             );
             assert!(finals.iter().all(|f| f.1 == JobState::Cancelled), "{shape}");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn ten_thousand_jobs_become_ready_in_their_turn() {
+fn ten_thousand_jobs_become_ready_once_their_dependencies_are_done() {
     for (shape, records) in shapes() {
         let now = start();
         let mut model = model(7);
@@ -74,31 +74,34 @@
             model.add_job(record.clone(), now);
         }
         let mut done: BTreeSet<JobId> = BTreeSet::new();
-        let mut next: Vec<JobId> = vec![id(0)];
-        let mut after: BTreeMap<JobId, Vec<JobId>> = BTreeMap::new();
+        let mut ready: Vec<JobId> = vec![job_id(0)];
+        let mut dependents: BTreeMap<JobId, Vec<JobId>> = BTreeMap::new();
         for record in &records {
-            for named in &record.spec.awaits {
-                after.entry(*named).or_default().push(record.spec.id);
+            for dependency in &record.spec.awaits {
+                dependents.entry(*dependency).or_default().push(record.spec.id);
             }
         }
-        while let Some(ended) = next.pop() {
-            assert!(model.dependencies().is_ready(ended), "{shape}: {ended} is ready");
+        while let Some(ended) = ready.pop() {
+            assert!(
+                model.dependencies().is_ready(ended),
+                "{shape}: {ended} isn't ready"
+            );
             model.resolve_dependency(ended, DependencyOutcome::Done(Some(now)));
             model.remove_job(ended);
             done.insert(ended);
-            for dependent in after.get(&ended).into_iter().flatten() {
-                let all = model.jobs()[dependent]
+            for dependent in dependents.get(&ended).into_iter().flatten() {
+                let all_done = model.jobs()[dependent]
                     .spec
                     .awaits
                     .iter()
                     .all(|n| done.contains(n));
                 assert_eq!(
                     model.dependencies().is_ready(*dependent),
-                    all,
-                    "{shape}: {dependent}"
+                    all_done,
+                    "{shape}: whether {dependent} is ready"
                 );
-                if all && !done.contains(dependent) && !next.contains(dependent) {
-                    next.push(*dependent);
+                if all_done && !done.contains(dependent) && !ready.contains(dependent) {
+                    ready.push(*dependent);
                 }
             }
         }
