--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,5 +1,5 @@
-//! Work in proportion to what changed, with a fleet of 6,600 machines, where the service
-//! is run with 4,000. Work is counted in allocations, not timed.
+//! The cost of each step depends on what changed, not on all that there is: tested with 6,600
+//! machines, where the service is run with 4,000. The cost is counted in allocations, not timed.
 
 mod support;
 
@@ -33,23 +33,25 @@
 #[global_allocator]
 static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// The allocations that an operation makes on this thread, and its result.
+/// Runs an operation. Returns the number of allocations that it made on this thread, and its
+/// result.
 fn count_allocations<T>(operation: impl FnOnce() -> T) -> (u64, T) {
     let before = COUNT.with(Cell::get);
     let result = operation();
     (COUNT.with(Cell::get) - before, result)
 }
 
-/// Machines of a small fleet.
-const SMALL: usize = 660;
-/// Machines of a large fleet.
-const LARGE: usize = 6600;
+/// Number of machines in the small fleet.
+const SMALL_FLEET: usize = 660;
+/// Number of machines in the large fleet.
+const LARGE_FLEET: usize = 6600;
 
-fn id(i: usize) -> MachineId {
+fn machine_id(i: usize) -> MachineId {
     format!("i-{i:06}").as_str().into()
 }
 
-/// Takes all writes that fall due within 400 s as stored; returns the log segments in them.
+/// Takes all writes that become due within 400 s and reports them as stored. Returns the log
+/// segments among them.
 fn store_all_writes(model: &mut ClusterModel, now: Instant) -> Vec<(u64, Option<serde_json::Value>)> {
     let mut segments = Vec::new();
     for second in 0..400 {
@@ -68,7 +70,7 @@
 fn full_cluster(machines: usize, now: Instant) -> (ClusterModel, Vec<(u64, Option<serde_json::Value>)>) {
     let mut model = model(7);
     for i in 0..machines {
-        model.apply_heartbeat(&heartbeat(&id(i), "small", "north", false, 7, 1), now);
+        model.apply_heartbeat(&heartbeat(&machine_id(i), "small", "north", false, 7, 1), now);
     }
     for number in 0..machines / 20 {
         // 40 tasks of 4 CPUs: as many as fit on 20 machines of 8 CPUs.
@@ -92,13 +94,13 @@
 
 /// A heartbeat of a machine in which its first task has ended.
 fn heartbeat_with_one_task_ended(model: &ClusterModel, machine: usize, sequence: u64) -> Heartbeat {
-    let mut message = heartbeat(&id(machine), "small", "north", false, 7, sequence);
-    message.token = model.machines()[&id(machine)].seen_token;
-    message.tasks = reported_ended(model, &id(machine), 1);
+    let mut message = heartbeat(&machine_id(machine), "small", "north", false, 7, sequence);
+    message.token = model.machines()[&machine_id(machine)].seen_token;
+    message.tasks = reported_ended(model, &machine_id(machine), 1);
     message
 }
 
-/// The allocations of each step from a heartbeat to the next start.
+/// Allocations of each step from a heartbeat to the next start.
 struct Costs {
     heartbeat: u64,
     append: u64,
@@ -107,9 +109,9 @@
 }
 
 #[test]
-fn a_heartbeat_a_start_and_an_append_cost_the_same_in_a_large_fleet() {
+fn each_step_from_a_heartbeat_to_the_next_start_has_a_bounded_cost_in_a_large_fleet() {
     let now = start();
-    let costs = [SMALL, LARGE].map(|machines| {
+    let costs = [SMALL_FLEET, LARGE_FLEET].map(|machines| {
         let (mut model, _) = full_cluster(machines, now);
         let message = heartbeat_with_one_task_ended(&model, machines / 2, 3);
         let at = now + secs(1000);
@@ -139,7 +141,7 @@
         assert_eq!(
             done.started_in_order + done.backfilled,
             1,
-            "the free place is taken"
+            "the freed capacity is used"
         );
         let writes = model.take_due_writes(at + secs(1));
         writes
@@ -155,38 +157,38 @@
         }
     });
     let [small, large] = costs;
-    // The open segment is written again as a whole, whatever the fleet.
     assert!(
         large.heartbeat <= small.heartbeat + 8,
-        "a heartbeat: {} for {}",
+        "allocations for a heartbeat: {} in the large fleet, {} in the small one",
         large.heartbeat,
         small.heartbeat
     );
+    // An append writes the open segment again as a whole, whatever the size of the fleet.
     assert!(
         large.append <= small.append * 2 + 600,
-        "an append: {} for {}",
+        "allocations for an append: {} in the large fleet, {} in the small one",
         large.append,
         small.append
     );
     assert!(
         large.commands <= small.commands + 8,
-        "commands: {} for {}",
+        "allocations for commands: {} in the large fleet, {} in the small one",
         large.commands,
         small.commands
     );
-    // A round looks at each machine once, at no pair of them.
+    // A round visits each machine once, but no pairs of machines.
     assert!(
         large.round <= small.round * 12,
-        "a round: {} for {}",
+        "allocations for a round: {} in the large fleet, {} in the small one",
         large.round,
         small.round
     );
 }
 
 #[test]
-fn a_round_without_waiting_work_costs_the_same_in_a_large_fleet() {
+fn a_round_without_waiting_tasks_costs_the_same_in_a_large_fleet() {
     let now = start();
-    let [small, large] = [SMALL, LARGE].map(|machines| {
+    let [small, large] = [SMALL_FLEET, LARGE_FLEET].map(|machines| {
         let (mut model, _) = full_cluster(machines, now);
         let waiting: Vec<JobId> = model
             .jobs()
@@ -197,43 +199,49 @@
         waiting.into_iter().for_each(|id| model.remove_job(id));
         count_allocations(|| model.plan(now)).0
     });
-    assert!(large <= small + 8, "{large} for {small}");
+    assert!(
+        large <= small + 8,
+        "{large} allocations in the large fleet, {small} in the small one"
+    );
 }
 
 #[test]
-fn a_takeover_costs_in_proportion_to_what_is_live() {
+fn the_cost_of_a_takeover_is_proportional_to_live_jobs_and_machines() {
     let now = start();
-    let [small, large] = [SMALL, LARGE].map(|machines| {
-        let (old, segments) = full_cluster(machines, now);
-        // Later copies of a segment replace earlier ones.
+    let [small, large] = [SMALL_FLEET, LARGE_FLEET].map(|machines| {
+        let (old_model, segments) = full_cluster(machines, now);
+        // A later version of a segment replaces earlier ones.
         let stored: std::collections::BTreeMap<_, _> = segments.into_iter().collect();
-        let mut next = support::model(8);
+        let mut new_model = support::model(8);
         let (cost, ()) = count_allocations(|| {
-            for old_job in old.jobs().values() {
-                next.add_job(old_job.record(), now);
+            for old_job in old_model.jobs().values() {
+                new_model.add_job(old_job.record(), now);
             }
             for (number, value) in stored.iter().filter_map(|(n, v)| Some((n, v.clone()?))) {
-                assert!(next.load_log_segment(*number, value));
+                assert!(new_model.load_log_segment(*number, value));
             }
-            next.replay_log(now);
+            new_model.replay_log(now);
         });
-        assert_eq!(next.machines().len(), machines);
-        let places: usize = next.jobs().values().map(|j| j.place_count as usize).sum();
+        assert_eq!(new_model.machines().len(), machines);
+        let places: usize = new_model.jobs().values().map(|j| j.place_count as usize).sum();
         assert_eq!(places, machines * 2, "every place is known");
         cost
     });
-    assert!(large <= small * 13, "{large} for {small}");
+    assert!(
+        large <= small * 13,
+        "{large} allocations in the large fleet, {small} in the small one"
+    );
 }
 
 #[test]
-fn a_new_leader_asks_in_bounded_numbers_and_starts_first() {
-    // Thousands of machines must be asked for their tasks. Not all at once: the renewal of
-    // the lease must not wait behind them, nor starts on a machine whose heartbeat with
-    // this term's token has arrived already.
+fn a_new_leader_limits_its_probes_and_starts_do_not_wait_for_them() {
+    // A new leader has to probe thousands of machines for their tasks, but not all at once.
+    // Neither the renewal of its lease may queue behind the probes, nor the starts for machines
+    // that have reported a token of this term already.
     let now = start();
-    let (old, segments) = full_cluster(LARGE, now);
+    let (old_model, segments) = full_cluster(LARGE_FLEET, now);
     let mut model = model(8);
-    for old_job in old.jobs().values() {
+    for old_job in old_model.jobs().values() {
         model.add_job(old_job.record(), now);
     }
     let stored: std::collections::BTreeMap<_, _> = segments.into_iter().collect();
@@ -244,9 +252,9 @@
     assert!(!model.all_machines_fenced());
     let first = model.take_due_commands(now, 64);
     assert_eq!(first.len(), 64);
-    assert!(model.take_due_commands(now, 0).is_empty(), "no socket is free");
-    // By its heartbeat, the last machine has seen this term's token and has lost its tasks.
-    let last = id(LARGE - 1);
+    assert!(model.take_due_commands(now, 0).is_empty(), "no probe is allowed");
+    // By its heartbeat, the last machine has seen a token of this term and has lost its tasks.
+    let last = machine_id(LARGE_FLEET - 1);
     let mut message = heartbeat(&last, "small", "north", false, 8, 90);
     message.token += 5;
     model.apply_heartbeat(&message, now);
@@ -255,13 +263,13 @@
     for write in model.take_due_writes(now) {
         model.write_finished(&write, true, now);
     }
-    let next = model.take_due_commands(now, 64);
+    let second = model.take_due_commands(now, 64);
     let starts = |batch: &CommandBatch| batch.commands.iter().any(|c| matches!(c, Command::Start { .. }));
-    assert!(next.iter().any(|due| due.machine == last && starts(&due.batch)));
-    assert!(next.len() <= 65);
-    // Probed in turn, all are reached.
-    let mut probed = first.len() + next.len() - 1;
-    while probed < LARGE - 1 {
+    assert!(second.iter().any(|due| due.machine == last && starts(&due.batch)));
+    assert!(second.len() <= 65);
+    // All machines are probed in turn.
+    let mut probed = first.len() + second.len() - 1;
+    while probed < LARGE_FLEET - 1 {
         let more = model.take_due_commands(now, 64).len();
         assert!(more > 0 && more <= 64);
         probed += more;
@@ -269,12 +277,13 @@
 }
 
 #[test]
-fn a_list_of_the_whole_fleet_is_taken_in() {
-    // Read by a leader that knows none of the machines, then by one that knows them all.
+fn a_machine_list_adds_the_whole_fleet_and_costs_little_when_repeated() {
+    // The list is applied by a leader that knows none of the machines, then by one that knows
+    // them all.
     let now = start();
-    let listed: Vec<ListedMachine> = (0..LARGE)
+    let listed: Vec<ListedMachine> = (0..LARGE_FLEET)
         .map(|i| ListedMachine {
-            id: id(i),
+            id: machine_id(i),
             addr: format!("10.1.{}.{}:9000", i / 250, i % 250),
             machine_type: "small".into(),
             zone: "north".into(),
@@ -285,38 +294,46 @@
         .collect();
     let mut model = model(7);
     model.apply_machine_list(&listed, now);
-    assert_eq!(model.machines().len(), LARGE);
+    assert_eq!(model.machines().len(), LARGE_FLEET);
     let segments = store_all_writes(&mut model, now);
-    let mut next = support::model(8);
+    let mut new_model = support::model(8);
     for (number, value) in segments.into_iter().collect::<std::collections::BTreeMap<_, _>>() {
-        assert!(next.load_log_segment(number, value.expect("written")));
+        assert!(new_model.load_log_segment(number, value.expect("written")));
     }
-    next.replay_log(now);
-    assert_eq!(next.machines().len(), LARGE, "the log names them all");
-    let (again, ()) = count_allocations(|| next.apply_machine_list(&listed, now));
-    assert_eq!(next.machines().len(), LARGE);
+    new_model.replay_log(now);
+    assert_eq!(new_model.machines().len(), LARGE_FLEET, "the log names them all");
+    let (repeated, ()) = count_allocations(|| new_model.apply_machine_list(&listed, now));
+    assert_eq!(new_model.machines().len(), LARGE_FLEET);
     assert!(
-        again <= LARGE as u64 / 2,
-        "{again} allocations for a list without a new machine"
+        repeated <= LARGE_FLEET as u64 / 2,
+        "{repeated} allocations for a list without a new machine"
     );
 }
 
 #[test]
-fn the_log_stays_in_proportion_over_a_long_run() {
-    // Hours of work on the same machines: segments come and go.
+fn the_log_stays_short_over_a_long_run() {
+    // 400 jobs run on the same machines one after the other, over 800 s: segments are written
+    // and deleted.
     let now = start();
     let mut model = model(7);
     for i in 0..40 {
-        model.apply_heartbeat(&heartbeat(&id(i), "small", "north", false, 7, 1), now);
+        model.apply_heartbeat(&heartbeat(&machine_id(i), "small", "north", false, 7, 1), now);
     }
     let mut stored = std::collections::BTreeMap::new();
     for turn in 0..400u32 {
         let at = now + secs(u64::from(turn) * 2);
         model.add_job(job_record(job(turn, 80, 4.0)), at);
         for i in 0..40 {
-            // The worker has removed the tasks that ended in the previous turn.
-            let mut message = heartbeat(&id(i), "small", "north", false, 7, 2 + u64::from(turn) * 2);
-            message.token = model.machines()[&id(i)].seen_token;
+            // The worker has forgotten the tasks that ended in the previous turn.
+            let mut message = heartbeat(
+                &machine_id(i),
+                "small",
+                "north",
+                false,
+                7,
+                2 + u64::from(turn) * 2,
+            );
+            message.token = model.machines()[&machine_id(i)].seen_token;
             model.apply_heartbeat(&message, at);
         }
         model.plan(at);
@@ -331,7 +348,7 @@
             }
             model.write_finished(&write, true, at);
         }
-        // Its tasks are started, run and end.
+        // The job's tasks are started, run and are done.
         for due in model.take_due_commands(at, 64) {
             let mut message = heartbeat(&due.machine, "small", "north", false, 7, 3 + u64::from(turn) * 2);
             message.token = due.batch.token;
@@ -349,14 +366,14 @@
 }
 
 #[test]
-fn waiting_tasks_cost_nothing_while_there_is_no_room() {
-    // Twenty arrays of as many tasks as a job may have, and of as many as there is
-    // room for: a round that finds no room costs the same.
+fn a_round_without_free_capacity_costs_the_same_however_many_tasks_wait() {
+    // Twenty arrays of 70 tasks, just more than there is room for, or of as many tasks as a
+    // job may have: a round that finds no free capacity costs the same.
     let now = start();
     let [few, many] = [70, MAX_TASKS_PER_JOB].map(|tasks| {
         let mut model = model(7);
         for i in 0..40 {
-            model.apply_heartbeat(&heartbeat(&id(i), "large", "north", true, 7, 1), now);
+            model.apply_heartbeat(&heartbeat(&machine_id(i), "large", "north", true, 7, 1), now);
         }
         for n in 0..20 {
             model.add_job(job_record(job(n, tasks, 1.0)), now);
@@ -365,5 +382,8 @@
         assert_eq!(round.started_in_order + round.backfilled, 40 * 32);
         count_allocations(|| model.plan(now + std::time::Duration::from_millis(1))).0
     });
-    assert!(many <= few + 64, "{many} for {few}");
+    assert!(
+        many <= few + 64,
+        "{many} allocations with many waiting tasks, {few} with few"
+    );
 }
