--- a/src/core/evidence/authority.rs
+++ b/src/core/evidence/authority.rs
@@ -108,7 +108,8 @@
     }
 
     /// How long ago the last successful renewal was sent, by the clock that has
-    /// advanced further. The time of day counts less twice the clock error.
+    /// advanced further. Twice the clock error is deducted from the advance of the time of
+    /// day, as each of the two readings may be off by the error.
     pub fn since_renewal(&self, now: ClockReading) -> Duration {
         let steady = now.steady.saturating_duration_since(self.renewal_sent.steady);
         let time_of_day = now.time_of_day.duration_since(self.renewal_sent.time_of_day);
--- a/src/core/evidence/commands/mod.rs
+++ b/src/core/evidence/commands/mod.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Takes the batches of commands that are due. At most `max_probes` of them go to
+    /// Takes the batches of commands that are due. At most `max_probes` of them probe
     /// machines that are not fenced by this term yet: after a takeover those are all
     /// machines, and starts for other machines must not queue behind their probes. Each
     /// batch counts as in flight until [`Self::command_finished`] or
--- a/src/core/evidence/heartbeats/reported_task.rs
+++ b/src/core/evidence/heartbeats/reported_task.rs
@@ -30,7 +30,7 @@
                 task = %task.task,
                 attempt = task.attempt,
                 machine = %machine.id,
-                "heartbeat lists a task that has no slot, slot added to stop it"
+                "heartbeat lists a task that has no slot, slot added"
             );
             let spec = job.as_ref().map(|job| job.spec.clone());
             vacant.insert(unexpected_slot(task, spec, self.term, accepted.now));
@@ -74,8 +74,8 @@
 }
 
 /// A slot for a task that is on the machine although the model has no slot for it: its job
-/// is complete or cancelled, or another leader started the attempt. The task takes
-/// resources until it is gone, and is to be stopped.
+/// is complete or cancelled, or another leader started the attempt. Unless it has ended,
+/// the task takes resources until it is gone, and is to be stopped.
 fn unexpected_slot(task: &ReportedTask, spec: Option<Arc<JobSpec>>, term: u64, now: Instant) -> Slot {
     let mut slot = Slot::unknown(task.attempt, spec, term, now);
     slot.order_stop(Duration::ZERO, now);
--- a/src/core/evidence/mod.rs
+++ b/src/core/evidence/mod.rs
@@ -5,7 +5,7 @@
 //! attempt is gone, and a task is started only when it is certain that it may be. In
 //! doubt, an attempt counts as still running, and a start as not allowed.
 //!
-//! - `heartbeats` applies messages of workers, which alone change slots from outside.
+//! - `heartbeats` applies messages of workers; only these tell the state of an attempt.
 //! - `commands` decides what is sent to workers; `permission` checks it again at the
 //!   moment of sending.
 //! - `liveness` and `reachability` detect silent machines, expired leases and network
--- a/src/core/evidence/permission.rs
+++ b/src/core/evidence/permission.rs
@@ -111,7 +111,7 @@
     }
 
     /// Records that a batch of commands was not sent after all. The worker can't have
-    /// executed it, so no probe is needed, and the next batch may be due at once.
+    /// executed it, so nothing is in doubt, and the next batch may be due at once.
     pub fn command_withheld(&mut self, machine: &MachineId) {
         if let Some(state) = self.machines.get_mut(machine) {
             state.command_in_flight = false;
--- a/src/core/state/config.rs
+++ b/src/core/state/config.rs
@@ -5,7 +5,8 @@
 
 use crate::settings::{DeploymentSettings, Objective, OperatorSettings, Team};
 
-/// Lower bound of the default silence limit, however short the heartbeat interval is.
+/// Lower bound of the default silence limit, however short the heartbeat interval is;
+/// only a worker's lease that is shorter takes precedence.
 const MIN_SILENCE_LIMIT: Duration = Duration::from_secs(9);
 
 /// The settings that the model's rules read. They don't change while the process runs.
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -45,10 +45,11 @@
 pub enum MachinePhase {
     /// Rented; no heartbeat of its worker has been received yet.
     Booting,
-    /// A heartbeat was received, or the machine was running already when this leader
-    /// found it in the log or in the cloud's list.
+    /// A heartbeat was received, or this leader found the machine in the log with an
+    /// address, or first learned of it from the cloud's list when it was running.
     Up,
-    /// Its release is requested; its slots stay until the cloud confirms the release.
+    /// Its release is requested. The request alone is no evidence: slots stay until the
+    /// cloud confirms the release, or something else proves that their attempts are gone.
     Releasing,
 }
 
@@ -112,7 +113,8 @@
     /// No task is placed on it before this time, as it refused a start for lack of
     /// capacity.
     pub no_placement_before: Option<Instant>,
-    /// Since when no task on it takes resources.
+    /// Since when no task on it takes resources. On a machine that booted, this counts anew
+    /// from its first heartbeat.
     pub idle_since: Option<Instant>,
 }
 
--- a/src/core/state/mod.rs
+++ b/src/core/state/mod.rs
@@ -1,8 +1,8 @@
 //! What the leader of one term knows about jobs and machines.
 //!
 //! [`model::ClusterModel`] owns this state, and only methods in [`crate::core`] change
-//! it. The other modules define its parts: tokens, resources, slots and machines, jobs
-//! and their dependencies.
+//! it. The other modules define its parts, named here from the lowest level up: tokens,
+//! resources, slots and machines, jobs and their dependencies.
 
 pub mod config;
 pub(in crate::core) mod deadlines;
--- a/src/core/state/model/mod.rs
+++ b/src/core/state/model/mod.rs
@@ -100,7 +100,7 @@
         }
     }
 
-    /// What the settings say that its rules need.
+    /// The settings that the model's rules read.
     pub fn config(&self) -> &SchedulerConfig {
         &self.config
     }
--- a/src/core/state/model/places.rs
+++ b/src/core/state/model/places.rs
@@ -63,8 +63,8 @@
     }
 
     /// Orders a task on a machine to stop, with `grace` to write a checkpoint; an earlier
-    /// order with no more grace stands. A placement whose start was never sent is removed
-    /// at once.
+    /// order with no more grace stands. A placement whose start was in no batch of commands
+    /// yet is removed at once.
     pub fn stop(
         &mut self,
         machine_id: &MachineId,
--- a/src/core/state/model/replay.rs
+++ b/src/core/state/model/replay.rs
@@ -77,7 +77,8 @@
         for (task, attempt) in tasks {
             let job = self.jobs.get_mut(&task.job);
             if job.as_ref().is_some_and(|j| j.done.contains(task.index)) {
-                // The attempt has ended, as its outcome is in the log.
+                // The task is done, so its attempt has ended. If one is on the machine all the
+                // same, it gets a slot and is stopped once the worker lists it.
                 continue;
             }
             let cancelled = job.as_ref().is_none_or(|j| j.cancelled);
--- a/src/core/state/slot.rs
+++ b/src/core/state/slot.rs
@@ -33,10 +33,12 @@
     pub state: SlotState,
     /// Specification of its job; `None` if the job is not known, or no longer.
     pub spec: Option<Arc<JobSpec>>,
-    /// Highest fencing token that was sent with its start; 0 if none was sent. For an
-    /// attempt that this leader did not start, see `Slot::unknown`.
+    /// Highest fencing token of a batch with its start, which counts even if the batch was
+    /// withheld in the end; 0 if there was no such batch. For an attempt that this leader
+    /// did not start, see `Slot::unknown`.
     pub start_token: u64,
-    /// Worker incarnation that the last start was sent to; 0 if none was sent in this term.
+    /// Latest worker incarnation that such a batch was meant for; 0 if there was none in
+    /// this term.
     pub start_incarnation: u64,
     /// Mark of the log entry that names its start; the start is sent only once that entry
     /// is stored.
--- a/src/core/storage/atomic_write.rs
+++ b/src/core/storage/atomic_write.rs
@@ -11,8 +11,8 @@
     pub changes: Vec<(String, Option<Value>)>,
     /// Keys that must not exist beforehand, whether they are changed or not.
     pub absent: Vec<String>,
-    /// A user or other jobs wait for this write, so it is sent before the log and other
-    /// final states.
+    /// Whether this write is sent before those that are not urgent, such as the log and
+    /// most final states; in most cases because a user or other jobs wait for it.
     pub urgent: bool,
 }
 
--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -164,8 +164,8 @@
     }
 
     /// Stops tasks that may be left of jobs whose cancellation is stored, such as those
-    /// cancelled with a job that they depend on. The latter have no tasks, unless a version
-    /// that doesn't know of dependencies led meanwhile.
+    /// cancelled with a job that they depend on. Of the latter no task is placed, unless a
+    /// version that doesn't know of dependencies led meanwhile.
     fn stop_tasks_of_cancelled_jobs(&mut self, now: Instant) {
         let left = |j: &&Job| j.cancellation_is_stored() && !j.places.is_empty();
         let ids: Vec<JobId> = self.jobs.values().filter(left).map(|j| j.spec.id).collect();
@@ -204,7 +204,8 @@
         self.machines.len() * MACHINE_ENTRY_BYTES + slots * START_ENTRY_BYTES + done * DONE_TASK_BYTES
     }
 
-    /// Records that a write has ended, and whether it is stored.
+    /// Records that a write has ended, and whether it is known to be stored: one that
+    /// failed may have been executed all the same.
     pub fn write_finished(&mut self, write: &PendingWrite, stored: bool, now: Instant) {
         match write {
             PendingWrite::Append(append) if stored => self.log.append_stored(append),
@@ -221,7 +222,7 @@
                     info!(
                         job = %id,
                         state = ?record.state,
-                        "final state of the job was not stored, to be written again"
+                        "final state of the job is not known to be stored, to be written again"
                     );
                 }
             }
