--- a/src/api/connections.rs
+++ b/src/api/connections.rs
@@ -47,8 +47,8 @@
 }
 
 /// Serves the HTTP endpoints forever. Connections beyond the share of sockets wait in the
-/// listener's queue until the load balancer or the worker times out and tries another
-/// controller.
+/// listener's queue until a socket is free, or until the load balancer or the worker times
+/// out and tries another controller.
 pub async fn serve(listener: TcpListener, controller: Arc<Controller>, timeouts: ConnectionTimeouts) {
     let service = warp::service(routes(controller.clone()));
     let mut http = http1::Builder::new();
--- a/src/core/fleet/capacity.rs
+++ b/src/core/fleet/capacity.rs
@@ -41,7 +41,7 @@
     }
 
     /// Whether the free resources of a machine count as capacity: it boots, or it is
-    /// schedulable and the cloud doesn't reclaim it.
+    /// schedulable and the cloud gave no notice to reclaim it.
     pub(super) fn has_usable_capacity(&self, machine: &Machine, now: Instant) -> bool {
         machine.phase == MachinePhase::Booting
             || (self.is_schedulable(machine, now) && machine.reclaim_at.is_none())
--- a/src/core/fleet/evacuation.rs
+++ b/src/core/fleet/evacuation.rs
@@ -22,8 +22,9 @@
 }
 
 impl ClusterModel {
-    /// Stops tasks that the cloud is predicted to interrupt by reclaiming their machine, as
-    /// far as there is free capacity elsewhere: the time that they stay longer is lost.
+    /// Stops tasks that are predicted to run well past the time when the cloud reclaims their
+    /// machine, as far as there is free capacity elsewhere: every second that they stay is
+    /// lost.
     pub(super) fn evacuate_reclaimed_machines(&mut self, now: Instant) {
         if self.machines.values().all(|machine| machine.reclaim_at.is_none()) {
             return;
--- a/src/core/fleet/idle.rs
+++ b/src/core/fleet/idle.rs
@@ -9,7 +9,7 @@
 use crate::core::state::model::ClusterModel;
 use crate::wire::{MachineId, MachineType};
 
-/// Least price that is divided by, as a machine may cost nothing.
+/// Lower bound of a price that is divided by, as a machine may cost nothing.
 const MIN_PRICE_DIVISOR: f64 = 1e-9;
 
 impl ClusterModel {
--- a/src/core/fleet/releases.rs
+++ b/src/core/fleet/releases.rs
@@ -35,8 +35,8 @@
     partitioned_zones: BTreeSet<String>,
     /// Most machines are silent, so the silence of one is no reason to release it.
     most_machines_silent: bool,
-    /// This leader is partitioned from the workers, so a missing answer to commands is no
-    /// reason to release a machine.
+    /// This leader is partitioned from the workers: more machines leave commands unanswered
+    /// than answer them, so a missing answer is no reason to release a machine.
     partitioned_from_workers: bool,
 }
 
--- a/src/core/scheduling/eligibility.rs
+++ b/src/core/scheduling/eligibility.rs
@@ -31,7 +31,8 @@
             && machine.cordoned_since.is_none()
             && !machine.addr.is_empty()
             && machine.no_placement_before.is_none_or(|end| end <= now)
-            // Unanswered commands: the worker hangs, or they don't reach it.
+            // While commands are unanswered, the worker may hang, or may receive nothing that
+            // it is sent.
             && machine.commands_unanswered_since.is_none()
             && machine.last_heartbeat.is_some()
             && self.silence(machine, now) < self.config.heartbeat_interval * 2
--- a/src/core/scheduling/over_quota.rs
+++ b/src/core/scheduling/over_quota.rs
@@ -50,7 +50,8 @@
     /// The over-quota load that the head may preempt: arrays of lower priority, beyond
     /// their team's quota and without a deadline. There is none unless the head's tier
     /// is [`Tier::WithinQuota`] or [`Tier::InTime`]: a head in [`Tier::Late`] or
-    /// [`Tier::Missed`] can't meet its earliest deadline any more.
+    /// [`Tier::Missed`] can't meet its earliest deadline any more, and one in
+    /// [`Tier::Starved`] may preempt shadow load only.
     pub(super) fn for_head(model: &ClusterModel, head: JobId, ranks: &BTreeMap<JobId, Rank>) -> Self {
         let head_in_time = ranks
             .get(&head)
--- a/src/core/scheduling/placement/batches.rs
+++ b/src/core/scheduling/placement/batches.rs
@@ -40,7 +40,7 @@
         /// At most this many tasks are placed.
         max_tasks: u32,
     },
-    /// By backfilling.
+    /// By backfilling, behind a blocked head.
     Backfill {
         /// Only tasks that are predicted to end by this time are placed, if it is given.
         ends_by: Option<Instant>,
--- a/src/core/scheduling/placement/free_capacity.rs
+++ b/src/core/scheduling/placement/free_capacity.rs
@@ -46,8 +46,8 @@
     Sunny,
     /// The task was backfilled, and the head outranks it.
     Shadow,
-    /// The head outranks the task, which was started in order, but is young and beyond its
-    /// team's quota.
+    /// The task is not shadow load, but it is young, runs beyond its team's quota, and the
+    /// head outranks it.
     OverQuota,
 }
 
--- a/src/core/scheduling/placement/in_order.rs
+++ b/src/core/scheduling/placement/in_order.rs
@@ -38,7 +38,7 @@
     }
 
     /// How many tasks of a job may start at its present rank: of a starved job only the
-    /// first few, see [`STARVED_FIRST_TASKS`].
+    /// first [`STARVED_FIRST_TASKS`], unless it is a gang, which starts whole.
     pub(super) fn max_tasks_at_rank(&self, rank: Rank) -> u32 {
         match self.model.jobs.get(&rank.job) {
             Some(job) if rank.tier == Tier::Starved && job.spec.kind != JobKind::Gang => STARVED_FIRST_TASKS,
--- a/src/core/scheduling/placement/search.rs
+++ b/src/core/scheduling/placement/search.rs
@@ -64,7 +64,8 @@
         let tasks_by_zone = self.zone_constraint(&spec);
         let zone_undecided = spec.one_zone && tasks_by_zone.as_ref().is_some_and(BTreeMap::is_empty);
         if zone_undecided {
-            // The zone with capacity for the most tasks is tried first.
+            // All tasks go to one zone, and none is placed yet: the zone with free capacity
+            // for the most of them is tried first.
             let mut zones = self.zones_by_capacity(&spec).into_iter();
             return zones.find_map(|zone| {
                 let machines = self.machines_of_zone(zone);
--- a/src/core/scheduling/round.rs
+++ b/src/core/scheduling/round.rs
@@ -3,7 +3,8 @@
 //! 1. Jobs start in the order of the queue until one is blocked, that is, until there is
 //!    no free capacity for its next task (of a gang: for all its tasks). This job is the
 //!    head.
-//! 2. Shadow load preemption stops shadow tasks if that starts tasks of the head at once.
+//! 2. Shadow load preemption stops shadow and over-quota tasks if that starts tasks of the
+//!    head at once.
 //! 3. Venture backfilling places tasks of the jobs behind the head.
 
 use std::collections::BTreeMap;
--- a/src/peer/codec.rs
+++ b/src/peer/codec.rs
@@ -15,7 +15,7 @@
 const MAX_FRAME_BYTES: usize = 256 * 1024;
 /// Size of the length prefix of a frame.
 const LENGTH_BYTES: usize = 4;
-/// A batch of frames is sent once it has reached this size.
+/// A batch of frames takes no further frame once it has reached this size.
 pub const MAX_BATCH_BYTES: usize = 64 * 1024;
 
 /// Why a connection between two controllers ended.
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -20,7 +20,7 @@
 use super::handler::PeerRequestHandler;
 use super::MAX_SILENCE;
 
-/// A ping is sent after so long without a request.
+/// A ping is sent after this long without a request.
 const PING_INTERVAL: Duration = Duration::from_millis(500);
 /// Timeout of an attempt to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
--- a/src/peer/mod.rs
+++ b/src/peer/mod.rs
@@ -25,5 +25,5 @@
 
 use std::time::Duration;
 
-/// A connection on which no frame was received for so long is closed.
+/// A connection on which no frame was received for this long is closed.
 const MAX_SILENCE: Duration = Duration::from_millis(2500);
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -77,7 +77,7 @@
     pub zone: Option<String>,
     /// Whether all tasks must be in the same zone.
     pub one_zone: bool,
-    /// Whether at most half of the tasks may be in one zone.
+    /// Whether at most half of the tasks, rounded up, may be in one zone.
     pub spread: bool,
     /// Whether its tasks may run on spot machines.
     #[serde(rename = "loaners")]
