--- a/tests/meetings.rs
+++ b/tests/meetings.rs
@@ -1,4 +1,5 @@
-//! Two faults at a time, through the real endpoints on stand-ins.
+//! Tests of two faults that overlap, through the real endpoints of controllers on stand-ins
+//! for the state service and the cloud.
 
 #[path = "support/site.rs"]
 mod site;
@@ -16,9 +17,10 @@
 
 #[test]
 fn a_leader_past_its_authority_still_stops_cancelled_tasks() {
-    // The stops are lost, the state service is out, the authority ends, and the
-    // workers go on sending heartbeats: the responses that renew their leases have to
-    // stop the cancelled tasks, or these live on for the grace period and the lease.
+    // The stop commands are lost, the state service is out, the leader's authority ends,
+    // and the workers send heartbeats again. The responses that renew the workers' leases
+    // have to stop the cancelled tasks, which otherwise run on for the grace period and a
+    // whole lease.
     run_async_test(async {
         let site = Site::start(Duration::from_secs(600)).await;
         site.request_with_retries("POST", 0, "/v2/runs", Some(site.job(1, 4)))
@@ -39,21 +41,28 @@
             .0
             == 200
         {
-            assert!(began.elapsed() < TEST_TIMEOUT, "the authority doesn't end");
+            assert!(
+                began.elapsed() < TEST_TIMEOUT,
+                "the leader's authority doesn't end"
+            );
             sleep(Duration::from_millis(50)).await;
         }
-        assert_eq!(site.cloud.running_tasks(), 7, "nothing has reached them yet");
+        assert_eq!(
+            site.cloud.running_tasks(),
+            7,
+            "a task has ended, though no worker can be reached"
+        );
         site.cloud.suppress_heartbeats.store(false, Ordering::Relaxed);
         site.wait_for_running_tasks(|n| n <= 3).await;
-        assert_eq!(site.cloud.running_tasks(), 3, "the other job runs on");
+        assert_eq!(site.cloud.running_tasks(), 3, "a task of the other job has ended");
     });
 }
 
 #[test]
 fn late_transactions_change_nothing_that_was_confirmed() {
-    // Every other transaction gets no response and applies 2.5 s later, after its
-    // repetition and after newer ones: acceptances by leader and followers,
-    // cancellations, the log, final states.
+    // Every other transaction gets no response and is executed 2.5 s late, after its
+    // retry and after newer transactions. This affects acceptances by the leader and by
+    // followers, cancellations, the write-ahead log and final states.
     run_async_test(async {
         let site = Site::start(Duration::from_millis(400)).await;
         site.request_with_retries("POST", 0, "/v2/runs", Some(site.job(1, 2)))
@@ -76,7 +85,7 @@
                 assert_eq!(status, 200, "{v}");
             }
         }
-        let mut last = Vec::new();
+        let mut confirmed_states = Vec::new();
         for n in 2..8u32 {
             let id = format!("job-{n:06}");
             let began = Instant::now();
@@ -84,7 +93,7 @@
                 let (status, v) = site
                     .request_with_retries("GET", 1, &format!("/v2/runs/{id}"), None)
                     .await;
-                assert_eq!(status, 200, "{id} is known: {v}");
+                assert_eq!(status, 200, "{id} must be known: {v}");
                 if ["done", "cancelled"].contains(&v["standing"].as_str().unwrap_or_default()) {
                     break v;
                 }
@@ -92,28 +101,29 @@
                 sleep(Duration::from_millis(100)).await;
             };
             assert!(n % 3 == 0 || v["standing"] == "done", "{v}");
-            last.push((id, v));
+            confirmed_states.push((id, v));
         }
         site.state.set_late_writes(None);
-        // All late transactions have arrived, and a new leader reads what they left.
+        // Waits until all late transactions have been executed; then a new leader reads what
+        // they left.
         sleep(Duration::from_millis(3000)).await;
         let late = site.state.late_outcomes();
         assert!(
             late.failed > 0,
-            "{} late ones failed by their conditions, {} applied",
+            "{} late transactions failed by their conditions, {} were executed",
             late.failed,
             late.applied
         );
         site.state.end_leases();
-        for at in 0..3 {
-            for (id, confirmed) in &last {
+        for controller in 0..3 {
+            for (id, confirmed) in &confirmed_states {
                 let (status, v) = site
-                    .request_with_retries("GET", at, &format!("/v2/runs/{id}"), None)
+                    .request_with_retries("GET", controller, &format!("/v2/runs/{id}"), None)
                     .await;
                 assert_eq!(
                     (status, &v["standing"]),
                     (200, &confirmed["standing"]),
-                    "{id} at {at}"
+                    "{id} at controller {controller}"
                 );
             }
         }
@@ -124,64 +134,78 @@
 
 #[test]
 fn a_leader_that_cannot_confirm_its_lease_gives_no_status_from_memory() {
-    // It may have been paused together with its clocks: by its own time it still
-    // leads, while another has confirmed to a user that the job is cancelled or done.
+    // The leader may have been paused together with its clocks: by its own clocks it still
+    // leads, while another leader has confirmed to a user that the job is cancelled or done.
     run_async_test(async {
         let site = Site::start(Duration::from_secs(600)).await;
         site.request_with_retries("POST", 0, "/v2/runs", Some(site.job(1, 2)))
             .await;
         site.wait_for_state(0, "job-000001", "running").await;
-        let at = site.leader().expect("a leader");
-        for repeat in [false, true] {
-            let again = repeat.then(|| site.job(1, 2));
-            let method = if repeat { "POST" } else { "GET" };
-            let path = if repeat { "/v2/runs" } else { "/v2/runs/job-000001" };
+        let leader = site.leader().expect("a leader");
+        for resubmits in [false, true] {
+            let body = resubmits.then(|| site.job(1, 2));
+            let method = if resubmits { "POST" } else { "GET" };
+            let path = if resubmits {
+                "/v2/runs"
+            } else {
+                "/v2/runs/job-000001"
+            };
             assert_eq!(
-                site.request_with_retries(method, at, path, again.clone()).await.0,
+                site.request_with_retries(method, leader, path, body.clone())
+                    .await
+                    .0,
                 200
             );
-            site.state.set_controller_refused(at, true);
-            let (status, v) = send_request(method, site.api_addrs[at], path, again).await;
-            site.state.set_controller_refused(at, false);
-            assert!(status == 503 || site.leader() != Some(at), "{status} {v}");
+            site.state.set_controller_refused(leader, true);
+            let (status, v) = send_request(method, site.api_addrs[leader], path, body).await;
+            site.state.set_controller_refused(leader, false);
+            assert!(status == 503 || site.leader() != Some(leader), "{status} {v}");
         }
     });
 }
 
 #[test]
 fn a_status_that_one_controller_gave_is_not_reverted_by_another_while_responses_are_lost() {
-    // Transactions are carried out, and their responses lost: a follower reads and
-    // reports a cancellation that the leader doesn't know to be stored.
+    // Transactions are executed but their responses are lost: a follower reads and reports
+    // a cancellation of which the leader doesn't know that it is stored.
     run_async_test(async {
         let site = Site::start(Duration::from_secs(600)).await;
         site.request_with_retries("POST", 0, "/v2/runs", Some(site.job(1, 2)))
             .await;
         site.wait_for_state(0, "job-000001", "running").await;
-        let at = site.leader().expect("a leader");
+        let leader = site.leader().expect("a leader");
         site.state.set_late_writes(Some(LateWrites {
             every: 1,
             delay: Duration::ZERO,
         }));
         let path = "/v2/runs/job-000001/cancel";
-        let (status, v) = site.request_with_retries("POST", (at + 1) % 3, path, None).await;
+        let (status, v) = site
+            .request_with_retries("POST", (leader + 1) % 3, path, None)
+            .await;
         assert_eq!((status, v["standing"].as_str()), (200, Some("cancelled")));
         for i in 0..30 {
-            let (status, v) =
-                send_request("GET", site.api_addrs[(at + i) % 3], "/v2/runs/job-000001", None).await;
+            let (status, v) = send_request(
+                "GET",
+                site.api_addrs[(leader + i) % 3],
+                "/v2/runs/job-000001",
+                None,
+            )
+            .await;
             assert!(status != 200 || v["standing"] == "cancelled", "{v}");
-            let again = Some(site.job(1, 2));
-            let (status, v) = send_request("POST", site.api_addrs[(at + i) % 3], "/v2/runs", again).await;
+            let body = Some(site.job(1, 2));
+            let (status, v) = send_request("POST", site.api_addrs[(leader + i) % 3], "/v2/runs", body).await;
             assert!(status != 200 || v["standing"] == "cancelled", "{v}");
         }
         site.state.set_late_writes(None);
-        site.wait_for_state(at, "job-000001", "cancelled").await;
+        site.wait_for_state(leader, "job-000001", "cancelled").await;
     });
 }
 
 #[test]
-fn a_cancellation_that_conflicts_with_a_changed_key_is_stored_all_the_same() {
-    // Its user sends one request and gives up: the job must either run on or be
-    // cancelled, within the term.
+fn a_cancellation_whose_record_has_changed_meanwhile_is_still_stored() {
+    // Another writer has changed the job's record, so that the transaction conflicts. The
+    // user sends a single request and gives up. Within the term, the job must either run on
+    // or be cancelled; here it is cancelled.
     run_async_test(async {
         let site = Site::start(Duration::from_secs(600)).await;
         site.request_with_retries("POST", 0, "/v2/runs", Some(site.job(1, 2)))
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -1,5 +1,5 @@
-//! Overload and shortage: of sockets, polls and machines at once, and late copies of
-//! all messages.
+//! Tests of overload: more workers, polls or machines than the controllers can serve at
+//! once, and late copies of all messages.
 
 #[path = "support/client.rs"]
 mod client;
@@ -26,8 +26,8 @@
 
 pub use support::machine_types;
 
-/// Sends a heartbeat over a connection that stays open. Whether the response requests
-/// that it be closed; `None` without a response.
+/// Sends a heartbeat over an open connection. Returns whether the response requests that
+/// the connection be closed, or `None` if there is no response.
 async fn send_heartbeat(stream: &mut TcpStream, name: &str, sequence: u64) -> Option<bool> {
     let body = serde_json::to_string(&support::heartbeat(name, "small", "north", false, 0, sequence)).ok()?;
     let text = format!(
@@ -41,20 +41,21 @@
     Some(response.contains("connection: close"))
 }
 
-/// Many workers that send heartbeats to one controller, each until it is stopped.
+/// State shared by many workers that send heartbeats to one controller.
 #[derive(Default)]
 struct WorkerLoad {
-    /// Workers that have got a response.
+    /// Workers that have received a response.
     served: AtomicU32,
-    /// Responses that requested the connection be closed.
+    /// Responses that requested that the connection be closed.
     closes: AtomicU32,
+    /// Set to stop all workers.
     stopped: AtomicBool,
 }
 
-/// One worker: sends heartbeats over a connection until it breaks or has to close, and
-/// then connects again.
+/// Runs one worker, which sends heartbeats over a connection until that breaks or has to be
+/// closed, and then connects again.
 async fn send_heartbeats(addr: SocketAddr, worker: usize, load: Arc<WorkerLoad>) {
-    let mut first = true;
+    let mut unserved = true;
     let mut sequence = 0;
     while !load.stopped.load(Ordering::Relaxed) {
         let Ok(mut stream) = TcpStream::connect(addr).await else {
@@ -62,13 +63,13 @@
         };
         loop {
             sequence += 1;
-            let Some(close) = send_heartbeat(&mut stream, &format!("x-{worker}"), sequence).await else {
+            let Some(must_close) = send_heartbeat(&mut stream, &format!("x-{worker}"), sequence).await else {
                 break;
             };
-            if std::mem::take(&mut first) {
+            if std::mem::take(&mut unserved) {
                 load.served.fetch_add(1, Ordering::Relaxed);
             }
-            if close {
+            if must_close {
                 load.closes.fetch_add(1, Ordering::Relaxed);
                 break;
             }
@@ -79,10 +80,11 @@
 }
 
 #[test]
-fn more_workers_than_sockets_are_served_in_turn_and_users_all_the_same() {
-    // One controller is left, and its limit of sockets has room for fewer than
-    // a third of the workers. At the limit neither a connection could be taken
-    // nor the state service be reached, and the leadership would be lost.
+fn with_more_workers_than_sockets_all_workers_and_users_are_still_served() {
+    // A single controller is left, and its limit on sockets has room for fewer than a
+    // third of the workers. Without shares of the limit, a controller that reaches it can
+    // neither accept a connection nor connect to the state service, and loses its
+    // leadership.
     run_async_test(async {
         let mut site = Site::with_settings(Duration::from_millis(300), |text| {
             format!("{text}\n[cluster.machine_limits]\nfd_limit = 64\n")
@@ -100,12 +102,15 @@
         while load.served.load(Ordering::Relaxed) < 100 {
             assert!(
                 began.elapsed() < TEST_TIMEOUT,
-                "{:?} of 100 workers got a response",
+                "only {:?} of 100 workers got a response",
                 load.served
             );
             sleep(Duration::from_millis(50)).await;
         }
-        assert!(load.closes.load(Ordering::Relaxed) > 0, "many had to close");
+        assert!(
+            load.closes.load(Ordering::Relaxed) > 0,
+            "no worker had to close its connection"
+        );
         let (status, v) = site
             .request_with_retries("POST", 0, "/v2/runs", Some(site.job(2, 3)))
             .await;
@@ -119,8 +124,8 @@
 
 #[test]
 fn a_connection_whose_peer_has_lost_power_is_closed() {
-    // A machine that loses power closes nothing, before a request or within one.
-    // Hundreds of them a day would use up the sockets.
+    // A machine that loses power doesn't close its connection, whether it was idle or in
+    // the middle of a request. Hundreds of such machines a day would use up the sockets.
     run_async_test(async {
         let controller =
             bitternfold::controller::Controller::new(support::deployment_settings(), Default::default());
@@ -147,7 +152,7 @@
 }
 
 #[test]
-fn every_use_of_sockets_has_a_share() {
+fn incoming_connections_leave_sockets_for_commands_and_services_at_every_limit() {
     for limit in [bitternfold::sockets::MIN_SOCKETS, 256, 1024, 3312, 65_536] {
         let sockets = SocketBudget::new(limit);
         let commands = sockets.available_command_sockets();
@@ -161,7 +166,7 @@
             }
             assert!(sockets.is_incoming_over_half_used());
             assert!(permits.len() >= 16);
-            // What is left is for the state service, the cloud and the others.
+            // The rest is for the state service, the cloud and the other controllers.
             assert!(
                 permits.len() + commands + 24 <= limit,
                 "{} + {commands} of {limit}",
@@ -170,16 +175,17 @@
             assert_eq!(
                 sockets.available_command_sockets(),
                 commands,
-                "full of users, commands go on"
+                "incoming connections use up sockets of commands"
             );
         });
     }
 }
 
 #[test]
-fn what_was_decided_before_a_pause_is_not_handed_over_after() {
-    // A controller may be paused between its decision and the sending of it; by then
-    // another leads. The permit is checked once the connection is established.
+fn nothing_is_sent_if_the_permit_is_refused_once_connected() {
+    // A controller may be paused after it decided on a command and before it sends it, and
+    // another controller may lead by then. So the permit is checked once the connection is
+    // established, right before the command is sent.
     run_async_test(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address").to_string();
@@ -202,32 +208,32 @@
         assert!(matches!(send(Err(())).await, Err(PostError::Withheld(()))));
         assert_eq!(send(Ok(())).await.expect("a response").status, 200);
         let lengths = server.await.expect("it ran");
-        assert_eq!(lengths[0], 0, "not a byte");
+        assert_eq!(lengths[0], 0, "bytes were sent without a permit");
         assert!(lengths[1] > 0);
     });
 }
 
 #[test]
-fn a_flood_of_questions_is_refused_at_once_and_work_goes_on() {
-    // Polls of unknown jobs need the state service. Without a bound they
-    // queue for its budget, and what the leader needs queues behind them.
+fn a_flood_of_polls_is_refused_at_once_and_jobs_go_on() {
+    // Polls of unknown jobs read the state service. Without a bound they queue for the
+    // budget of requests to it, and the leader's own requests queue behind them.
     run_async_test(async {
         let site = Site::with_settings(Duration::from_millis(300), |text| {
             text.replace("rps = 200.0\nwrite_rps", "rps = 40.0\nwrite_rps")
         })
         .await;
         // A controller that has not opened its port yet would refuse connections.
-        for at in 0..3 {
-            site.request_with_retries("GET", at, "/up", None).await;
+        for controller in 0..3 {
+            site.request_with_retries("GET", controller, "/up", None).await;
         }
         site.request_with_retries("POST", 0, "/v2/runs", Some(site.job(1, 3)))
             .await;
-        let mut flood = tokio::task::JoinSet::new();
+        let mut requests = tokio::task::JoinSet::new();
         let before = site.state.key_reads();
         let began = Instant::now();
         for n in 0..400usize {
             let addr = site.api_addrs[n % 3];
-            flood.spawn(async move {
+            requests.spawn(async move {
                 let response = client::request("GET", addr, &format!("/v2/runs/job-9{n:05}"), None).await;
                 (n, response.map(|(status, _)| status).map_err(|e| e.to_string()))
             });
@@ -236,12 +242,14 @@
             .request_with_retries("POST", 1, "/v2/runs", Some(site.job(2, 3)))
             .await;
         assert!([200, 201].contains(&status), "{v}");
-        let responses = flood.join_all().await;
+        let responses = requests.join_all().await;
         let reads = site.state.key_reads() - before;
-        // Three budgets of 0.6 of 40, a second's worth each at once, and the rest as time allows.
+        // The budget of each of the three controllers is 0.6 of 40 requests per second: a burst
+        // of one second's worth, and the rest over time.
         let max_reads = 3.0 * 24.0 * (2.0 + began.elapsed().as_secs_f64());
         assert!((reads as f64) < max_reads, "{reads} reads of {max_reads}");
-        // With the number of the request (its controller is that modulo 3) and why it failed.
+        // Each with the number of the request (modulo 3 the index of its controller) and why
+        // it failed.
         let unexpected: Vec<_> = responses
             .iter()
             .filter(|(_, status)| !matches!(status, Ok(404 | 503)))
@@ -254,16 +262,16 @@
         );
         assert!(
             responses.iter().any(|(_, status)| matches!(status, Ok(503))),
-            "what can't be known soon is refused at once"
+            "no poll was refused with 503"
         );
         site.wait_for_state(2, "job-000002", "done").await;
     });
 }
 
 #[test]
-fn a_takeover_of_many_machines_goes_on_while_leaders_come_and_go() {
-    // All controllers end at once, come back within a fraction of a second, and
-    // end one after the other while the next sends commands to its machines.
+fn jobs_on_many_machines_complete_while_leaders_fail_during_takeovers() {
+    // Three times, all controllers are killed at once and restarted after 100 ms, and the
+    // next leader loses its lease while it still sends commands to its machines.
     run_async_test(async {
         let mut site = Site::with_settings(Duration::from_secs(2), |text| {
             format!("{text}\n[cluster.machine_limits]\nfd_limit = 256\n")
@@ -290,7 +298,8 @@
             site.wait_for_state(n % 3, &format!("job-{n:06}"), "done").await;
         }
         let max_concurrent = site.cloud.concurrent_commands.lock().max;
-        // A quarter of what is left beside the controller's own; two leaders may overlap.
+        // The share of commands: a quarter of the sockets that are not reserved, (256 - 24) / 4.
+        // Two leaders may overlap.
         assert!(max_concurrent <= 2 * 58, "{max_concurrent} commands at once");
         assert!(
             site.cloud.tasks_run_twice.lock().is_empty(),
@@ -301,9 +310,9 @@
 }
 
 #[test]
-fn nothing_that_was_said_happens_twice() {
-    // Late copies of every kind of request that was carried out: transactions
-    // (elections among them), commands, heartbeats, submissions, cancellations.
+fn late_copies_of_requests_have_no_effect() {
+    // Sends late copies of every kind of request that was carried out: transactions
+    // (including elections), commands, heartbeats, submissions and cancellations.
     run_async_test(async {
         let mut site = Site::start(Duration::from_millis(300)).await;
         for n in 0..4 {
@@ -312,31 +321,31 @@
         }
         site.request_with_retries("POST", 1, "/v2/runs/job-000003/cancel", None)
             .await;
-        // A term ends between, so that there are copies of an earlier leader's requests, too.
+        // Ends a term, so that there are also copies of an earlier leader's requests.
         site.state.end_leases();
         site.kill_controller(0);
         sleep(Duration::from_millis(200)).await;
         site.start_controller(0);
-        let ends = ["done", "done", "done", "cancelled"];
-        for (n, end) in ends.iter().enumerate() {
-            site.wait_for_state(n % 3, &format!("job-{n:06}"), end).await;
+        let final_states = ["done", "done", "done", "cancelled"];
+        for (n, state) in final_states.iter().enumerate() {
+            site.wait_for_state(n % 3, &format!("job-{n:06}"), state).await;
         }
         let began = Instant::now();
         while !(0..4).all(|n| site.state.has_key(&format!("final/job-{n:06}"))) {
-            assert!(began.elapsed() < TEST_TIMEOUT, "the ends are stored");
+            assert!(began.elapsed() < TEST_TIMEOUT, "the final states are not stored");
             sleep(Duration::from_millis(50)).await;
         }
         let starts = *site.cloud.starts.lock();
-        let finals = |site: &Site| {
+        let job_revisions = |site: &Site| {
             let mut all = site.state.revisions();
             all.retain(|k, _| k.starts_with("final/") || k.starts_with("jobs/"));
             all
         };
-        let stored = finals(&site);
+        let revisions_before = job_revisions(&site);
         assert_eq!(
             site.state.replay_transactions(),
             0,
-            "a transaction's conditions hold once"
+            "a copy of a transaction was carried out"
         );
         site.cloud.replay_commands();
         for (i, body) in site
@@ -349,24 +358,24 @@
             let heartbeat = serde_json::from_slice(&body).expect("json");
             send_request("POST", site.api_addrs[i % 3], "/v1/report", Some(heartbeat)).await;
         }
-        for (n, end) in ends.iter().enumerate() {
-            for at in 0..3 {
+        for (n, state) in final_states.iter().enumerate() {
+            for controller in 0..3 {
                 let job = format!("job-{n:06}");
                 let (status, v) = site
-                    .request_with_retries("POST", at, "/v2/runs", Some(site.job(n as u32, 5)))
+                    .request_with_retries("POST", controller, "/v2/runs", Some(site.job(n as u32, 5)))
                     .await;
-                assert_eq!((status, &v["standing"]), (200, &json!(end)));
+                assert_eq!((status, &v["standing"]), (200, &json!(state)));
                 let (status, v) = site
-                    .request_with_retries("POST", at, &format!("/v2/runs/{job}/cancel"), None)
+                    .request_with_retries("POST", controller, &format!("/v2/runs/{job}/cancel"), None)
                     .await;
-                assert_eq!((status, &v["standing"]), (200, &json!(end)));
-                site.wait_for_state(at, &job, end).await;
+                assert_eq!((status, &v["standing"]), (200, &json!(state)));
+                site.wait_for_state(controller, &job, state).await;
             }
         }
-        // Long enough for a round of everything that could follow.
+        // Long enough for every action that a copy could cause.
         sleep(Duration::from_millis(1500)).await;
-        assert_eq!(*site.cloud.starts.lock(), starts, "no task is started once more");
-        assert_eq!(finals(&site), stored);
+        assert_eq!(*site.cloud.starts.lock(), starts, "a task was started again");
+        assert_eq!(job_revisions(&site), revisions_before);
         assert!(site.cloud.tasks_run_twice.lock().is_empty());
     });
 }
--- a/tests/soak/checker.rs
+++ b/tests/soak/checker.rs
@@ -1,13 +1,13 @@
-//! The checker of histories: a clean one is accepted, and each broken rule is found, in
-//! made-up histories of three jobs, the second of which depends on the first.
+//! Tests of the rules themselves, on made-up histories of three jobs, the second of which
+//! depends on the first: a correct history is accepted, and each broken rule is found.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use bitternfold::wire::{JobId, JobState, TaskId};
 
-use crate::history::{Event, History, StatusResponse, Submitted};
-use crate::run::{CANCEL, RED_CPUS};
+use crate::history::{Event, History, StatusResponse, SubmittedJob};
+use crate::run::{CANCEL_DEADLINE, RED_TEAM_CPUS};
 use crate::site::job_id;
 
 const MACHINE: &str = "i-1";
@@ -20,8 +20,8 @@
     TaskId { job: id(n), index: 0 }
 }
 
-fn submitted(awaits: &[u32]) -> Submitted {
-    Submitted {
+fn submitted(awaits: &[u32]) -> SubmittedJob {
+    SubmittedJob {
         tasks: 1,
         cpus: 30.0,
         team: "red".into(),
@@ -66,7 +66,7 @@
     }
 }
 
-/// Jobs 1, 2 after 1, and 3, with events at whole seconds.
+/// A history of jobs 1, 2 (which depends on 1) and 3, with events at whole seconds.
 fn history(events: &[(u64, Event)]) -> History {
     History {
         jobs: BTreeMap::from([
@@ -74,8 +74,8 @@
             (id(2), submitted(&[1])),
             (id(3), submitted(&[])),
         ]),
-        team_cpus: BTreeMap::from([("red".to_owned(), RED_CPUS)]),
-        cancel: CANCEL,
+        team_cpus: BTreeMap::from([("red".to_owned(), RED_TEAM_CPUS)]),
+        cancel_deadline: CANCEL_DEADLINE,
         events: events
             .iter()
             .map(|(at, e)| (Duration::from_secs(*at), e.clone()))
@@ -84,16 +84,16 @@
     }
 }
 
-fn rules(events: &[(u64, Event)]) -> Vec<&'static str> {
+fn broken_rules(events: &[(u64, Event)]) -> Vec<&'static str> {
     history(events).violations().into_iter().map(|v| v.rule).collect()
 }
 
 #[test]
-fn a_clean_history_is_accepted() {
+fn a_history_that_keeps_all_rules_has_no_violations() {
     let clean = [
         (1, Event::Accepted(id(1))),
         (1, Event::Accepted(id(2))),
-        // Requested before it was accepted, the response received after.
+        // The request was sent before the job was accepted, the response arrived after.
         (2, not_found(2, 0)),
         (2, started(1)),
         (3, responded(1, 3, JobState::Running)),
@@ -104,54 +104,63 @@
         (8, started(2)),
         (9, Event::CancelRequested(id(2))),
         (10, responded(2, 9, JobState::Cancelled)),
-        // Requested before that response, received after it.
+        // The request was sent before the response above arrived, its own arrived after.
         (11, responded(2, 9, JobState::Running)),
         (12, ended(2, false)),
         (50, responded(2, 49, JobState::Cancelled)),
     ];
-    assert_eq!(rules(&clean), Vec::<&str>::new());
+    assert_eq!(broken_rules(&clean), Vec::<&str>::new());
 }
 
 #[test]
-fn each_broken_rule_is_found() {
+fn each_broken_rule_is_reported_by_its_name() {
     let cancelled = [
         (1, Event::CancelRequested(id(1))),
         (2, responded(1, 1, JobState::Cancelled)),
     ];
-    let with = |before: &[(u64, Event)], more: &[(u64, Event)]| {
+    let broken_rules_after = |before: &[(u64, Event)], more: &[(u64, Event)]| {
         let mut all = before.to_vec();
         all.extend_from_slice(more);
         all.sort_by_key(|(at, _)| *at);
-        rules(&all)
+        broken_rules(&all)
     };
     let twice = [
         (1, started(1)),
         (2, started_on(1, "i-2", "north")),
         (3, ended(1, true)),
     ];
-    assert!(rules(&twice).contains(&"ran_twice"));
-    assert!(rules(&[(1, started(1)), (2, started(3))]).contains(&"quota"));
-    assert!(rules(&[(1, started_on(1, MACHINE, "south"))]).contains(&"wrong_place"));
-    assert!(rules(&[(1, started(2))]).contains(&"too_early"));
-    let outlives = with(&cancelled, &[(0, started(1)), (16, ended(1, false))]);
+    assert!(broken_rules(&twice).contains(&"ran_twice"));
+    assert!(broken_rules(&[(1, started(1)), (2, started(3))]).contains(&"quota"));
+    assert!(broken_rules(&[(1, started_on(1, MACHINE, "south"))]).contains(&"wrong_place"));
+    assert!(broken_rules(&[(1, started(2))]).contains(&"too_early"));
+    let outlives = broken_rules_after(&cancelled, &[(0, started(1)), (16, ended(1, false))]);
     assert_eq!(outlives, ["ran_cancelled"]);
-    // Cancelled with the job that it depends on; never ended.
-    let outlives = with(&cancelled, &[(0, started(2))]);
+    // Job 2 is cancelled with job 1, which it depends on, and its task never ends.
+    let outlives = broken_rules_after(&cancelled, &[(0, started(2))]);
     assert!(outlives.contains(&"ran_cancelled") && outlives.contains(&"orphaned"));
-    let restarted = with(&cancelled, &[(6, started(1)), (7, ended(1, false))]);
+    let restarted = broken_rules_after(&cancelled, &[(6, started(1)), (7, ended(1, false))]);
     assert_eq!(restarted, ["started_after_cancel"]);
-    let called = with(&cancelled, &[(17, responded(2, 16, JobState::Queued))]);
-    assert_eq!(called, ["orphaned"]);
-    assert_eq!(rules(&[(1, responded(1, 1, JobState::Done))]), ["not_done"]);
-    let back = with(&cancelled, &[(4, responded(1, 3, JobState::Running))]);
-    assert_eq!(back, ["went_back"]);
-    assert_eq!(rules(&[(1, responded(3, 1, JobState::Cancelled))]), ["went_back"]);
-    assert!(rules(&[(1, Event::Accepted(id(1))), (3, not_found(1, 2))]).contains(&"forgotten"));
-    assert_eq!(rules(&[(1, responded(9, 1, JobState::Queued))]), ["invented"]);
-    assert_eq!(rules(&[(1, Event::Accepted(id(3)))]), ["left_over"]);
+    let reported_queued = broken_rules_after(&cancelled, &[(17, responded(2, 16, JobState::Queued))]);
+    assert_eq!(reported_queued, ["orphaned"]);
+    assert_eq!(
+        broken_rules(&[(1, responded(1, 1, JobState::Done))]),
+        ["not_done"]
+    );
+    let reverted = broken_rules_after(&cancelled, &[(4, responded(1, 3, JobState::Running))]);
+    assert_eq!(reverted, ["went_back"]);
+    assert_eq!(
+        broken_rules(&[(1, responded(3, 1, JobState::Cancelled))]),
+        ["went_back"]
+    );
+    assert!(broken_rules(&[(1, Event::Accepted(id(1))), (3, not_found(1, 2))]).contains(&"forgotten"));
+    assert_eq!(
+        broken_rules(&[(1, responded(9, 1, JobState::Queued))]),
+        ["invented"]
+    );
+    assert_eq!(broken_rules(&[(1, Event::Accepted(id(3)))]), ["left_over"]);
     let refused = Event::Refused {
         job: id(3),
         status: 422,
     };
-    assert_eq!(rules(&[(1, refused)]), ["refused"]);
+    assert_eq!(broken_rules(&[(1, refused)]), ["refused"]);
 }
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -7,44 +7,44 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// What may go wrong.
+/// A fault that a run can inject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// A controller ends and is back at once.
+    /// A controller is killed and restarted at once.
     KillBriefly,
-    /// A controller ends and is back after the fault.
+    /// A controller is killed, and restarted when the fault ends.
     Kill,
-    /// All controllers end and are back after the fault.
+    /// All controllers are killed, and restarted when the fault ends.
     KillAll,
-    /// A controller process is stopped (SIGSTOP) while its clocks run on.
+    /// A controller process is paused (SIGSTOP) while the clocks advance.
     Pause,
-    /// The state service refuses one controller.
+    /// The state service refuses the requests of one controller.
     StateRefuses,
-    /// The state service refuses everybody.
+    /// The state service refuses all requests.
     StateOut,
-    /// Some transactions get no response and are carried out late.
+    /// Some transactions get no response and are executed late.
     LateWrites,
-    /// No machine takes direct commands; responses to heartbeats reach them.
+    /// Every machine refuses commands; those in responses to heartbeats still reach it.
     NoCommands,
-    /// No machine sends heartbeats; direct commands reach them.
+    /// No machine sends heartbeats; commands still reach it.
     NoHeartbeats,
     /// No machine reaches one of the controllers.
     ControllerUnreachable,
-    /// Some machines hang.
+    /// A third of the machines hang: they send neither responses nor heartbeats.
     Hang,
-    /// Copies of heartbeats arrive late.
+    /// A copy of each heartbeat arrives late.
     LateHeartbeats,
-    /// The links of a controller to the others are refused.
+    /// The links between a controller and the others are closed, and connections refused.
     PeersRefuse,
-    /// The links of a controller to the others deliver nothing until the fault ends.
+    /// The links between a controller and the others deliver nothing until the fault ends.
     PeersHold,
-    /// The links of a controller to the others are slow.
+    /// The links between a controller and the others are slow.
     PeersDelay,
-    /// The state service refuses some transactions for their rate.
+    /// The state service refuses some transactions with 429, for their rate.
     RateRefused,
 }
 
-/// All faults, by the names that the command takes.
+/// All faults, with their names in `SOAK_FAULTS`.
 pub const FAULTS: [(&str, Fault); 16] = [
     ("kill_briefly", Fault::KillBriefly),
     ("kill", Fault::Kill),
@@ -75,24 +75,26 @@
     }
 }
 
-/// Which controller a fault concerns, where it concerns one.
+/// The controller that a fault concerns, if it concerns a single one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Target {
+    /// The controller that leads when the fault begins, or the first one if none leads.
     Leader,
     Controller(usize),
 }
 
-/// A fault of the schedule, with times since the begin of the run.
+/// A fault of a schedule, with times since the start of the run.
 #[derive(Debug, Clone, Copy)]
-pub struct Planned {
-    pub at: Duration,
-    pub until: Duration,
+pub struct ScheduledFault {
+    pub begin: Duration,
+    pub end: Duration,
     pub fault: Fault,
     pub target: Target,
 }
 
-/// Faults at random moments within `length`, up to three at a time.
-pub fn schedule(seed: u64, length: Duration, faults: &[Fault]) -> Vec<Planned> {
+/// Draws a schedule for a run of this length: groups of one to three faults, which may
+/// overlap.
+pub fn draw_schedule(seed: u64, length: Duration, faults: &[Fault]) -> Vec<ScheduledFault> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut all = Vec::new();
     let mut at = 2.0;
@@ -100,9 +102,9 @@
         for _ in 0..rng.random_range(1..4) {
             let begin = at + rng.random_range(0.0..1.5);
             let seconds = rng.random_range(0.3..7.0);
-            all.push(Planned {
-                at: Duration::from_secs_f64(begin),
-                until: Duration::from_secs_f64(begin + seconds),
+            all.push(ScheduledFault {
+                begin: Duration::from_secs_f64(begin),
+                end: Duration::from_secs_f64(begin + seconds),
                 fault: faults[rng.random_range(0..faults.len())],
                 target: match rng.random_range(0..6) {
                     i @ 0..3 => Target::Controller(i),
@@ -112,6 +114,6 @@
         }
         at += rng.random_range(3.0..8.0);
     }
-    all.sort_by_key(|planned| planned.at);
+    all.sort_by_key(|scheduled| scheduled.begin);
     all
 }
--- a/tests/soak/history.rs
+++ b/tests/soak/history.rs
@@ -1,5 +1,5 @@
-//! The history of a run, as seen from outside: what workers ran and when, and which
-//! responses users received.
+//! The history of a run as observed from outside: what the workers ran and when, and
+//! which responses the users received.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -7,31 +7,32 @@
 
 use bitternfold::wire::{JobId, JobState, TaskId};
 
-/// What a user submitted.
+/// The properties of a submitted job that the rules need.
 #[derive(Debug, Clone)]
-pub struct Submitted {
+pub struct SubmittedJob {
     pub tasks: u32,
     pub cpus: f64,
     pub team: String,
     pub zone: Option<String>,
+    /// Jobs that it depends on directly.
     pub awaits: Vec<JobId>,
 }
 
-/// What a response says of a job.
+/// What a response says about a job.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum StatusResponse {
     Known(JobState),
     NotFound,
 }
 
-/// Something that was seen, at a time since the beginning.
+/// Something that was observed during a run.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// A job was accepted.
     Accepted(JobId),
-    /// A valid submission got 400 or 422.
+    /// A valid submission was refused with 400 or 422.
     Refused { job: JobId, status: u16 },
-    /// A user is about to send the first request for its cancellation.
+    /// A user is about to send the first request to cancel this job.
     CancelRequested(JobId),
     /// A user received a response to a request that was sent at `sent`.
     Responded {
@@ -45,7 +46,7 @@
         machine: String,
         zone: String,
     },
-    /// It is on its machine no longer; `done` says whether it had completed.
+    /// A task is no longer on its machine; `done` says whether it had completed.
     Ended {
         task: TaskId,
         machine: String,
@@ -53,22 +54,23 @@
     },
 }
 
-/// A broken rule and what shows it.
+/// A broken rule and the observation that shows it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Violation {
     pub rule: &'static str,
     pub evidence: String,
 }
 
-/// All events of a run, in the order of time, and what the rules need to judge them.
+/// All events of a run, and what the rules need to judge them.
 #[derive(Debug, Default, Clone)]
 pub struct History {
-    pub jobs: BTreeMap<JobId, Submitted>,
+    pub jobs: BTreeMap<JobId, SubmittedJob>,
     /// The quota of each team that has one, in CPUs.
     pub team_cpus: BTreeMap<String, f64>,
-    /// How long a task may outlive the confirmed cancellation of its job.
-    pub cancel: Duration,
+    /// How long a task may run on after the cancellation of its job was confirmed.
+    pub cancel_deadline: Duration,
+    /// Each with its time since the start of the run, and sorted by it.
     pub events: Vec<(Duration, Event)>,
-    /// When the run ended; no task may run any more.
+    /// When the run ended, after which no task may run.
     pub end: Duration,
 }
--- a/tests/soak/processes.rs
+++ b/tests/soak/processes.rs
@@ -1,4 +1,4 @@
-//! Controllers as real processes of the built program, on loopback.
+//! Runs controllers as processes of the built program, on loopback.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -11,27 +11,28 @@
 use crate::proxy::{LinkMode, Proxy};
 use crate::site::Site;
 
-/// Three controllers, each a process; links between them go through proxies.
+/// Three controllers, each a process of its own. The links between them go through
+/// proxies.
 pub struct Processes {
     pub site: Site,
-    /// Where settings and logs are.
+    /// Folder of the controllers' settings and logs.
     pub folder: PathBuf,
     controllers: [Option<Child>; 3],
     settings: Vec<String>,
-    /// The link from one controller to another.
+    /// The proxy on the link from one controller to another.
     links: BTreeMap<(usize, usize), Arc<Proxy>>,
 }
 
 impl Drop for Processes {
     fn drop(&mut self) {
-        (0..3).for_each(|i| self.kill(i));
+        (0..3).for_each(|i| self.kill_controller(i));
     }
 }
 
 impl Processes {
-    /// Starts them; `edit` changes their settings.
-    pub async fn start(folder: PathBuf, run: Duration, edit: impl Fn(String) -> String) -> Self {
-        let site = Site::without_controllers(run, edit).await;
+    /// Starts the stand-ins, the proxies and the controllers, whose settings `edit` changes.
+    pub async fn start(folder: PathBuf, task_duration: Duration, edit: impl Fn(String) -> String) -> Self {
+        let site = Site::without_controllers(task_duration, edit).await;
         std::fs::create_dir_all(&folder).expect("a folder");
         let mut links = BTreeMap::new();
         let mut settings = Vec::new();
@@ -52,17 +53,17 @@
             settings,
             links,
         };
-        (0..3).for_each(|i| processes.boot(i));
+        (0..3).for_each(|i| processes.start_controller(i));
         processes
     }
 
-    /// The file that a controller logs to.
+    /// The log file of a controller.
     pub fn log_file(&self, i: usize) -> PathBuf {
         self.folder.join(format!("heron-{i}.log"))
     }
 
-    /// Starts a controller, unless it runs.
-    pub fn boot(&mut self, i: usize) {
+    /// Starts a controller unless it is running.
+    pub fn start_controller(&mut self, i: usize) {
         if self.controllers[i].is_some() {
             return;
         }
@@ -82,21 +83,21 @@
     }
 
     /// Kills a controller (SIGKILL).
-    pub fn kill(&mut self, i: usize) {
+    pub fn kill_controller(&mut self, i: usize) {
         if let Some(mut process) = self.controllers[i].take() {
             process.kill().expect("it can be killed");
             process.wait().expect("it has ended");
         }
     }
 
-    /// Whether a controller that was started has ended by itself.
-    pub fn ended_by_itself(&mut self, i: usize) -> bool {
+    /// Whether a controller has exited without being killed.
+    pub fn has_exited_by_itself(&mut self, i: usize) -> bool {
         let process = self.controllers[i].as_mut();
         process.is_some_and(|p| p.try_wait().is_ok_and(|status| status.is_some()))
     }
 
-    /// Stops a controller process, or lets it go on; its clocks run on.
-    pub fn pause(&self, i: usize, paused: bool) {
+    /// Pauses (SIGSTOP) or resumes (SIGCONT) a controller process while the clocks advance.
+    pub fn set_paused(&self, i: usize, paused: bool) {
         let Some(process) = &self.controllers[i] else {
             return;
         };
@@ -106,9 +107,12 @@
         assert!(status.is_ok_and(|s| s.success()), "{text}");
     }
 
-    /// Changes the links of a controller to and from the others.
-    pub fn set_links(&self, of: usize, mode: LinkMode) {
-        let concerned = self.links.iter().filter(|(link, _)| link.0 == of || link.1 == of);
-        concerned.for_each(|(_, link)| link.set(mode));
+    /// Changes the mode of all links to and from a controller.
+    pub fn set_link_modes(&self, controller: usize, mode: LinkMode) {
+        let links = self
+            .links
+            .iter()
+            .filter(|(link, _)| link.0 == controller || link.1 == controller);
+        links.for_each(|(_, link)| link.set_mode(mode));
     }
 }
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,5 @@
-//! A TCP proxy on the link between two controllers, which can close, hold or delay it.
+//! A TCP proxy on the link from one controller to another, which can close, hold or delay
+//! the link.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -13,26 +14,27 @@
 /// What the proxy does with the bytes of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkMode {
-    /// They are forwarded.
+    /// The bytes are forwarded.
     Pass,
-    /// Connections are closed, new ones at once.
+    /// Open connections are closed, and new ones as soon as they are accepted.
     Refuse,
-    /// Nothing arrives in either direction; what was sent arrives once the mode changes.
+    /// Nothing is forwarded in either direction until the mode changes; then what was sent
+    /// arrives.
     Hold,
-    /// Each chunk is forwarded after this delay.
+    /// Each chunk that is read is forwarded after this delay.
     Delay(Duration),
 }
 
-/// A link to one address.
+/// A proxy that forwards connections to one address.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Where the link is entered.
+    /// The address that the proxy listens on.
     pub addr: SocketAddr,
     mode: watch::Sender<LinkMode>,
 }
 
 impl Proxy {
-    /// Opens a link to an address.
+    /// Starts a proxy that forwards to an address.
     pub async fn start(to: SocketAddr) -> Arc<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let addr = listener.local_addr().expect("an address");
@@ -47,22 +49,22 @@
         Arc::new(Self { addr, mode })
     }
 
-    /// Changes the mode of the link, that of open connections as well.
-    pub fn set(&self, mode: LinkMode) {
+    /// Changes the mode of the link, including its open connections.
+    pub fn set_mode(&self, mode: LinkMode) {
         self.mode.send_replace(mode);
     }
 }
 
-async fn forward(near: TcpStream, to: SocketAddr, modes: watch::Receiver<LinkMode>) {
-    let Ok(far) = TcpStream::connect(to).await else {
+async fn forward(client: TcpStream, to: SocketAddr, modes: watch::Receiver<LinkMode>) {
+    let Ok(server) = TcpStream::connect(to).await else {
         return;
     };
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
     let mut refused = modes.clone();
     tokio::select! {
-        () = copy(near_read, far_write, modes.clone()) => {}
-        () = copy(far_read, near_write, modes) => {}
+        () = copy(client_read, server_write, modes.clone()) => {}
+        () = copy(server_read, client_write, modes) => {}
         _ = refused.wait_for(|mode| *mode == LinkMode::Refuse) => {}
     }
 }
@@ -81,8 +83,8 @@
             return;
         }
         let mode = *modes.borrow();
-        if let LinkMode::Delay(by) = mode {
-            sleep(by).await;
+        if let LinkMode::Delay(delay) = mode {
+            sleep(delay).await;
         }
         if to.write_all(&buffer[..n]).await.is_err() {
             return;
--- a/tests/soak/request.rs
+++ b/tests/soak/request.rs
@@ -1,21 +1,23 @@
-//! The environment variables of the soak by hand.
+//! Options of a soak that is run by hand, from environment variables.
 
 use std::ops::RangeInclusive;
 
 use crate::faults::{Fault, FAULTS};
 
-/// Which seeds and faults to play by hand, and for how long.
+/// Which seeds to run, for how long each, with how many workers and which faults.
 #[derive(Debug, PartialEq)]
-pub struct Request {
+pub struct Options {
     pub seeds: RangeInclusive<u64>,
+    /// Time under faults, per seed.
     pub seconds: u64,
     pub workers: usize,
     pub faults: Vec<Fault>,
 }
 
-impl Request {
-    /// Reads the variables; an error names the one that is wrong.
-    pub fn read(variable: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
+impl Options {
+    /// Parses the variables, with a default for each that is unset; an error names the
+    /// variable that is invalid.
+    pub fn from_variables(variable: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
         let number = |name: &str, default: u64, range: RangeInclusive<u64>| {
             let Some(text) = variable(name) else {
                 return Ok(default);
--- a/tests/soak/rules.rs
+++ b/tests/soak/rules.rs
@@ -1,69 +1,70 @@
-//! The rules that every history keeps, judged by what was seen from outside; they know
-//! nothing of the implementation.
+//! The rules that every history has to keep. They judge only what is observed from
+//! outside and know nothing of the implementation.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
 
 use bitternfold::wire::{JobId, JobState, TaskId};
 
-use crate::history::{Event, History, StatusResponse, Submitted, Violation};
+use crate::history::{Event, History, StatusResponse, SubmittedJob, Violation};
 
-/// A start that is carried out so long after its job's cancellation was confirmed
-/// was not on its way then.
-const IN_FLIGHT: Duration = Duration::from_secs(3);
+/// How long a start command may be in flight. If a task starts later than this after the
+/// cancellation of its job was confirmed, the command was sent after the confirmation.
+const MAX_START_DELAY: Duration = Duration::from_secs(3);
 
-/// State of the check as it walks the events.
+/// What the check knows from the events up to the current one.
 #[derive(Default)]
-struct Seen {
+struct CheckState {
     /// The machines that run each task.
     live: BTreeMap<TaskId, BTreeSet<String>>,
+    /// Tasks that have completed.
     done: HashSet<TaskId>,
     /// When each job was accepted.
     accepted: BTreeMap<JobId, Duration>,
     /// Jobs whose cancellation a user has requested.
     cancel_requested: HashSet<JobId>,
-    /// Final states that a response has named, and when first.
+    /// The final state that a response first reported for each job, and when.
     final_states: BTreeMap<JobId, (JobState, Duration)>,
     violations: Vec<Violation>,
 }
 
-impl Seen {
-    fn violated(&mut self, rule: &'static str, evidence: String) {
+impl CheckState {
+    fn add_violation(&mut self, rule: &'static str, evidence: String) {
         self.violations.push(Violation { rule, evidence });
     }
 }
 
 impl History {
-    /// The rules that were broken.
+    /// Checks all events, and returns every violation of a rule.
     pub fn violations(&self) -> Vec<Violation> {
-        let mut seen = Seen::default();
+        let mut check = CheckState::default();
         for (at, event) in &self.events {
             match event {
-                Event::Accepted(job) => drop(seen.accepted.entry(*job).or_insert(*at)),
+                Event::Accepted(job) => drop(check.accepted.entry(*job).or_insert(*at)),
                 Event::Refused { job, status } => {
-                    seen.violated("refused", format!("{job} is answered {status}, {at:?}"));
+                    check.add_violation("refused", format!("{job} is answered {status}, {at:?}"));
                 }
-                Event::CancelRequested(job) => drop(seen.cancel_requested.insert(*job)),
+                Event::CancelRequested(job) => drop(check.cancel_requested.insert(*job)),
                 Event::Responded { job, sent, response } => {
-                    self.check_response(&mut seen, *at, *job, *sent, *response);
+                    self.check_response(&mut check, *at, *job, *sent, *response);
                 }
                 Event::Started { task, machine, zone } => {
-                    self.check_start(&mut seen, *at, *task, machine, zone);
+                    self.check_start(&mut check, *at, *task, machine, zone);
                 }
                 Event::Ended { task, machine, done } => {
-                    self.check_outlived(&mut seen, *at, *task);
-                    seen.live.entry(*task).or_default().remove(machine);
+                    self.check_outlived(&mut check, *at, *task);
+                    check.live.entry(*task).or_default().remove(machine);
                     if *done {
-                        seen.done.insert(*task);
+                        check.done.insert(*task);
                     }
                 }
             }
         }
-        self.check_end(&mut seen);
-        seen.violations
+        self.check_end(&mut check);
+        check.violations
     }
 
-    /// The jobs that this one depends on, directly or through others.
+    /// The jobs that this one depends on, directly or indirectly.
     fn ancestors(&self, job: JobId) -> BTreeSet<JobId> {
         let mut all = BTreeSet::new();
         let mut next = vec![job];
@@ -74,31 +75,31 @@
         all
     }
 
-    /// When a response first said that a job, or one that it depends on, is cancelled.
-    fn cancelled_since(&self, seen: &Seen, job: JobId) -> Option<Duration> {
+    /// When a response first reported this job, or one that it depends on, as cancelled.
+    fn cancelled_since(&self, check: &CheckState, job: JobId) -> Option<Duration> {
         let mut jobs = self.ancestors(job);
         jobs.insert(job);
-        let final_states = jobs.iter().filter_map(|id| seen.final_states.get(id));
+        let final_states = jobs.iter().filter_map(|id| check.final_states.get(id));
         final_states
             .filter(|(state, _)| *state == JobState::Cancelled)
             .map(|(_, since)| *since)
             .min()
     }
 
-    fn is_done(&self, seen: &Seen, job: JobId) -> bool {
+    fn is_done(&self, check: &CheckState, job: JobId) -> bool {
         let tasks = self.jobs.get(&job).map_or(0, |j| j.tasks);
-        (0..tasks).all(|index| seen.done.contains(&TaskId { job, index }))
+        (0..tasks).all(|index| check.done.contains(&TaskId { job, index }))
     }
 
-    /// Checks a start on a machine of this zone.
-    fn check_start(&self, seen: &mut Seen, at: Duration, task: TaskId, machine: &str, zone: &str) {
+    /// Checks the start of a task on a machine in this zone.
+    fn check_start(&self, check: &mut CheckState, at: Duration, task: TaskId, machine: &str, zone: &str) {
         let Some(job) = self.jobs.get(&task.job) else {
-            return seen.violated(
+            return check.add_violation(
                 "invented",
                 format!("{task} of a job that nobody submitted starts"),
             );
         };
-        let elsewhere: Vec<String> = seen
+        let elsewhere: Vec<String> = check
             .live
             .get(&task)
             .into_iter()
@@ -107,28 +108,28 @@
             .cloned()
             .collect();
         if !elsewhere.is_empty() {
-            seen.violated(
+            check.add_violation(
                 "ran_twice",
                 format!("{task} starts on {machine}, is on {elsewhere:?}, {at:?}"),
             );
         }
-        seen.live.entry(task).or_default().insert(machine.to_owned());
+        check.live.entry(task).or_default().insert(machine.to_owned());
         if job.zone.as_ref().is_some_and(|z| z != zone) {
-            seen.violated("wrong_place", format!("{task} starts in {zone}, {at:?}"));
+            check.add_violation("wrong_place", format!("{task} starts in {zone}, {at:?}"));
         }
-        self.check_quota(seen, at, task, job);
-        self.check_dependencies(seen, at, task, job);
-        self.check_started_after_cancel(seen, at, task);
+        self.check_quota(check, at, task, job);
+        self.check_dependencies(check, at, task, job);
+        self.check_started_after_cancel(check, at, task);
     }
 
-    /// The live tasks of a team must stay within its quota.
-    fn check_quota(&self, seen: &mut Seen, at: Duration, task: TaskId, job: &Submitted) {
+    /// Checks that the team's running tasks stay within its quota.
+    fn check_quota(&self, check: &mut CheckState, at: Duration, task: TaskId, job: &SubmittedJob) {
         if let Some(limit) = self.team_cpus.get(&job.team) {
             let of_team = |t: &TaskId| self.jobs.get(&t.job).filter(|j| j.team == job.team);
-            let live = seen.live.iter().filter(|(_, on)| !on.is_empty());
+            let live = check.live.iter().filter(|(_, machines)| !machines.is_empty());
             let used: f64 = live.filter_map(|(t, _)| of_team(t)).map(|j| j.cpus).sum();
             if used > *limit {
-                seen.violated(
+                check.add_violation(
                     "quota",
                     format!("{} uses {used} CPUs with {task}, {at:?}", job.team),
                 );
@@ -136,11 +137,11 @@
         }
     }
 
-    /// All jobs that a started task's job names must be done.
-    fn check_dependencies(&self, seen: &mut Seen, at: Duration, task: TaskId, job: &Submitted) {
+    /// Checks that all jobs that the started task's job depends on are done.
+    fn check_dependencies(&self, check: &mut CheckState, at: Duration, task: TaskId, job: &SubmittedJob) {
         for needed in &job.awaits {
-            if !self.is_done(seen, *needed) {
-                seen.violated(
+            if !self.is_done(check, *needed) {
+                check.add_violation(
                     "too_early",
                     format!("{task} starts before {needed} is done, {at:?}"),
                 );
@@ -148,11 +149,12 @@
         }
     }
 
-    /// No task may start once the cancellation of its job was confirmed.
-    fn check_started_after_cancel(&self, seen: &mut Seen, at: Duration, task: TaskId) {
-        if let Some(since) = self.cancelled_since(seen, task.job) {
-            if at > since + IN_FLIGHT {
-                seen.violated(
+    /// Checks that the task doesn't start more than [`MAX_START_DELAY`] after the cancellation
+    /// of its job was confirmed.
+    fn check_started_after_cancel(&self, check: &mut CheckState, at: Duration, task: TaskId) {
+        if let Some(since) = self.cancelled_since(check, task.job) {
+            if at > since + MAX_START_DELAY {
+                check.add_violation(
                     "started_after_cancel",
                     format!("{task} starts at {at:?}, cancelled since {since:?}"),
                 );
@@ -160,15 +162,16 @@
         }
     }
 
-    /// A task that ends at `at` must not have outlived its job's cancellation.
-    fn check_outlived(&self, seen: &mut Seen, at: Duration, task: TaskId) {
-        let is_live = seen.live.get(&task).is_some_and(|on| !on.is_empty());
+    /// Checks that a task that is on a machine until `at` doesn't outlive the cancellation of
+    /// its job by more than the deadline.
+    fn check_outlived(&self, check: &mut CheckState, at: Duration, task: TaskId) {
+        let is_live = check.live.get(&task).is_some_and(|machines| !machines.is_empty());
         if !is_live {
             return;
         }
-        if let Some(since) = self.cancelled_since(seen, task.job) {
-            if at > since + self.cancel {
-                seen.violated(
+        if let Some(since) = self.cancelled_since(check, task.job) {
+            if at > since + self.cancel_deadline {
+                check.add_violation(
                     "ran_cancelled",
                     format!("{task} is there until {at:?}, cancelled since {since:?}"),
                 );
@@ -176,10 +179,10 @@
         }
     }
 
-    /// Checks what a response, to a request that was sent at `sent`, says of a job.
+    /// Checks what a response says about a job; its request was sent at `sent`.
     fn check_response(
         &self,
-        seen: &mut Seen,
+        check: &mut CheckState,
         at: Duration,
         job: JobId,
         sent: Duration,
@@ -188,74 +191,75 @@
         let state = match response {
             StatusResponse::NotFound => {
                 // The response to a request sent before the acceptance may arrive after it.
-                if seen.accepted.get(&job).is_some_and(|since| sent > *since) {
-                    seen.violated("forgotten", format!("{job} is not found, {at:?}"));
+                if check.accepted.get(&job).is_some_and(|since| sent > *since) {
+                    check.add_violation("forgotten", format!("{job} is not found, {at:?}"));
                 }
                 return;
             }
             StatusResponse::Known(state) => state,
         };
         if !self.jobs.contains_key(&job) {
-            return seen.violated("invented", format!("{job} is {state:?}, {at:?}"));
+            return check.add_violation("invented", format!("{job} is {state:?}, {at:?}"));
         }
-        if let Some((old, since)) = seen.final_states.get(&job).copied() {
+        if let Some((old, since)) = check.final_states.get(&job).copied() {
             if old != state && sent > since {
-                seen.violated(
+                check.add_violation(
                     "went_back",
                     format!("{job} is {state:?} at {at:?}, {old:?} since {since:?}"),
                 );
             }
         }
-        self.check_final_state(seen, at, job, state);
+        self.check_final_state(check, at, job, state);
         if matches!(state, JobState::Queued | JobState::Running) {
             if let Some(since) = self
-                .cancelled_since(seen, job)
-                .filter(|since| sent > *since + self.cancel)
+                .cancelled_since(check, job)
+                .filter(|since| sent > *since + self.cancel_deadline)
             {
-                seen.violated(
+                check.add_violation(
                     "orphaned",
                     format!("{job} is {state:?}, requested at {sent:?}, cancelled since {since:?}"),
                 );
             }
         } else {
-            seen.final_states.entry(job).or_insert((state, at));
+            check.final_states.entry(job).or_insert((state, at));
         }
     }
 
-    /// A job that is reported done has completed, one reported cancelled was requested to be.
-    fn check_final_state(&self, seen: &mut Seen, at: Duration, job: JobId, state: JobState) {
-        if state == JobState::Done && !self.is_done(seen, job) {
-            seen.violated("not_done", format!("{job} is reported done, {at:?}"));
+    /// Checks that a job reported as done has completed, and that a user requested the
+    /// cancellation of one reported as cancelled.
+    fn check_final_state(&self, check: &mut CheckState, at: Duration, job: JobId, state: JobState) {
+        if state == JobState::Done && !self.is_done(check, job) {
+            check.add_violation("not_done", format!("{job} is reported done, {at:?}"));
         }
         let mut with_ancestors = self.ancestors(job);
         with_ancestors.insert(job);
         if state == JobState::Cancelled
-            && with_ancestors.is_disjoint(&seen.cancel_requested.iter().copied().collect())
+            && with_ancestors.is_disjoint(&check.cancel_requested.iter().copied().collect())
         {
-            seen.violated("went_back", format!("{job} is cancelled by nobody, {at:?}"));
+            check.add_violation("went_back", format!("{job} is cancelled by nobody, {at:?}"));
         }
     }
 
-    /// At the end no task runs, and every accepted job has a final state.
-    fn check_end(&self, seen: &mut Seen) {
-        let live: Vec<TaskId> = seen
+    /// Checks that at the end no task runs and every accepted job has a final state.
+    fn check_end(&self, check: &mut CheckState) {
+        let live: Vec<TaskId> = check
             .live
             .iter()
-            .filter(|(_, on)| !on.is_empty())
+            .filter(|(_, machines)| !machines.is_empty())
             .map(|(task, _)| *task)
             .collect();
         for task in live {
-            self.check_outlived(seen, self.end, task);
-            seen.violated("orphaned", format!("{task} still runs at the end"));
+            self.check_outlived(check, self.end, task);
+            check.add_violation("orphaned", format!("{task} still runs at the end"));
         }
-        let unfinished: Vec<JobId> = seen
+        let unfinished: Vec<JobId> = check
             .accepted
             .keys()
-            .filter(|job| !seen.final_states.contains_key(job))
+            .filter(|job| !check.final_states.contains_key(job))
             .copied()
             .collect();
         for job in unfinished {
-            seen.violated(
+            check.add_violation(
                 "left_over",
                 format!("{job} has not ended, or no response said so"),
             );
