--- a/src/controller/role.rs
+++ b/src/controller/role.rs
@@ -86,7 +86,7 @@
         let mut role = self.role.lock();
         let is_newer = match &*role {
             Role::Unknown => true,
-            Role::Following { term: known_term, .. } => term > *known_term,
+            Role::Following { term: followed, .. } => term > *followed,
             Role::Leading(_) => false,
         };
         if is_newer && term >= self.known_term() {
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -1,5 +1,6 @@
-//! Users' requests. The leader responds to them if it can be reached; otherwise this
-//! controller responds from its cache of terminal states and from the state service.
+//! Users' requests. A controller that doesn't lead responds from its cache of terminal
+//! states if the job is there. It forwards other requests to the leader, and responds from
+//! the state service if the leader can't be reached or is unavailable.
 
 use std::time::{Duration, Instant};
 
--- a/src/http.rs
+++ b/src/http.rs
@@ -26,7 +26,7 @@
     Unsent {
         /// Address of the server, as `host:port`.
         address: String,
-        /// What failed.
+        /// The step that failed.
         source: TransportError,
     },
     /// The request was sent, or part of it: it may have been executed, or may
@@ -35,7 +35,7 @@
     Unanswered {
         /// Address of the server, as `host:port`.
         address: String,
-        /// What failed.
+        /// The step that failed.
         source: TransportError,
     },
 }
--- a/src/leader/active_leader/command_dispatch.rs
+++ b/src/leader/active_leader/command_dispatch.rs
@@ -12,7 +12,7 @@
 
 impl ActiveLeader {
     /// Sends commands that a round decided. Whether they may still be sent is checked
-    /// just before that, as they may have waited for a socket.
+    /// again right before sending, as they may have waited for a socket.
     pub(super) async fn send_command(&self, due: &DueCommand) {
         let permit = || {
             let may_act = self.may_act();
--- a/src/leader/active_leader/fleet_actions.rs
+++ b/src/leader/active_leader/fleet_actions.rs
@@ -59,8 +59,9 @@
         self.request_round();
     }
 
-    /// Rents machines. A request that may or may not have been executed is repeated
-    /// under the same name, so that the cloud executes it once.
+    /// Rents machines. A request that was refused for now, or that may have been executed
+    /// without an answer, is repeated under the same name, so that the cloud executes it
+    /// at most once.
     async fn rent(&self, rental: &RentalRequest) {
         let mut retries = 0;
         loop {
--- a/src/leader/active_leader/job_status.rs
+++ b/src/leader/active_leader/job_status.rs
@@ -16,8 +16,9 @@
             .await
     }
 
-    /// The response about a job from memory; `None` if it is not in memory, or its
-    /// status there is in doubt until a write is known to be stored.
+    /// The response about a job from memory; 503 if this controller may not act now.
+    /// `None` if the job is not in memory, or if its final state or a cancellation may be
+    /// stored without this controller knowing.
     pub(super) fn status_in_memory(&self, id: JobId) -> Option<ApiResponse> {
         if !self.may_act() {
             return Some(ApiResponse::unavailable("leadership is in doubt"));
--- a/src/leader/active_leader/lease_renewal.rs
+++ b/src/leader/active_leader/lease_renewal.rs
@@ -31,7 +31,7 @@
 enum RenewalOutcome {
     /// The state service has renewed the lease.
     Renewed,
-    /// The state service refused or did not answer; the lease may not have expired.
+    /// The state service refused or did not answer; the lease may still be valid.
     Failed,
 }
 
@@ -118,8 +118,8 @@
                     lifetime / RETRY_INTERVAL_DIVISOR
                 }
             };
-            // A waiting confirmation ends the pause early, but renewals are not sent
-            // more often than CONFIRMATION_SHARE allows.
+            // A waiting confirmation ends the pause early, but not earlier than
+            // CONFIRMATION_SHARE allows.
             let _ = timeout(pause, self.renewals.renewal_requested.notified()).await;
             sleep(min_interval.min(pause).saturating_sub(sent.steady.elapsed())).await;
         }
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -69,8 +69,8 @@
     renewals: LeaseRenewals,
     /// The stored state has been loaded into the model.
     loaded: AtomicBool,
-    /// When the stored state was loaded; `None` before that, and again once all
-    /// workers have accepted a token of this term.
+    /// When the stored state was loaded; `None` before that, and again once no machine
+    /// that is up still needs a probe to be fenced.
     fencing_began: Mutex<Option<Instant>>,
     /// The term has ended: this controller may no longer decide or store anything.
     ended: AtomicBool,
--- a/src/leader/active_leader/redirection.rs
+++ b/src/leader/active_leader/redirection.rs
@@ -25,7 +25,8 @@
 
     /// The controller that a machine's worker is to report to, chosen by rendezvous
     /// hashing among those that are connected and that it may be redirected to. From
-    /// the same controllers, every leader chooses the same one.
+    /// the same controllers, every leader chooses the same one. If there is none, this
+    /// controller is chosen.
     fn assigned_controller(&self, machine: &MachineId, now: Instant) -> String {
         let redirects = self.redirects.lock();
         self.controller
--- a/src/leader/active_leader/rounds.rs
+++ b/src/leader/active_leader/rounds.rs
@@ -15,9 +15,10 @@
 
 use super::ActiveLeader;
 
-/// Most machines that are probed in one round: sent a command to learn what runs on
-/// them. A new leader has to probe all machines, and the renewal of its lease must not
-/// wait behind the probes.
+/// Most machines not yet fenced by this term that are probed in one round: sent a batch
+/// of commands, maybe an empty one, to fence them and to learn what runs on them. A new
+/// leader has to probe all machines, and the renewal of its lease must not wait behind
+/// the probes.
 const MAX_PROBES: usize = 64;
 /// Longest wait for a request before a round runs anyway.
 const MAX_ROUND_INTERVAL: Duration = Duration::from_millis(500);
@@ -84,14 +85,15 @@
         RoundDecisions { writes, commands }
     }
 
-    /// Logs once how long after the load all workers were fenced: they refuse
-    /// commands of earlier leaders from then on.
+    /// Logs once how long after the load no machine that is up needed a probe any more
+    /// to be fenced: each is fenced, so that it refuses commands of earlier leaders, or
+    /// has a probe in flight.
     fn log_fencing_completed(&self, model: &ClusterModel, now: Instant) {
         let mut fencing_began = self.fencing_began.lock();
         if let Some(began) = fencing_began.filter(|_| model.all_machines_fenced()) {
             info!(
                 took_ms = (now - began).as_millis() as u64,
-                "all workers have accepted a token of this term"
+                "no machine that is up still needs a probe to be fenced"
             );
             *fencing_began = None;
         }
--- a/src/leader/active_leader/state_writes.rs
+++ b/src/leader/active_leader/state_writes.rs
@@ -19,7 +19,7 @@
     pub(super) async fn store_write(&self, write: PendingWrite) {
         let result = self.commit_write(&write).await;
         if let Err(CommitError::Conflict(keys)) = &result {
-            info!(?keys, "write not executed: another writer changed its keys");
+            info!(?keys, "write failed: its keys do not have the expected versions");
         }
         if result.is_err() && matches!(write, PendingWrite::Append(_)) {
             // No other writer may change the log during this term. After a failed append
--- a/src/leader/election.rs
+++ b/src/leader/election.rs
@@ -42,9 +42,9 @@
     loop {
         match controller.store().get(LEADER_KEY).await {
             Ok(KeyRead::Found(item)) => match parse_leader(&item) {
-                // The key is from an earlier process on this host, which is dead
-                // as this one replaced it, or from an earlier term of this
-                // process, which has ended. It may be overwritten at once.
+                // The key is from an earlier process on this host, which is dead as
+                // this one replaced it, or from a term of this process that has ended
+                // or that it never led. It may be overwritten at once.
                 Some(leader) if leader.host == controller.host() => {
                     stand_for_election(&controller, item.version).await;
                 }
--- a/src/leader/redirects.rs
+++ b/src/leader/redirects.rs
@@ -4,8 +4,8 @@
 //! Each worker sends its heartbeats to one controller, which the leader chooses.
 //! A redirect renews no lease, and a worker that is sent to a controller it can't
 //! reach loses seconds before it tries another. So a worker is redirected only if
-//! its previous heartbeat was answered through the same controller, and never to a
-//! controller that it has recently left or failed to reach.
+//! its previous heartbeat was answered through the same controller, and, if there is
+//! another choice, not to a controller that it has recently left or failed to reach.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 /// reach.
 const AVOIDANCE_PERIOD: Duration = Duration::from_secs(30);
 /// If the next heartbeat after a redirect comes within this time and not through
-/// the target, the worker has failed to reach the target.
+/// the target, the worker is taken to have failed to reach the target.
 const FOLLOW_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The latest redirect of a worker that has sent no heartbeat since.
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -32,13 +32,13 @@
 pub struct Store {
     http: HttpClient,
     address: String,
-    /// Requests per second.
+    /// Budget of requests per second.
     pub(super) request_budget: RateLimiter,
-    /// Puts and deletes per second.
+    /// Budget of puts and deletes per second.
     pub(super) change_budget: RateLimiter,
     pub(super) limits: StateLimits,
-    /// When the first of the latest failed requests failed; `None` if the latest request
-    /// succeeded.
+    /// When requests began to fail without a success since; `None` if the latest request
+    /// succeeded or none has been sent.
     failing_since: Mutex<Option<Instant>>,
 }
 
@@ -118,8 +118,9 @@
         response.map_err(|e| StoreError::no_response(operation(), e))
     }
 
-    /// Lowers the budgets to the announced limits after a refusal for the rate. These
-    /// limits take effect without notice; a refusal is the only sign of it.
+    /// Lowers the budgets to this controller's shares of the announced limits after a
+    /// refusal for the rate. These limits take effect without notice; a refusal is the
+    /// only sign of it.
     fn lower_rates(&self) {
         let now = Instant::now();
         let request_rate = self.limits.max_requests_per_s() * REQUEST_SHARE;
--- a/src/store/writer/mod.rs
+++ b/src/store/writer/mod.rs
@@ -38,19 +38,22 @@
     /// change. An earlier attempt that was not answered may still have been executed.
     #[error("refused by the state service")]
     Refused,
-    /// These keys of the write were changed by another writer; it was not executed.
+    /// The conditions on these keys of the write did not hold: as a rule another writer has
+    /// changed them, and the write was not executed. It may have been executed only by an
+    /// earlier attempt that was not answered, which goes unnoticed if the whole batch
+    /// deletes or another writer has changed its keys since.
     #[error("keys changed by another: {0:?}")]
     Conflict(Vec<String>),
 }
 
-/// Share of the change budget's burst that writes which are not urgent leave to urgent
-/// ones, for which users wait.
+/// Share of the change budget's burst that other writes leave to urgent ones, see
+/// [`AtomicWrite::urgent`].
 pub const URGENT_RESERVE: f64 = 0.3;
 
 /// Group commit of one term: writes are queued while earlier ones are in flight, then
 /// combined into as few transactions as the limits allow. Every transaction is
 /// conditional on the versions of the leader's key and of each key that it changes, so
-/// that a delayed copy of it can't be executed later.
+/// that a delayed copy of it can't be executed once one of these keys has changed.
 #[derive(Debug)]
 pub struct Writer {
     store: Arc<Store>,
@@ -94,7 +97,8 @@
         self.wake.notify_one();
     }
 
-    /// Number of puts and deletes in urgent writes that are queued and not in flight.
+    /// Number of puts and deletes in the urgent writes at the head of the queue, which are
+    /// not in flight.
     pub fn queued_urgent_changes(&self) -> usize {
         self.state.lock().queued_urgent_changes()
     }
--- a/src/store/writer/resolve.rs
+++ b/src/store/writer/resolve.rs
@@ -22,8 +22,9 @@
 impl Writer {
     /// Handles a transaction whose conditions on `failed_keys` did not hold: either an
     /// earlier attempt, which was not answered, has been executed, or another writer has
-    /// changed the keys. Reads the keys to find out which. Writes whose keys were
-    /// changed by another writer fail; the others are returned, to be sent again.
+    /// changed the keys. Reads the keys to find out which. If an earlier attempt has
+    /// stored the batch, reports that and returns an empty batch. Otherwise fails the
+    /// writes that name one of `failed_keys`, and returns the others, to be sent again.
     pub(super) async fn resolve_conflict(
         &self,
         batch: Batch,
@@ -116,7 +117,7 @@
         if conflicting.is_empty() {
             rest.push(queued);
         } else {
-            info!(keys = ?conflicting, "write failed: another writer has changed its keys");
+            info!(keys = ?conflicting, "write failed: its keys do not have the expected versions");
             queued.finish(Err(CommitError::Conflict(conflicting)));
         }
     }
--- a/src/store/writer/send.rs
+++ b/src/store/writer/send.rs
@@ -44,14 +44,14 @@
                 Err(StoreError::Conflict { failed_keys }) if self.is_deposed_by(&failed_keys) => {
                     info!(
                         term = self.term,
-                        "transaction refused: another controller leads, the term ends"
+                        "transaction refused: this controller no longer leads, the term ends"
                     );
                     self.end();
                 }
                 Err(StoreError::Conflict { failed_keys }) => {
                     batch = self.resolve_conflict(batch, &failed_keys, earlier_attempt).await;
-                    // The earlier attempt has the same conditions, so it fails as well if it is
-                    // still on its way.
+                    // An earlier attempt that is still on its way has at least the conditions
+                    // that have just failed, so it fails as well.
                     earlier_attempt = EarlierAttempt::NotExecuted;
                 }
                 Err(StoreError::Unanswered { .. }) => {
@@ -77,7 +77,7 @@
         self.state.lock().finish_transaction(&keys);
     }
 
-    /// Whether the condition on the leader's key failed, so another controller leads.
+    /// Whether the condition on the leader's key failed: this controller no longer leads.
     fn is_deposed_by(&self, failed_keys: &[String]) -> bool {
         failed_keys.iter().any(|key| key == self.leader_key)
     }
