--- a/tests/dependencies/plain_model.rs
+++ b/tests/dependencies/plain_model.rs
@@ -36,7 +36,8 @@
         due_s: Option<u16>,
         run_s: u8,
     },
-    /// An unfinished job whose dependencies are all done is done.
+    /// An unfinished job is done, if all its dependencies are and its cancellation is not
+    /// requested.
     Done(usize),
     /// The cancellation of an unfinished job is stored.
     Cancel(usize),
@@ -265,9 +266,11 @@
         }
     }
 
-    /// Compares what the graph and this model say of each unfinished job. Unless all
-    /// dependencies are resolved, the graph may know less than this model, but may call no
-    /// job ready too early and must hold those in doubt whose cancellation it can't know.
+    /// Compares what the graph and this model say of each unfinished job. The graph must call
+    /// no job ready too early. It must hold a job in doubt that is cancelled through a
+    /// dependency, or while the cancellation of one is requested. Before all dependencies are
+    /// resolved, it may know less than this model; after that, it must agree on readiness and
+    /// on inherited urgency.
     pub fn check(&self, all_resolved: bool) -> Result<(), TestCaseError> {
         for (id, job) in self.jobs.iter().filter(|(_, j)| j.state == State::Unfinished) {
             if self.graph.is_ready(*id) {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -94,7 +94,8 @@
             "{second} s"
         );
     }
-    // The lease is 20 s: their tasks are removed only then, and after a margin.
+    // A worker's lease lasts for 20 s. The tasks in the partitioned zone are removed only
+    // after that and a margin.
     send_heartbeats(&mut model, "north", 40, now + secs(22));
     assert_eq!(plan_releases(&mut model, now + secs(22)), Vec::<String>::new());
     let count_emptied_in_south = |model: &ClusterModel| {
--- a/tests/planner/ranking.rs
+++ b/tests/planner/ranking.rs
@@ -1,4 +1,5 @@
-//! The order of the queue: by priority, quota, deadline and arrival.
+//! The order of the queue: by priority, then by how long a job has waited without a start, by
+//! quota, deadline and arrival.
 
 use bitternfold::core::scheduling::ranking::Tier;
 use bitternfold::wire::*;
@@ -62,8 +63,9 @@
     let mut ids: Vec<JobId> = ranks.keys().copied().collect();
     ids.sort_by_key(|id| ranks[id]);
     let ids: Vec<String> = ids.iter().map(ToString::to_string).collect();
-    // Job 5 starves, and job 4 is within red's quota. Job 2 comes after job 3, which has no
-    // deadline, as it can wait for another 20 s. Job 1 has missed its deadline.
+    // Job 5 has waited long without a start, and job 4 is within red's quota. Job 2 comes after
+    // job 3, which has no deadline, as it can wait for another 20 s. Job 1 has missed its
+    // deadline.
     let expected = [5, 4, 3, 2, 1].map(|n| format!("job-{n:06}"));
     assert_eq!(ids, expected);
 }
--- a/tests/safety/commands.rs
+++ b/tests/safety/commands.rs
@@ -75,7 +75,9 @@
 #[test]
 fn a_start_still_in_flight_is_refused_after_its_job_is_cancelled() {
     // Commands to the machine are not answered, but its heartbeats arrive. The responses
-    // to them renew its lease, so it would accept the start whenever that arrives.
+    // to them renew its lease, so it would accept the start whenever that arrives. Once the
+    // stop has had time to arrive, a response with a higher token makes the worker refuse the
+    // start for good.
     let now = start();
     let mut model = model(7);
     let id = MachineId::from("i-1");
@@ -169,7 +171,7 @@
 #[test]
 fn a_leader_is_partitioned_if_too_few_workers_answer_its_commands() {
     // The workers' heartbeats arrive through other controllers and renew their leases, so
-    // such a leader has to step down: its stops of a cancelled job would never arrive.
+    // such a leader has to resign: its stops of a cancelled job would never arrive.
     let now = start();
     let mut model = model(7);
     let ids: Vec<MachineId> = (0..4).map(|i| format!("i-{i}").as_str().into()).collect();
--- a/tests/safety/generated.rs
+++ b/tests/safety/generated.rs
@@ -9,7 +9,7 @@
 use crate::cluster::{Operation, SimulatedCluster};
 use crate::support::*;
 
-/// Half of the jobs have no dependencies, the others have one to three.
+/// Half of the jobs have no dependencies, the others have up to three.
 fn any_submit() -> impl Strategy<Value = Operation> {
     let awaits = prop_oneof![Just(Vec::new()), proptest::collection::vec(any::<usize>(), 1..4)];
     (1..5u32, 1..9u32, any::<bool>(), awaits).prop_map(|(tasks, cpus, red_team, awaits)| Operation::Submit {
--- a/tests/safety/heartbeats.rs
+++ b/tests/safety/heartbeats.rs
@@ -9,8 +9,8 @@
 
 #[test]
 fn a_heartbeat_older_than_the_newest_is_ignored() {
-    // A heartbeat that the network delayed may arrive after newer ones. The tasks that it
-    // lists may have ended since.
+    // A heartbeat that the network delayed or duplicated may arrive after newer ones. The
+    // tasks that it lists may have ended since. The last of these is a copy of the newest.
     let now = start();
     let mut model = model(7);
     let mut message = heartbeat("i-1", "small", "north", false, 7, 5);
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -23,7 +23,8 @@
 const MIN_RUNNING: usize = 36;
 /// Limit on the sockets of a controller.
 const SOCKET_LIMIT: u32 = 128;
-/// Sockets of a controller for commands: a quarter of the limit less the 24 reserved ones.
+/// Sockets of a controller for commands: 24 of the limit are reserved, and a quarter of the
+/// remaining 104 is for commands.
 const COMMAND_SOCKETS: usize = 26;
 
 /// Waits until a condition holds. Fails if that takes too long; `condition` describes it.
