--- a/tests/input.rs
+++ b/tests/input.rs
@@ -87,7 +87,7 @@
     Value::Object(v)
 }
 
-/// Well-formed submissions of jobs that can never run under their restrictions.
+/// Well-formed submissions of jobs that can never run under all their restrictions together.
 fn impossible_submissions() -> Vec<Value> {
     let set = |changes: Value| {
         let mut v = valid_submission();
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -244,12 +244,15 @@
         assert!([200, 201].contains(&status), "{v}");
         let responses = requests.join_all().await;
         let reads = site.state.key_reads() - before;
-        // The budget of each of the three controllers is 0.6 of 40 requests per second: a burst
-        // of one second's worth, and the rest over time.
+        // The budget of each of the three controllers is 0.6 of 40 requests per second, and
+        // every read is taken from it: at most one second's worth at once, as the budget is
+        // full at the beginning, and what is added over the elapsed time. The other second's
+        // worth in the bound is a margin that nothing in the code calls for.
         let max_reads = 3.0 * 24.0 * (2.0 + began.elapsed().as_secs_f64());
         assert!((reads as f64) < max_reads, "{reads} reads of {max_reads}");
-        // Each with the number of the request (modulo 3 the index of its controller) and why
-        // it failed.
+        // Every poll has to get 404 or 503 within the client's timeout. Others are listed with
+        // the number of the request (modulo 3 the index of its controller) and their status or
+        // why they failed.
         let unexpected: Vec<_> = responses
             .iter()
             .filter(|(_, status)| !matches!(status, Ok(404 | 503)))
@@ -270,8 +273,9 @@
 
 #[test]
 fn jobs_on_many_machines_complete_while_leaders_fail_during_takeovers() {
-    // Three times, all controllers are killed at once and restarted after 100 ms, and the
-    // next leader loses its lease while it still sends commands to its machines.
+    // Three times, all controllers are killed at once and restarted after 100 ms. All leases
+    // are ended 0.3 s, 0.6 s and 0.9 s later, when the next leader may still be sending
+    // commands to its machines.
     run_async_test(async {
         let mut site = Site::with_settings(Duration::from_secs(2), |text| {
             format!("{text}\n[cluster.machine_limits]\nfd_limit = 256\n")
--- a/tests/status_requests.rs
+++ b/tests/status_requests.rs
@@ -60,15 +60,16 @@
 
 #[test]
 fn status_requests_without_a_leader_keep_to_their_share_of_state_service_requests() {
-    // Without a leader, followers read the state service for each poll. Beyond the polls'
-    // share of its requests they respond with 503 at once, so that the election, the new
-    // leader's work and submissions keep theirs.
+    // Without a leader, followers read the state service for each poll. All requests of a
+    // controller to it share one budget. A poll whose read would wait for that longer than
+    // 250 ms gets 503 at once, so that the election, the new leader's work and submissions
+    // don't queue behind polls.
     run_async_test(async {
         let mut site = Site::with_settings(Duration::from_millis(200), |text| {
             text.replace("rps = 200.0\nwrite_rps", "rps = 60.0\nwrite_rps")
         })
         .await;
-        // Large enough that it is hardly done before the polls are sent.
+        // So large that it is unlikely to be done before the polls are sent.
         let mut long = site.job(1, 40);
         long["expected_s"] = serde_json::json!(30.0);
         site.request_with_retries("POST", 0, "/v2/runs", Some(long)).await;
@@ -80,8 +81,11 @@
         let began = Instant::now();
         let responses = poll_often(&site, "job-000001", &followers, 400).await;
         let reads = site.state.key_reads() - before;
-        // Each of the two followers may use 0.6 of 60 requests per second, and a second's
-        // worth in one burst.
+        // Each of the two followers has a budget of 0.6 of 60 requests per second, and every
+        // read is taken from it: at most one second's worth at once, as the budget is full at
+        // the beginning, and what is added over the elapsed time. The bound has another
+        // second's worth. It leaves room for reads of the killed leader, which runs for up to
+        // 20 ms more; beyond these it is a margin that nothing in the code calls for.
         let max_reads = 2.0 * 36.0 * (2.0 + began.elapsed().as_secs_f64());
         assert!((reads as f64) < max_reads, "{reads} reads of {max_reads}");
         assert!(
--- a/tests/support/cloud/commands.rs
+++ b/tests/support/cloud/commands.rs
@@ -79,7 +79,8 @@
     }
 
     /// Executes a batch of commands, unless it has an older fencing token than the machine
-    /// has seen or is for another incarnation. The response is a heartbeat.
+    /// has seen or is for another incarnation. The response is a heartbeat either way (200 or
+    /// 409), but 500 without one if the machine is released or `reject_commands` is set.
     pub(super) fn execute_batch(&self, machine: &Mutex<Machine>, batch: &CommandBatch) -> JsonResponse {
         let mut machine = machine.lock();
         if machine.released || self.reject_commands.load(Ordering::Relaxed) {
--- a/tests/support/cloud/heartbeats.rs
+++ b/tests/support/cloud/heartbeats.rs
@@ -13,7 +13,9 @@
 use super::machine::{next_heartbeat, Machine};
 use super::{Cloud, TaskEventKind};
 
-/// A worker ignores a response to a heartbeat that arrives later than this.
+/// A worker ignores a response to a heartbeat that it handles later than this after sending.
+/// As it waits only 2 s for a response, this happens only if the test process is held up. Also
+/// the timeout of late copies.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl Cloud {
@@ -66,8 +68,8 @@
         });
     }
 
-    /// The loop of a worker: sends a heartbeat every 150 ms, always to the same controller
-    /// until that redirects it; after a failure, to the next one.
+    /// The loop of a worker: sends a heartbeat, with a pause of 150 ms before each, always to
+    /// the same controller until that redirects it; after a failure, to the next one.
     pub(super) async fn send_heartbeats(self: Arc<Self>, machine: Arc<Mutex<Machine>>) {
         let client = HttpClient::default();
         let mut controller = 0;
--- a/tests/support/state_service/requests.rs
+++ b/tests/support/state_service/requests.rs
@@ -172,7 +172,8 @@
         })
     }
 
-    /// Returns the changes after the revision `since`; waits up to `hold_ms` for the first one.
+    /// Returns the changes after the revision `since`; waits up to `hold_ms` for the first one,
+    /// and in an outage until its end.
     pub(super) async fn watch(&self, query: &HashMap<String, String>) -> JsonResponse {
         let since: u64 = query["since"].parse().expect("a number");
         let deadline = Instant::now() + Duration::from_millis(query["hold_ms"].parse().expect("a number"));
