--- a/src/controller/job_lookup.rs
+++ b/src/controller/job_lookup.rs
@@ -12,7 +12,7 @@
 use crate::store::{parse_value, KeyRead, StoreError};
 use crate::wire::{JobId, JobState, JobStatus};
 
-use super::terminal_states::terminal_status;
+use super::terminal_states::final_status;
 
 /// What the state service has stored of a job.
 #[derive(Debug)]
@@ -37,8 +37,8 @@
         }
         if let KeyRead::Found(item) = self.store.get_for_user(&record::final_key(id)).await? {
             let record: FinalRecord = parse_value(item)?;
-            let status = terminal_status(id, &record);
-            self.terminal_states().insert(id, record);
+            let status = final_status(id, &record);
+            self.final_states().insert(id, record);
             return Ok(StoredJob::Finished(status));
         }
         Ok(StoredJob::NeverAccepted)
@@ -65,7 +65,7 @@
         let mut visited: HashSet<JobId> = jobs.iter().copied().collect();
         let mut to_visit: VecDeque<JobId> = jobs.iter().copied().collect();
         while let Some(id) = to_visit.pop_front() {
-            let cached = self.terminal_states().status(id);
+            let cached = self.final_states().status(id);
             let found = match cached {
                 Some(status) => StoredJob::Finished(status),
                 None => self.lookup_job(id).await?,
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -41,7 +41,7 @@
 use crate::store::Store;
 use crate::wire::MachineType;
 
-use terminal_states::TerminalStates;
+use terminal_states::FinalStates;
 
 pub use role::Role;
 
@@ -59,7 +59,7 @@
     stall_detector: StallDetector,
     /// One link to each other controller.
     links: Vec<Arc<PeerLink>>,
-    terminal_states: Mutex<TerminalStates>,
+    final_states: Mutex<FinalStates>,
     /// Empty until they have been read.
     machine_types: Mutex<Arc<Vec<MachineType>>>,
     role: Mutex<Role>,
@@ -95,7 +95,7 @@
             store: Arc::new(store),
             cloud: Arc::new(cloud),
             links,
-            terminal_states: Mutex::default(),
+            final_states: Mutex::default(),
             machine_types: Mutex::default(),
             role: Mutex::new(Role::Unknown),
             known_term: Mutex::new(0),
@@ -152,7 +152,7 @@
 
     /// Locks the cache of terminal states until the guard is dropped. A caller that also
     /// locks the model has to lock the model first.
-    pub fn terminal_states(&self) -> MutexGuard<'_, TerminalStates> {
-        self.terminal_states.lock()
+    pub fn final_states(&self) -> MutexGuard<'_, FinalStates> {
+        self.final_states.lock()
     }
 }
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -194,7 +194,7 @@
     ) -> Result<(), SubmissionError> {
         for dependency in &spec.awaits {
             let mut kind = kind_in_model(*dependency);
-            if kind.is_none() && self.terminal_states().record(*dependency).is_none() {
+            if kind.is_none() && self.final_states().record(*dependency).is_none() {
                 kind = self.stored_kind(*dependency).await?;
             }
             if kind == Some(JobKind::Service) {
--- a/src/controller/terminal_states.rs
+++ b/src/controller/terminal_states.rs
@@ -12,13 +12,13 @@
 /// that were inserted last. A terminal state never changes, so a cached one is never out of
 /// date.
 #[derive(Debug, Default)]
-pub struct TerminalStates {
+pub struct FinalStates {
     records: HashMap<JobId, FinalRecord>,
     /// The jobs of `records`, the one inserted first in front.
     insertion_order: VecDeque<JobId>,
 }
 
-impl TerminalStates {
+impl FinalStates {
     /// Inserts a terminal state; beyond `MAX_RECORDS`, the one inserted first is removed. If
     /// `record` has no time of the end, a time that is cached already stays.
     pub fn insert(&mut self, id: JobId, record: FinalRecord) {
@@ -47,12 +47,12 @@
 
     /// The status of a job that ended, if it is cached.
     pub fn status(&self, id: JobId) -> Option<JobStatus> {
-        self.records.get(&id).map(|record| terminal_status(id, record))
+        self.records.get(&id).map(|record| final_status(id, record))
     }
 }
 
 /// The status that users get of a job that ended.
-pub(super) fn terminal_status(id: JobId, record: &FinalRecord) -> JobStatus {
+pub(super) fn final_status(id: JobId, record: &FinalRecord) -> JobStatus {
     JobStatus {
         id,
         state: record.state,
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -22,7 +22,7 @@
         if let Some(active_leader) = self.active_leader() {
             return active_leader.submit(body).await;
         }
-        let cached = parse_submission_id(body).and_then(|id| self.terminal_states().status(id));
+        let cached = parse_submission_id(body).and_then(|id| self.final_states().status(id));
         if let Some(status) = cached {
             return ApiResponse::json(200, &status);
         }
@@ -40,20 +40,20 @@
         self.check_for_stall();
         if self.stall_detector.is_overloaded(Instant::now()) {
             return self
-                .terminal_response(id)
+                .final_response(id)
                 .unwrap_or_else(|| ApiResponse::unavailable("too much to do"));
         }
         if let Some(active_leader) = self.active_leader() {
             return active_leader.poll(id).await;
         }
-        if let Some(response) = self.terminal_response(id) {
+        if let Some(response) = self.final_response(id) {
             return response;
         }
         let request = PeerRequest::Poll(id.to_string());
         let timeout = self.operator_settings.forward_timeout;
         match self.forward_to_leader(request, timeout).await {
             Some(response) if !response.is_unavailable() => {
-                self.cache_terminal_state(&response);
+                self.cache_final_state(&response);
                 response
             }
             _ => self.poll_without_leader(id).await,
@@ -65,13 +65,13 @@
         if let Some(active_leader) = self.active_leader() {
             return active_leader.cancel(id).await;
         }
-        if let Some(response) = self.terminal_response(id) {
+        if let Some(response) = self.final_response(id) {
             return response;
         }
         let request = PeerRequest::Cancel(id.to_string());
         match self.forward_to_leader(request, CANCEL_TIMEOUT).await {
             Some(response) if !response.is_unavailable() => {
-                self.cache_terminal_state(&response);
+                self.cache_final_state(&response);
                 response
             }
             _ => self.cancel_without_leader(id).await,
@@ -99,14 +99,14 @@
     }
 
     /// The response with a job's terminal state, if it is cached.
-    fn terminal_response(&self, id: JobId) -> Option<ApiResponse> {
-        self.terminal_states()
+    fn final_response(&self, id: JobId) -> Option<ApiResponse> {
+        self.final_states()
             .status(id)
             .map(|status| ApiResponse::json(200, &status))
     }
 
     /// Caches the terminal state in the leader's response, if it contains one.
-    fn cache_terminal_state(&self, response: &ApiResponse) {
+    fn cache_final_state(&self, response: &ApiResponse) {
         if response.status != 200 {
             return;
         }
@@ -119,7 +119,7 @@
                 done: status.done,
                 ended_at: None,
             };
-            self.terminal_states().insert(status.id, record);
+            self.final_states().insert(status.id, record);
         }
     }
 }
--- a/src/core/evidence/commands/batch.rs
+++ b/src/core/evidence/commands/batch.rs
@@ -36,7 +36,7 @@
     /// The next batch of commands to a worker, if one is due; it counts as in flight from
     /// then on. An empty batch is a probe: it fences the worker, which answers with its
     /// tasks.
-    pub fn next_command(&mut self, machine: &MachineId, now: Instant) -> Option<AddressedBatch> {
+    pub fn next_command_batch(&mut self, machine: &MachineId, now: Instant) -> Option<AddressedBatch> {
         let term = self.term;
         let max_delay = self.config.heartbeat_interval * 2;
         let machine = self.machines.get_mut(machine)?;
@@ -66,14 +66,14 @@
             return None;
         }
         machine.needs_probe = false;
-        machine.command_in_flight = true;
+        machine.batch_in_flight = true;
         let batch = CommandBatch {
             token: machine.issue_token(term),
             incarnation: conditions.incarnation,
             commands,
         };
         Some(AddressedBatch {
-            address: machine.addr.clone(),
+            address: machine.address.clone(),
             batch,
         })
     }
@@ -83,8 +83,8 @@
 /// the pause after an unanswered batch is over, and the machine is not being released.
 fn can_receive_commands(machine: &Machine, now: Instant) -> bool {
     let is_paused = machine.no_command_before.is_some_and(|until| until > now);
-    !machine.command_in_flight
-        && !machine.addr.is_empty()
+    !machine.batch_in_flight
+        && !machine.address.is_empty()
         && !is_paused
         && machine.phase != MachinePhase::Releasing
 }
--- a/src/core/evidence/commands/mod.rs
+++ b/src/core/evidence/commands/mod.rs
@@ -31,7 +31,7 @@
 
 /// A batch of commands that is to be sent to a machine now.
 #[derive(Debug, Clone, PartialEq)]
-pub struct DueCommand {
+pub struct DueBatch {
     /// The machine to send to.
     pub machine: MachineId,
     /// Address of its worker, as its last heartbeat or the cloud gave it.
@@ -43,7 +43,7 @@
 impl ClusterModel {
     /// Records that a command may be due for a machine, unless a batch is in flight to it.
     pub(in crate::core) fn add_command_candidate(&mut self, id: &MachineId) {
-        let is_due = |machine: &Machine| !machine.command_in_flight && machine.may_have_due_command();
+        let is_due = |machine: &Machine| !machine.batch_in_flight && machine.may_have_due_command();
         if self.machines.get(id).is_some_and(is_due) {
             self.command_candidates.insert(id.clone());
         }
@@ -52,9 +52,9 @@
     /// Takes the batches of commands that are due. At most `max_probes` of them probe
     /// machines that are not fenced by this term yet: after a takeover those are all
     /// machines, and starts for other machines must not queue behind their probes. Each
-    /// batch counts as in flight until [`Self::command_finished`] or
-    /// [`Self::command_withheld`] is called for its machine.
-    pub fn take_due_commands(&mut self, now: Instant, max_probes: usize) -> Vec<DueCommand> {
+    /// batch counts as in flight until [`Self::batch_finished`] or
+    /// [`Self::batch_withheld`] is called for its machine.
+    pub fn take_due_batches(&mut self, now: Instant, max_probes: usize) -> Vec<DueBatch> {
         let mut due = Vec::new();
         let mut probes_left = max_probes;
         for id in std::mem::take(&mut self.command_candidates) {
@@ -66,10 +66,10 @@
                 self.command_candidates.insert(id);
                 continue;
             }
-            match self.next_command(&id, now) {
+            match self.next_command_batch(&id, now) {
                 Some(AddressedBatch { address, batch }) => {
                     probes_left -= usize::from(is_probe && probes_left > 0);
-                    due.push(DueCommand {
+                    due.push(DueBatch {
                         machine: id,
                         address,
                         batch,
@@ -84,7 +84,7 @@
     /// Records that a batch was answered by `heartbeat`, whether executed or refused, or not
     /// answered (`None`). Without an answer it may have been executed, or may be executed
     /// later: that is no evidence of either, and the machine is probed.
-    pub fn command_finished(&mut self, machine: &MachineId, heartbeat: Option<&Heartbeat>, now: Instant) {
+    pub fn batch_finished(&mut self, machine: &MachineId, heartbeat: Option<&Heartbeat>, now: Instant) {
         if let Some(heartbeat) = heartbeat.filter(|heartbeat| heartbeat.machine == *machine) {
             self.apply_heartbeat(heartbeat, now);
         }
@@ -93,7 +93,7 @@
             return;
         };
         self.command_candidates.insert(machine.clone());
-        state.command_in_flight = false;
+        state.batch_in_flight = false;
         if heartbeat.is_some() {
             state.commands_unanswered_since = None;
             state.last_command_answer = Some(now);
--- a/src/core/evidence/commands/response.rs
+++ b/src/core/evidence/commands/response.rs
@@ -36,7 +36,7 @@
         if !machine.is_fenced_by(term) || has_outstanding_start(machine, max_stop_delay, now) {
             return Some(response_without_commands(machine.issue_token(term)));
         }
-        if machine.command_in_flight || machine.unacknowledged_since.is_none() {
+        if machine.batch_in_flight || machine.unacknowledged_since.is_none() {
             return Some(response_without_commands(machine.seen_token));
         }
         let commands = machine.acknowledgements(log, jobs);
--- a/src/core/evidence/heartbeats/machine.rs
+++ b/src/core/evidence/heartbeats/machine.rs
@@ -31,10 +31,10 @@
 /// Updates the machine if its worker reports another address or machine type. Returns
 /// whether it did, so that the change is logged: the next leader probes the logged address.
 pub(super) fn update_identity(machine: &mut Machine, heartbeat: &Heartbeat) -> bool {
-    if machine.addr == heartbeat.addr && machine.machine_type == heartbeat.machine_type {
+    if machine.address == heartbeat.address && machine.machine_type == heartbeat.machine_type {
         return false;
     }
-    machine.addr.clone_from(&heartbeat.addr);
+    machine.address.clone_from(&heartbeat.address);
     machine.machine_type.clone_from(&heartbeat.machine_type);
     machine.zone.clone_from(&heartbeat.zone);
     machine.spot = heartbeat.spot;
--- a/src/core/evidence/permission.rs
+++ b/src/core/evidence/permission.rs
@@ -112,9 +112,9 @@
 
     /// Records that a batch of commands was not sent after all. The worker can't have
     /// executed it, so nothing is in doubt, and the next batch may be due at once.
-    pub fn command_withheld(&mut self, machine: &MachineId) {
+    pub fn batch_withheld(&mut self, machine: &MachineId) {
         if let Some(state) = self.machines.get_mut(machine) {
-            state.command_in_flight = false;
+            state.batch_in_flight = false;
             self.command_candidates.insert(machine.clone());
         }
     }
--- a/src/core/fleet/rentals.rs
+++ b/src/core/fleet/rentals.rs
@@ -106,9 +106,9 @@
             }
             let machine_type = &self.machine_types[type_index];
             let mut open = OpenMachine::empty(type_index, machine_type, &machine.zone, machine.spot);
-            let holds_capacity = |slot: &&Slot| slot.takes_resources() && slot.state != SlotState::Unknown;
+            let takes_resources = |slot: &&Slot| slot.takes_resources() && slot.state != SlotState::Unknown;
             let stays = |slot: &&Slot| self.predicted_end(slot, now) > soon;
-            let staying = machine.slots.values().filter(holds_capacity).filter(stays);
+            let staying = machine.slots.values().filter(takes_resources).filter(stays);
             for spec in staying.filter_map(|slot| slot.spec.as_ref()) {
                 open.claim(spec);
             }
--- a/src/core/scheduling/eligibility.rs
+++ b/src/core/scheduling/eligibility.rs
@@ -29,7 +29,7 @@
         machine.phase == MachinePhase::Up
             && machine.is_fenced_by(self.term)
             && machine.cordoned_since.is_none()
-            && !machine.addr.is_empty()
+            && !machine.address.is_empty()
             && machine.no_placement_before.is_none_or(|end| end <= now)
             // While commands are unanswered, the worker may hang, or may receive nothing that
             // it is sent.
--- a/src/core/scheduling/placement/in_order.rs
+++ b/src/core/scheduling/placement/in_order.rs
@@ -6,11 +6,11 @@
 use crate::core::scheduling::ranking::{Rank, Tier};
 use crate::wire::JobKind;
 
-/// How many tasks were started in order, and which job blocks those behind it.
+/// How many tasks were placed in order, and which job blocks those behind it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::core::scheduling) struct InOrderResult {
-    /// Number of tasks started.
-    pub(in crate::core::scheduling) started: u32,
+    /// Number of tasks placed.
+    pub(in crate::core::scheduling) placed: u32,
     /// Position in the queue of the head: the first job that is blocked for lack of free
     /// capacity. Jobs that may not start now are skipped.
     pub(in crate::core::scheduling) head_position: Option<usize>,
@@ -19,20 +19,20 @@
 impl Planner<'_> {
     /// Places tasks of the jobs in order until a job is blocked for lack of free capacity.
     pub(in crate::core::scheduling) fn place_in_order(&mut self, queue: &[Rank]) -> InOrderResult {
-        let mut started = 0;
+        let mut placed = 0;
         for (position, rank) in queue.iter().enumerate() {
             let max_tasks = self.max_tasks_at_rank(*rank);
             let result = self.place_tasks(rank.job, PlacementMode::InOrder { max_tasks });
-            started += result.placed;
+            placed += result.placed;
             if result.outcome == PlacementOutcome::NoFreeCapacity {
                 return InOrderResult {
-                    started,
+                    placed,
                     head_position: Some(position),
                 };
             }
         }
         InOrderResult {
-            started,
+            placed,
             head_position: None,
         }
     }
--- a/src/core/scheduling/placement/preemption.rs
+++ b/src/core/scheduling/placement/preemption.rs
@@ -12,11 +12,11 @@
 use crate::core::state::resources::Resources;
 use crate::core::state::slot::{Slot, SlotState};
 
-/// How many tasks preemption started and stopped.
+/// How many tasks preemption placed and stopped.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub(in crate::core::scheduling) struct PreemptionResult {
-    /// Number of tasks of the head that were started.
-    pub(in crate::core::scheduling) started: u32,
+    /// Number of tasks of the head that were placed.
+    pub(in crate::core::scheduling) placed: u32,
     /// Number of shadow and over-quota tasks that were stopped.
     pub(in crate::core::scheduling) preempted: u32,
 }
@@ -47,10 +47,10 @@
             let Some(placements) = self.find_placements(head.job, &batch, SearchScope::Preempting) else {
                 break;
             };
-            let started = placements.len() as u32;
+            let placed = placements.len() as u32;
             result.preempted += placements.iter().map(|p| p.victims.len() as u32).sum::<u32>();
-            result.started += started;
-            remaining_tasks = remaining_tasks.saturating_sub(started);
+            result.placed += placed;
+            remaining_tasks = remaining_tasks.saturating_sub(placed);
             self.claim_all(head.job, placements, PlacementKind::InOrder);
         }
         result
--- a/src/core/scheduling/round.rs
+++ b/src/core/scheduling/round.rs
@@ -42,13 +42,13 @@
 
         let mut planner = Planner::new(self, ranks, strategy, now);
         let in_order = planner.place_in_order(&queue);
-        summary.started_in_order = in_order.started;
+        summary.placed_in_order = in_order.placed;
         let Some(head_position) = in_order.head_position else {
             self.clear_shadow_load();
             return summary;
         };
         let preemption = planner.preempt_for_head(queue[head_position]);
-        summary.started_in_order += preemption.started;
+        summary.placed_in_order += preemption.placed;
         summary.preempted = preemption.preempted;
         summary.backfilled = planner.backfill(queue[head_position].job, &queue[head_position + 1..]);
 
--- a/src/core/scheduling/round_summary.rs
+++ b/src/core/scheduling/round_summary.rs
@@ -5,7 +5,7 @@
 pub struct RoundSummary {
     /// Placed in the order of the queue, including those of the head that preemption made
     /// room for.
-    pub started_in_order: u32,
+    pub placed_in_order: u32,
     /// Placed by backfilling.
     pub backfilled: u32,
     /// Shadow and over-quota tasks preempted for the head.
--- a/src/core/state/config.rs
+++ b/src/core/state/config.rs
@@ -59,7 +59,7 @@
             worker_lease: workers.lease,
             cancel_deadline: workers.cancel_deadline,
             silence_limit: operator_settings
-                .silence_timeout
+                .silence_limit
                 .unwrap_or_else(|| default_silence_limit(workers.heartbeat_interval, workers.lease)),
             machine_list_lag: cluster.cloud.list_lag,
             min_log_append_interval: Duration::from_secs_f64(2.0 / cluster.state.write_rps),
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -59,7 +59,7 @@
     /// The id that the cloud gave it.
     pub id: MachineId,
     /// Address at which its worker takes commands; empty until known.
-    pub addr: String,
+    pub address: String,
     /// Name of its machine type.
     pub machine_type: String,
     /// Zone in which it was rented.
@@ -94,7 +94,7 @@
     /// Since when ended attempts wait to be acknowledged.
     pub unacknowledged_since: Option<Instant>,
     /// Whether a batch of commands is on its way to it.
-    pub command_in_flight: bool,
+    pub batch_in_flight: bool,
     /// No command is sent to it before this time.
     pub no_command_before: Option<Instant>,
     /// Since when commands to it have failed without one being answered in between.
@@ -122,7 +122,7 @@
     pub(in crate::core) fn new(id: MachineId, now: Instant) -> Self {
         Self {
             id,
-            addr: String::new(),
+            address: String::new(),
             machine_type: String::new(),
             zone: String::new(),
             spot: false,
@@ -137,7 +137,7 @@
             slots: BTreeMap::new(),
             images: Vec::new(),
             unacknowledged_since: None,
-            command_in_flight: false,
+            batch_in_flight: false,
             no_command_before: None,
             commands_unanswered_since: None,
             last_command_answer: None,
@@ -154,7 +154,7 @@
     pub(in crate::core) fn log_entry(&self) -> LogEntry {
         LogEntry::Machine(
             self.id.clone(),
-            self.addr.clone(),
+            self.address.clone(),
             self.machine_type.clone(),
             self.zone.clone(),
             self.spot,
--- a/src/core/state/model/machines.rs
+++ b/src/core/state/model/machines.rs
@@ -65,8 +65,8 @@
                     machine.needs_probe = true;
                 }
             }
-            if machine.addr.is_empty() && !listed.addr.is_empty() {
-                machine.addr = listed.addr.clone();
+            if machine.address.is_empty() && !listed.address.is_empty() {
+                machine.address = listed.address.clone();
                 let entry = machine.log_entry();
                 self.log.push(entry);
             }
--- a/src/core/state/model/replay.rs
+++ b/src/core/state/model/replay.rs
@@ -63,11 +63,11 @@
             .machines
             .entry(id.clone())
             .or_insert_with(|| Machine::new(id.clone(), now));
-        machine.addr = logged.addr;
+        machine.address = logged.address;
         machine.machine_type = logged.machine_type;
         machine.zone = logged.zone;
         machine.spot = logged.spot;
-        machine.needs_probe = !machine.addr.is_empty();
+        machine.needs_probe = !machine.address.is_empty();
         if machine.needs_probe {
             // A machine with an address counts as up, so that its silence is not taken for
             // booting.
--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -246,9 +246,9 @@
     jobs: &BTreeMap<JobId, Job>,
 ) -> Option<LogEntry> {
     match entry {
-        LogEntry::Machine(id, addr, ..) => machines
+        LogEntry::Machine(id, address, ..) => machines
             .get(id)
-            .is_some_and(|machine| machine.addr == *addr)
+            .is_some_and(|machine| machine.address == *address)
             .then(|| entry.clone()),
         LogEntry::Released(_) => None,
         LogEntry::Start(id, job, attempt, tasks) => {
--- a/src/core/storage/wal/replay.rs
+++ b/src/core/storage/wal/replay.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct LoggedMachine {
     /// Where its worker takes commands; empty if not known yet.
-    pub addr: String,
+    pub address: String,
     /// Name of its machine type.
     pub machine_type: String,
     /// Its zone.
@@ -34,9 +34,9 @@
 impl LogReplay {
     pub(super) fn apply(&mut self, entry: &LogEntry) {
         match entry {
-            LogEntry::Machine(id, addr, machine_type, zone, spot) => {
+            LogEntry::Machine(id, address, machine_type, zone, spot) => {
                 let machine = LoggedMachine {
-                    addr: addr.clone(),
+                    address: address.clone(),
                     machine_type: machine_type.clone(),
                     zone: zone.clone(),
                     spot: *spot,
--- a/src/leader/active_leader/cancellation.rs
+++ b/src/leader/active_leader/cancellation.rs
@@ -71,7 +71,7 @@
         let step = self.begin_cancellation(id);
         match &step {
             CancellationStep::NotInModel => {
-                return match self.controller.terminal_states().status(id) {
+                return match self.controller.final_states().status(id) {
                     Some(status) => ApiResponse::json(200, &status),
                     None => ApiResponse::error(404, "no such job"),
                 };
@@ -140,8 +140,8 @@
             };
             match self.writer.commit(write).await {
                 Ok(()) => return CancellationOutcome::Stored,
-                Err(CommitError::Deposed) => return CancellationOutcome::TermEnded,
-                Err(CommitError::Conflict(_) | CommitError::Refused) => {
+                Err(CommitError::TermEnded) => return CancellationOutcome::TermEnded,
+                Err(CommitError::Conflict(_) | CommitError::Rejected) => {
                     if let Some(outcome) = self.check_stored_cancellation(id, &key).await {
                         return outcome;
                     }
--- a/src/leader/active_leader/command_dispatch.rs
+++ b/src/leader/active_leader/command_dispatch.rs
@@ -5,7 +5,7 @@
 
 use tracing::{debug, info};
 
-use crate::core::evidence::commands::DueCommand;
+use crate::core::evidence::commands::DueBatch;
 use crate::worker::{self, CommandOutcome};
 
 use super::ActiveLeader;
@@ -13,7 +13,7 @@
 impl ActiveLeader {
     /// Sends commands that a round decided. Whether they may still be sent is checked
     /// again right before sending, as they may have waited for a socket.
-    pub(super) async fn send_command(&self, due: &DueCommand) {
+    pub(super) async fn send_due_batch(&self, due: &DueBatch) {
         let permit = || {
             let may_act = self.may_act();
             self.model.lock().permit_send(&due.machine, &due.batch, may_act)
@@ -23,12 +23,12 @@
         log_outcome(due, &outcome);
         let mut model = self.model.lock();
         match &outcome {
-            CommandOutcome::Withheld(_) => model.command_withheld(&due.machine),
+            CommandOutcome::Withheld(_) => model.batch_withheld(&due.machine),
             CommandOutcome::Executed(heartbeat) | CommandOutcome::Refused(heartbeat) => {
-                model.command_finished(&due.machine, Some(heartbeat), Instant::now());
+                model.batch_finished(&due.machine, Some(heartbeat), Instant::now());
             }
             CommandOutcome::Unanswered => {
-                model.command_finished(&due.machine, None, Instant::now());
+                model.batch_finished(&due.machine, None, Instant::now());
             }
         }
         drop(model);
@@ -36,7 +36,7 @@
     }
 }
 
-fn log_outcome(due: &DueCommand, outcome: &CommandOutcome) {
+fn log_outcome(due: &DueBatch, outcome: &CommandOutcome) {
     match outcome {
         CommandOutcome::Refused(heartbeat) => {
             debug!(
--- a/src/leader/active_leader/dependency_lookup.rs
+++ b/src/leader/active_leader/dependency_lookup.rs
@@ -67,16 +67,16 @@
     pub(super) fn resolve_from_memory(&self) {
         let now = Moment::now();
         let mut model = self.model.lock();
-        let terminal_states = self.controller.terminal_states();
+        let final_states = self.controller.final_states();
         let unresolved: Vec<JobId> = model.dependencies().unresolved().iter().copied().collect();
         let mut resolved = 0;
         for id in &unresolved {
-            if let Some(record) = terminal_states.record(*id).filter(|record| is_sufficient(record)) {
+            if let Some(record) = final_states.record(*id).filter(|record| is_sufficient(record)) {
                 model.resolve_dependency(*id, outcome_of(record, now));
                 resolved += 1;
             }
         }
-        drop((terminal_states, model));
+        drop((final_states, model));
         if resolved < unresolved.len() {
             self.lookup_requested.notify_one();
         }
@@ -90,7 +90,7 @@
     fn resolve_after_lookup(&self, id: JobId) {
         let now = Moment::now();
         let mut model = self.model.lock();
-        if let Some(record) = self.controller.terminal_states().record(id) {
+        if let Some(record) = self.controller.final_states().record(id) {
             model.resolve_dependency(id, outcome_of(record, now));
         }
         drop(model);
--- a/src/leader/active_leader/fleet_actions.rs
+++ b/src/leader/active_leader/fleet_actions.rs
@@ -30,7 +30,7 @@
             if !self.may_act() {
                 continue;
             }
-            if self.should_resign() {
+            if self.should_end_term() {
                 info!(
                     term = self.term,
                     "resigning: more workers ignore this controller's commands than answer them"
@@ -47,7 +47,7 @@
 
     /// Whether this controller is partitioned from the workers and another one could
     /// lead instead.
-    fn should_resign(&self) -> bool {
+    fn should_end_term(&self) -> bool {
         self.controller.has_reachable_peer() && self.model.lock().is_partitioned_from_workers(Instant::now())
     }
 
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -125,15 +125,15 @@
     pub(super) fn add_stored_job(&self, record: JobRecord, version: u64) {
         let id = record.spec.id;
         let now = Moment::now();
-        let submitted_at = now.instant_of(record.accepted_at_ms).unwrap_or(now.steady);
+        let arrival = now.instant_of(record.accepted_at_ms).unwrap_or(now.steady);
         let mut model = self.model.lock();
         // The job may have become known, or may have ended, since it was read.
-        if model.jobs().contains_key(&id) || self.controller.terminal_states().status(id).is_some() {
+        if model.jobs().contains_key(&id) || self.controller.final_states().status(id).is_some() {
             return;
         }
         self.writer.set_known_version(&record::job_key(id), version);
         info!(job = %id, "added a job that another controller stored");
-        model.add_job(record, submitted_at);
+        model.add_job(record, arrival);
         drop(model);
         self.resolve_from_memory();
         self.request_round();
@@ -141,6 +141,6 @@
 
     /// Whether the job is in the model or known to have ended.
     pub(super) fn is_known(&self, id: JobId) -> bool {
-        self.model.lock().jobs().contains_key(&id) || self.controller.terminal_states().status(id).is_some()
+        self.model.lock().jobs().contains_key(&id) || self.controller.final_states().status(id).is_some()
     }
 }
--- a/src/leader/active_leader/job_status.rs
+++ b/src/leader/active_leader/job_status.rs
@@ -24,14 +24,14 @@
             return Some(ApiResponse::unavailable("leadership is in doubt"));
         }
         let unfinished = self.model.lock().status(id);
-        let status = unfinished.or_else(|| self.controller.terminal_states().status(id))?;
+        let status = unfinished.or_else(|| self.controller.final_states().status(id))?;
         Some(ApiResponse::json(200, &status))
     }
 
     /// The response about a job from memory, after a check that no other leader can have
     /// confirmed a newer status to a user. Final states need no check: they never change.
     pub(super) async fn confirmed_status(&self, id: JobId) -> Option<ApiResponse> {
-        if let Some(status) = self.controller.terminal_states().status(id) {
+        if let Some(status) = self.controller.final_states().status(id) {
             return Some(ApiResponse::json(200, &status));
         }
         let response = self.status_in_memory(id)?;
--- a/src/leader/active_leader/rounds.rs
+++ b/src/leader/active_leader/rounds.rs
@@ -8,7 +8,7 @@
 use tracing::{debug, info};
 
 use crate::clock::read_clocks;
-use crate::core::evidence::commands::DueCommand;
+use crate::core::evidence::commands::DueBatch;
 use crate::core::scheduling::RoundSummary;
 use crate::core::storage::pending_writes::PendingWrite;
 use crate::core::ClusterModel;
@@ -30,7 +30,7 @@
 /// What one round decided.
 struct RoundDecisions {
     writes: Vec<PendingWrite>,
-    commands: Vec<DueCommand>,
+    commands: Vec<DueBatch>,
 }
 
 impl ActiveLeader {
@@ -68,7 +68,7 @@
         }
         for due in decisions.commands {
             let active_leader = self.clone();
-            tokio::spawn(async move { active_leader.send_command(&due).await });
+            tokio::spawn(async move { active_leader.send_due_batch(&due).await });
         }
     }
 
@@ -81,7 +81,7 @@
         self.log_fencing_completed(&model, now);
         let writes = model.take_due_writes(now);
         let max_probes = MAX_PROBES.min(self.controller.sockets().available_command_sockets() / 2);
-        let commands = model.take_due_commands(now, max_probes);
+        let commands = model.take_due_batches(now, max_probes);
         RoundDecisions { writes, commands }
     }
 
--- a/src/leader/active_leader/state_writes.rs
+++ b/src/leader/active_leader/state_writes.rs
@@ -30,7 +30,7 @@
         if let (true, PendingWrite::Final { id, record, .. }) = (stored, &write) {
             // Kept before the job leaves the model, as a poll in between would find it
             // neither there nor here.
-            self.controller.terminal_states().insert(*id, record.clone());
+            self.controller.final_states().insert(*id, record.clone());
             debug!(job = %id, state = ?record.state, "job's final state stored");
         }
         self.model.lock().write_finished(&write, stored, Instant::now());
@@ -40,7 +40,7 @@
     async fn commit_write(&self, write: &PendingWrite) -> Result<(), CommitError> {
         let result = self.writer.commit(write.to_atomic_write()).await;
         match (&result, write) {
-            (Err(CommitError::Refused), PendingWrite::Append(append)) => self.commit_in_order(append).await,
+            (Err(CommitError::Rejected), PendingWrite::Append(append)) => self.commit_in_order(append).await,
             _ => result,
         }
     }
--- a/src/leader/active_leader/submission.rs
+++ b/src/leader/active_leader/submission.rs
@@ -63,7 +63,7 @@
         let acceptance = tokio::spawn(async move { active_leader.accept(record).await });
         match timeout(STORE_TIMEOUT, acceptance).await {
             Ok(Ok(Ok(()))) => accepted_response(id),
-            Ok(Ok(Err(CommitError::Conflict(_) | CommitError::Refused))) => {
+            Ok(Ok(Err(CommitError::Conflict(_) | CommitError::Rejected))) => {
                 let unreadable = ApiResponse::unavailable("the job's state can't be read now");
                 self.stored_status_or(id, unreadable).await
             }
--- a/src/leader/active_leader/takeover.rs
+++ b/src/leader/active_leader/takeover.rs
@@ -49,8 +49,8 @@
         self.writer.set_known_version(&item.key, item.version);
         match serde_json::from_value::<JobRecord>(item.value) {
             Ok(record) => {
-                let submitted_at = now.instant_of(record.accepted_at_ms).unwrap_or(now.steady);
-                model.add_job(record, submitted_at);
+                let arrival = now.instant_of(record.accepted_at_ms).unwrap_or(now.steady);
+                model.add_job(record, arrival);
             }
             Err(_) => info!(
                 key = item.key,
--- a/src/leader/process.rs
+++ b/src/leader/process.rs
@@ -22,12 +22,12 @@
 #[derive(Debug, Error)]
 pub enum StartError {
     /// An address of the settings can't be bound.
-    #[error("can't listen on {setting} {addr}: {source}")]
+    #[error("can't listen on {setting} {address}: {source}")]
     Listen {
         /// Name of the setting that holds the address.
         setting: &'static str,
         /// The address.
-        addr: SocketAddr,
+        address: SocketAddr,
         /// The operating system's error.
         source: io::Error,
     },
@@ -63,12 +63,12 @@
     Ok(())
 }
 
-async fn bind_listener(setting: &'static str, addr: SocketAddr) -> Result<TcpListener, StartError> {
-    TcpListener::bind(addr)
+async fn bind_listener(setting: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
+    TcpListener::bind(address)
         .await
         .map_err(|source| StartError::Listen {
             setting,
-            addr,
+            address,
             source,
         })
 }
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 pub struct PeerLink {
     host: String,
-    addr: SocketAddr,
+    address: SocketAddr,
     requests: mpsc::Sender<QueuedRequest>,
     /// The receiver of `requests`, until [`run`](Self::run) takes it.
     queue: Mutex<Option<mpsc::Receiver<QueuedRequest>>>,
@@ -53,11 +53,11 @@
 impl PeerLink {
     /// Creates a link that is not connected yet. Up to `max_queued_requests` requests may
     /// wait to be sent: as many as there can be users and workers that cause one.
-    pub fn new(host: String, addr: SocketAddr, max_queued_requests: usize) -> Arc<Self> {
+    pub fn new(host: String, address: SocketAddr, max_queued_requests: usize) -> Arc<Self> {
         let (requests, queue) = mpsc::channel(max_queued_requests);
         Arc::new(Self {
             host,
-            addr,
+            address,
             requests,
             queue: Mutex::new(Some(queue)),
             last_frame_at: Mutex::new(None),
@@ -98,7 +98,7 @@
             return;
         };
         loop {
-            if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.addr)).await {
+            if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await {
                 let _ = stream.set_nodelay(true);
                 let result = self.serve(stream, &mut queue, &*handler).await;
                 debug!(peer = %self.host, ?result, "connection to another controller ended");
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -21,7 +21,7 @@
     /// `fleet.silent_s`, 1 to 600: a machine that has sent no heartbeat for this long is
     /// released, so that its tasks can run elsewhere. If unset, it is derived from the
     /// heartbeat interval and the worker lease.
-    pub silence_timeout: Option<Duration>,
+    pub silence_limit: Option<Duration>,
     /// `fleet.most`, 1 to 100,000: most machines rented at once.
     pub max_machines: usize,
     /// `fleet.warm`, 0 to 10: warm capacity (free CPUs for tasks to come), as a share of
@@ -38,7 +38,7 @@
             leader_lease: Duration::from_millis(2000),
             min_round_pause: Duration::from_millis(50),
             idle_timeout: Duration::from_secs(90),
-            silence_timeout: None,
+            silence_limit: None,
             max_machines: 10_000,
             warm_share: 0.15,
             forward_timeout: Duration::from_millis(200),
@@ -76,7 +76,7 @@
             "leader.lease_ms" | "leader.hold_ms" => self.leader_lease = millis(value, 500.0, 60_000.0)?,
             "plan.pause_ms" => self.min_round_pause = millis(value, 1.0, 5_000.0)?,
             "fleet.idle_s" => self.idle_timeout = seconds(value, 0.0, 86_400.0)?,
-            "fleet.silent_s" => self.silence_timeout = Some(seconds(value, 1.0, 600.0)?),
+            "fleet.silent_s" => self.silence_limit = Some(seconds(value, 1.0, 600.0)?),
             "fleet.most" => self.max_machines = number(value, 1.0, 100_000.0)? as usize,
             "fleet.warm" => self.warm_share = number(value, 0.0, 10.0)?,
             "users.forward_ms" => self.forward_timeout = millis(value, 10.0, 5_000.0)?,
--- a/src/store/leases.rs
+++ b/src/store/leases.rs
@@ -9,11 +9,11 @@
 use crate::wire::LeaseGrant;
 
 impl Store {
-    /// Grants a lease that expires `ttl` after its last renewal; returns its id.
-    pub async fn grant_lease(&self, ttl: Duration) -> Result<u64, StoreError> {
+    /// Grants a lease that expires `lifetime` after its last renewal; returns its id.
+    pub async fn grant_lease(&self, lifetime: Duration) -> Result<u64, StoreError> {
         self.request_budget.acquire(1.0).await;
         let operation = || Operation::GrantLease;
-        let body = format!("{{\"life_ms\":{}}}", ttl.as_millis()).into_bytes();
+        let body = format!("{{\"life_ms\":{}}}", lifetime.as_millis()).into_bytes();
         let request = StoreRequest {
             method: Method::POST,
             path: "/holds",
--- a/src/store/writer/mod.rs
+++ b/src/store/writer/mod.rs
@@ -33,11 +33,11 @@
 pub enum CommitError {
     /// The term has ended. The write may have been executed if it was in flight.
     #[error("no longer the leader")]
-    Deposed,
+    TermEnded,
     /// The write was refused, for its size or another reason that a retry doesn't
     /// change. An earlier attempt that was not answered may still have been executed.
     #[error("refused by the state service")]
-    Refused,
+    Rejected,
     /// The conditions on these keys of the write did not hold: as a rule another writer has
     /// changed them, and the write was not executed. It may have been executed only by an
     /// earlier attempt that was not answered, which goes unnoticed if the whole batch
@@ -111,12 +111,12 @@
         {
             let mut state = self.state.lock();
             if state.has_ended() {
-                return Err(CommitError::Deposed);
+                return Err(CommitError::TermEnded);
             }
             state.enqueue(queued);
         }
         self.wake.notify_one();
-        outcome.await.unwrap_or(Err(CommitError::Deposed))
+        outcome.await.unwrap_or(Err(CommitError::TermEnded))
     }
 
     /// Sends queued writes until the term ends.
--- a/src/store/writer/send.rs
+++ b/src/store/writer/send.rs
@@ -41,7 +41,7 @@
                     let stored = std::mem::take(&mut batch);
                     self.state.lock().record_stored(stored, revision);
                 }
-                Err(StoreError::Conflict { failed_keys }) if self.is_deposed_by(&failed_keys) => {
+                Err(StoreError::Conflict { failed_keys }) if self.leader_condition_failed(&failed_keys) => {
                     info!(
                         term = self.term,
                         "transaction refused: this controller no longer leads, the term ends"
@@ -69,23 +69,23 @@
                 }
                 Err(error) => {
                     info!(%error, "transaction of a single write refused, the write fails");
-                    std::mem::take(&mut batch).fail(&CommitError::Refused);
+                    std::mem::take(&mut batch).fail(&CommitError::Rejected);
                 }
             }
         }
-        batch.fail(&CommitError::Deposed);
+        batch.fail(&CommitError::TermEnded);
         self.state.lock().finish_transaction(&keys);
     }
 
     /// Whether the condition on the leader's key failed: this controller no longer leads.
-    fn is_deposed_by(&self, failed_keys: &[String]) -> bool {
+    fn leader_condition_failed(&self, failed_keys: &[String]) -> bool {
         failed_keys.iter().any(|key| key == self.leader_key)
     }
 
     /// Puts the later half of a batch back into the queue, and limits later transactions
     /// to half as many changes as the refused one had.
-    fn split_batch(&self, batch: &mut Batch, refused_changes: usize) {
-        self.state.lock().lower_max_changes(refused_changes / 2);
+    fn split_batch(&self, batch: &mut Batch, rejected_changes: usize) {
+        self.state.lock().lower_max_changes(rejected_changes / 2);
         let later = batch.split_off_half();
         self.state.lock().put_back(later);
     }
--- a/src/store/writer/state.rs
+++ b/src/store/writer/state.rs
@@ -61,7 +61,7 @@
     pub(super) fn end(&mut self) {
         self.term_ended = true;
         for queued in self.queue.drain(..) {
-            queued.finish(Err(CommitError::Deposed));
+            queued.finish(Err(CommitError::TermEnded));
         }
     }
 
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -99,7 +99,7 @@
     pub id: MachineId,
     /// Address (host and port) at which its worker takes commands.
     #[serde(rename = "endpoint", default)]
-    pub addr: String,
+    pub address: String,
     /// Name of its machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -85,7 +85,7 @@
     pub machine: MachineId,
     /// Address (host and port) at which the worker takes commands.
     #[serde(rename = "endpoint")]
-    pub addr: String,
+    pub address: String,
     /// Name of the machine's type.
     #[serde(rename = "rig")]
     pub machine_type: String,
--- a/tests/dependencies/readiness.rs
+++ b/tests/dependencies/readiness.rs
@@ -66,7 +66,7 @@
         model.place(&machine, task, attempt, false, now);
     }
     store_due_writes(&mut model, now);
-    let commands = model.take_due_commands(now, 9);
+    let commands = model.take_due_batches(now, 9);
     let started_jobs: Vec<JobId> = commands
         .iter()
         .flat_map(|due| &due.batch.commands)
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -46,12 +46,12 @@
     writes
         .iter()
         .for_each(|write| model.write_finished(write, true, now));
-    for due in model.take_due_commands(now, 0) {
+    for due in model.take_due_batches(now, 0) {
         let id = due.machine;
         let mut message = heartbeat(&id, "small", &model.machines()[&id].zone.clone(), false, 7, 2);
         message.token = due.batch.token;
         message.tasks = reported_running(&model, &id);
-        model.command_finished(&id, Some(&message), now);
+        model.batch_finished(&id, Some(&message), now);
     }
     model
 }
@@ -222,9 +222,9 @@
     let id = MachineId::from("i-south-1");
     model.set_up().machines.get_mut(&id).expect("known").needs_probe = true;
     model.set_up().command_candidates.insert(id.clone());
-    let sent = model.take_due_commands(now, 5);
+    let sent = model.take_due_batches(now, 5);
     assert!(sent.iter().any(|due| due.machine == id));
-    model.command_finished(&id, None, now);
+    model.batch_finished(&id, None, now);
     assert!(!model.is_schedulable(&model.machines()[&id], now + secs(1)));
     // The heartbeat is of a later incarnation than the start was sent to, so the task doesn't
     // run there.
@@ -252,7 +252,7 @@
     send_heartbeats(&mut model, "north", 10, now);
     send_heartbeats(&mut model, "south", 10, now);
     let id = MachineId::from("i-north-0");
-    model.command_finished(&id, None, now);
+    model.batch_finished(&id, None, now);
     let resumed_at = now + secs(15);
     model.ignore_silence_before(resumed_at);
     // Most machines send a heartbeat within a second, a few only when their interval is over.
--- a/tests/gap/world/leaders.rs
+++ b/tests/gap/world/leaders.rs
@@ -134,7 +134,7 @@
         leader.model.expire_leases(now);
         leader.model.plan(now);
         leader.pending_writes.extend(leader.model.take_due_writes(now));
-        for due in leader.model.take_due_commands(now, 4) {
+        for due in leader.model.take_due_batches(now, 4) {
             self.send_command(controller, leader.term, &due.machine, due.batch);
         }
     }
--- a/tests/gap/world/messages.rs
+++ b/tests/gap/world/messages.rs
@@ -107,7 +107,7 @@
                 let now = self.clock(to);
                 let leader = self.leaders[to].as_mut();
                 if let Some(leader) = leader.filter(|leader| leader.term == term) {
-                    leader.model.command_finished(&machine, heartbeat.as_ref(), now);
+                    leader.model.batch_finished(&machine, heartbeat.as_ref(), now);
                 }
             }
             Message::HeartbeatResponse {
--- a/tests/planner/backfilling.rs
+++ b/tests/planner/backfilling.rs
@@ -33,7 +33,7 @@
     model.add_job(job_record(short), now + secs(1));
     let round = model.plan(now + secs(1));
     assert_eq!(
-        (round.started_in_order, round.backfilled, round.preempted),
+        (round.placed_in_order, round.backfilled, round.preempted),
         (0, 1, 0)
     );
     assert!(
@@ -87,13 +87,16 @@
     }
     model.apply_heartbeat(&message, now + secs(2));
     let round = model.plan(now + secs(2));
-    assert_eq!((round.preempted, round.started_in_order), (1, 1));
+    assert_eq!((round.preempted, round.placed_in_order), (1, 1));
     // The stop comes before the start, in the same batch of commands.
     let writes = model.take_due_writes(now + secs(2));
     writes
         .iter()
         .for_each(|write| model.write_finished(write, true, now + secs(2)));
-    let batch = model.next_command(&id, now + secs(2)).expect("a batch").batch;
+    let batch = model
+        .next_command_batch(&id, now + secs(2))
+        .expect("a batch")
+        .batch;
     let stop = batch
         .commands
         .iter()
--- a/tests/planner/ranking.rs
+++ b/tests/planner/ranking.rs
@@ -33,7 +33,7 @@
     model.add_job(job_record(job(2, 3, 8.0)), now);
     let round = model.plan(now);
     assert_eq!(
-        (round.started_in_order, round.backfilled),
+        (round.placed_in_order, round.backfilled),
         (8, 0),
         "5 tasks of red, whose limit is 40 CPUs, then 3 of blue"
     );
--- a/tests/safety/cluster/delivery.rs
+++ b/tests/safety/cluster/delivery.rs
@@ -20,7 +20,7 @@
                 heartbeat,
                 term,
             } if term == self.term => {
-                self.model.command_finished(&from, heartbeat.as_ref(), self.now);
+                self.model.batch_finished(&from, heartbeat.as_ref(), self.now);
             }
             Message::Heartbeat { heartbeat, sent } => self.deliver_heartbeat(heartbeat, sent),
             Message::HeartbeatResponse {
--- a/tests/safety/cluster/mod.rs
+++ b/tests/safety/cluster/mod.rs
@@ -96,7 +96,7 @@
         for write in self.model.take_due_writes(self.now) {
             self.in_flight.push(Message::Write { write, term });
         }
-        for due in self.model.take_due_commands(self.now, 2) {
+        for due in self.model.take_due_batches(self.now, 2) {
             let (to, commands) = (due.machine, due.batch);
             for command in &commands.commands {
                 if let Command::Start { task, .. } = command {
--- a/tests/safety/commands.rs
+++ b/tests/safety/commands.rs
@@ -18,17 +18,20 @@
     assert!(!writes.is_empty());
     assert!(
         model
-            .next_command(&id, now)
+            .next_command_batch(&id, now)
             .is_none_or(|c| c.batch.commands.is_empty()),
         "a start is sent before its log entry is stored"
     );
-    model.command_finished(&id, None, now);
+    model.batch_finished(&id, None, now);
     writes
         .iter()
         .for_each(|write| model.write_finished(write, true, now));
-    let batch = model.next_command(&id, now + secs(1)).expect("the start").batch;
+    let batch = model
+        .next_command_batch(&id, now + secs(1))
+        .expect("the start")
+        .batch;
     assert!(matches!(batch.commands[..], [Command::Start { .. }]));
-    model.command_finished(&id, None, now + secs(2));
+    model.batch_finished(&id, None, now + secs(2));
     model.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 2), now + secs(2));
     assert_eq!(
         model.machines()[&id].slots.len(),
@@ -50,7 +53,7 @@
     let id = MachineId::from("i-1");
     model.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
     model.set_up().machines.get_mut(&id).expect("known").needs_probe = true;
-    let batch = model.next_command(&id, now).expect("a command").batch;
+    let batch = model.next_command_batch(&id, now).expect("a command").batch;
     assert!(
         model
             .heartbeat_response(&id, 7 << 20, now)
@@ -90,8 +93,8 @@
         .take_due_writes(now)
         .iter()
         .for_each(|write| model.write_finished(write, true, now));
-    let batch = model.next_command(&id, now).expect("the start").batch;
-    model.command_finished(&id, None, now + secs(1));
+    let batch = model.next_command_batch(&id, now).expect("the start").batch;
+    model.batch_finished(&id, None, now + secs(1));
     model.cancel(job, now + secs(1));
     let mut message = heartbeat("i-1", "small", "north", false, 7, 2);
     let early_response = model
@@ -138,11 +141,11 @@
     writes
         .iter()
         .for_each(|write| model.write_finished(write, true, now));
-    let batch = model.next_command(&id, now).expect("starts").batch;
+    let batch = model.next_command_batch(&id, now).expect("starts").batch;
     let mut message = heartbeat("i-1", "small", "north", false, 7, 2);
     message.token = batch.token;
     message.tasks = reported_ended(&model, &id, 1);
-    model.command_finished(&id, Some(&message), now);
+    model.batch_finished(&id, Some(&message), now);
     let writes = model.take_due_writes(now + secs(1));
     let response = model
         .heartbeat_response(&id, message.token, now)
@@ -163,8 +166,11 @@
         "late copies of the start are not refused"
     );
     // If no heartbeat arrives, a command carries the acknowledgement.
-    assert!(model.next_command(&id, now + secs(2)).is_none());
-    let batch = model.next_command(&id, now + secs(9)).expect("a command").batch;
+    assert!(model.next_command_batch(&id, now + secs(2)).is_none());
+    let batch = model
+        .next_command_batch(&id, now + secs(9))
+        .expect("a command")
+        .batch;
     assert!(matches!(batch.commands[..], [Command::Acknowledge { .. }]));
 }
 
@@ -177,7 +183,7 @@
     let ids: Vec<MachineId> = (0..4).map(|i| format!("i-{i}").as_str().into()).collect();
     for id in &ids {
         model.apply_heartbeat(&heartbeat(id, "small", "north", false, 7, 1), now);
-        model.command_finished(id, None, now);
+        model.batch_finished(id, None, now);
     }
     assert!(
         !model.is_partitioned_from_workers(now + secs(1)),
@@ -188,8 +194,8 @@
     }
     assert!(model.is_partitioned_from_workers(now + secs(7)));
     let response = heartbeat(&ids[0], "small", "north", false, 7, 3);
-    model.command_finished(&ids[0], Some(&response), now + secs(7));
-    model.command_finished(
+    model.batch_finished(&ids[0], Some(&response), now + secs(7));
+    model.batch_finished(
         &ids[1],
         Some(&heartbeat(&ids[1], "small", "north", false, 7, 3)),
         now + secs(7),
@@ -199,7 +205,7 @@
         "half of the workers answer"
     );
     // Workers that were sent no commands recently don't count as answering.
-    model.command_finished(&ids[0], None, now + secs(8));
+    model.batch_finished(&ids[0], None, now + secs(8));
     for id in &ids {
         model.apply_heartbeat(&heartbeat(id, "small", "north", false, 7, 4), now + secs(14));
     }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -81,11 +81,11 @@
         model.add_job(job_record(job(100_000 + number, 100, 4.0)), now);
     }
     let segments = store_all_writes(&mut model, now);
-    for due in model.take_due_commands(now, usize::MAX) {
+    for due in model.take_due_batches(now, usize::MAX) {
         let mut message = heartbeat(&due.machine, "small", "north", false, 7, 2);
         message.token = due.batch.token;
         message.tasks = reported_running(&model, &due.machine);
-        model.command_finished(&due.machine, Some(&message), now);
+        model.batch_finished(&due.machine, Some(&message), now);
     }
     let running: usize = model.jobs().values().map(|j| j.running.len()).sum();
     assert_eq!(running, machines * 2, "all machines are full");
@@ -139,7 +139,7 @@
             .for_each(|write| model.write_finished(write, true, at));
         let (round, done) = count_allocations(|| model.plan(at));
         assert_eq!(
-            done.started_in_order + done.backfilled,
+            done.placed_in_order + done.backfilled,
             1,
             "the freed capacity is used"
         );
@@ -147,7 +147,7 @@
         writes
             .iter()
             .for_each(|write| model.write_finished(write, true, at));
-        let (commands, due) = count_allocations(|| model.take_due_commands(at, 64));
+        let (commands, due) = count_allocations(|| model.take_due_batches(at, 64));
         assert_eq!(due.len(), 1, "one machine has a command due");
         Costs {
             heartbeat: heartbeat_cost,
@@ -250,27 +250,27 @@
     }
     model.replay_log(now);
     assert!(!model.all_machines_fenced());
-    let first = model.take_due_commands(now, 64);
+    let first = model.take_due_batches(now, 64);
     assert_eq!(first.len(), 64);
-    assert!(model.take_due_commands(now, 0).is_empty(), "no probe is allowed");
+    assert!(model.take_due_batches(now, 0).is_empty(), "no probe is allowed");
     // By its heartbeat, the last machine has seen a token of this term and has lost its tasks.
     let last = machine_id(LARGE_FLEET - 1);
     let mut message = heartbeat(&last, "small", "north", false, 8, 90);
     message.token += 5;
     model.apply_heartbeat(&message, now);
     let round = model.plan(now);
-    assert!(round.started_in_order + round.backfilled > 0);
+    assert!(round.placed_in_order + round.backfilled > 0);
     for write in model.take_due_writes(now) {
         model.write_finished(&write, true, now);
     }
-    let second = model.take_due_commands(now, 64);
+    let second = model.take_due_batches(now, 64);
     let starts = |batch: &CommandBatch| batch.commands.iter().any(|c| matches!(c, Command::Start { .. }));
     assert!(second.iter().any(|due| due.machine == last && starts(&due.batch)));
     assert!(second.len() <= 65);
     // All machines are probed in turn.
     let mut probed = first.len() + second.len() - 1;
     while probed < LARGE_FLEET - 1 {
-        let more = model.take_due_commands(now, 64).len();
+        let more = model.take_due_batches(now, 64).len();
         assert!(more > 0 && more <= 64);
         probed += more;
     }
@@ -284,7 +284,7 @@
     let listed: Vec<ListedMachine> = (0..LARGE_FLEET)
         .map(|i| ListedMachine {
             id: machine_id(i),
-            addr: format!("10.1.{}.{}:9000", i / 250, i % 250),
+            address: format!("10.1.{}.{}:9000", i / 250, i % 250),
             machine_type: "small".into(),
             zone: "north".into(),
             spot: false,
@@ -349,11 +349,11 @@
             model.write_finished(&write, true, at);
         }
         // The job's tasks are started, run and are done.
-        for due in model.take_due_commands(at, 64) {
+        for due in model.take_due_batches(at, 64) {
             let mut message = heartbeat(&due.machine, "small", "north", false, 7, 3 + u64::from(turn) * 2);
             message.token = due.batch.token;
             message.tasks = reported_ended(&model, &due.machine, usize::MAX);
-            model.command_finished(&due.machine, Some(&message), at);
+            model.batch_finished(&due.machine, Some(&message), at);
         }
         model.set_up().jobs.retain(|_, j| !j.is_complete());
     }
@@ -379,7 +379,7 @@
             model.add_job(job_record(job(n, tasks, 1.0)), now);
         }
         let round = model.plan(now);
-        assert_eq!(round.started_in_order + round.backfilled, 40 * 32);
+        assert_eq!(round.placed_in_order + round.backfilled, 40 * 32);
         count_allocations(|| model.plan(now + std::time::Duration::from_millis(1))).0
     });
     assert!(
--- a/tests/support/cloud/machine.rs
+++ b/tests/support/cloud/machine.rs
@@ -34,7 +34,7 @@
     machine.sequence += 1;
     Heartbeat {
         machine: machine.id.clone(),
-        addr: machine.addr.clone(),
+        address: machine.addr.clone(),
         machine_type: "small".into(),
         zone: machine.zone.clone(),
         spot: machine.spot,
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -150,7 +150,7 @@
 ) -> Heartbeat {
     Heartbeat {
         machine: machine.into(),
-        addr: "127.0.0.1:9".into(),
+        address: "127.0.0.1:9".into(),
         machine_type: machine_type.into(),
         zone: zone.into(),
         spot,
--- a/tests/support/worker.rs
+++ b/tests/support/worker.rs
@@ -98,7 +98,7 @@
         });
         Heartbeat {
             machine: self.id.clone(),
-            addr: "127.0.0.1:9".into(),
+            address: "127.0.0.1:9".into(),
             machine_type: "small".into(),
             zone: "north".into(),
             spot: self.spot,
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -123,7 +123,7 @@
         model.plan(now);
         let writes = model.take_due_writes(now);
         writes.iter().for_each(|w| model.write_finished(w, true, now));
-        let commands = model.next_command(&machine, now).expect("the start").batch;
+        let commands = model.next_command_batch(&machine, now).expect("the start").batch;
         let task = TaskId { job, index: 0 };
         Self {
             model,
@@ -213,12 +213,12 @@
     let mut decided = DecidedStart::new();
     assert!(decided
         .model
-        .next_command(&decided.machine, decided.now)
+        .next_command_batch(&decided.machine, decided.now)
         .is_none());
-    decided.model.command_withheld(&decided.machine);
+    decided.model.batch_withheld(&decided.machine);
     let resent = decided
         .model
-        .next_command(&decided.machine, decided.now)
+        .next_command_batch(&decided.machine, decided.now)
         .expect("the start again")
         .batch;
     assert!(
