--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,12 +1,13 @@
-//! Reads the wall clock and the monotonic ("steady") clock of this process.
+//! Reads the two clocks of this process: the steady clock (monotonic, for durations) and
+//! the wall clock (for the time of day).
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use crate::core::evidence::authority::ClockReading;
 
-/// The wall-clock time in milliseconds since the Unix epoch; 0 if the clock is set before
-/// the epoch. The wall clock may jump, so measure durations within this process with
-/// [`Instant`].
+/// The time of day in milliseconds since the Unix epoch; 0 if the wall clock is set
+/// before the epoch. The wall clock may jump, so measure durations within this process
+/// with [`Instant`].
 pub fn unix_time_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -14,7 +15,7 @@
         .as_millis() as u64
 }
 
-/// Reads the monotonic clock first, then the wall clock.
+/// Reads the steady clock first, then the wall clock.
 pub fn read_clocks() -> ClockReading {
     ClockReading {
         steady: Instant::now(),
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -17,7 +17,7 @@
 /// How a request failed, as the client saw it.
 #[derive(Debug, thiserror::Error)]
 pub enum FailureCause {
-    /// No response.
+    /// No response: connecting, sending or receiving failed or timed out.
     #[error("{0}")]
     Http(#[source] Box<HttpError>),
     /// A response with this HTTP status.
@@ -35,35 +35,35 @@
     /// The cloud has no machine of the requested kind now: nothing was rented.
     #[error("cloud has no capacity: {path}")]
     NoCapacity {
-        /// Path of the request.
+        /// Path of the rental request.
         path: String,
     },
     /// The caller no longer permitted the request when it was due: it was not sent.
     #[error("request withheld: {path}")]
     Withheld {
-        /// Path of the request.
+        /// Path of the request that was not sent.
         path: String,
     },
     /// Not sent, or refused for now: the request was not executed.
     #[error("cloud unavailable: {path}: {source}")]
     Unavailable {
-        /// Path of the request.
+        /// Path of the request, which may be sent again.
         path: String,
-        /// How it failed.
+        /// Why it was not sent, or how it was refused.
         source: FailureCause,
     },
     /// No usable response: the request may have been executed, or may still be.
     #[error("cloud did not answer: {path}: {source}")]
     Unanswered {
-        /// Path of the request.
+        /// Path of the request, whose effect is in doubt.
         path: String,
-        /// How it failed.
+        /// What came instead of a usable response.
         source: FailureCause,
     },
     /// Rejected permanently: the same request would be rejected again.
     #[error("cloud rejected the request with status {status}: {path}")]
     Rejected {
-        /// Path of the request.
+        /// Path of the request, which must not be repeated as it is.
         path: String,
         /// HTTP status of the response.
         status: u16,
@@ -71,9 +71,9 @@
     /// The request can't be serialized as JSON, so it was not sent.
     #[error("request can't be serialized: {path}: {source}")]
     Unserializable {
-        /// Path of the request.
+        /// Path of the request that was not sent.
         path: String,
-        /// The serializer's error.
+        /// Why the serializer failed.
         source: serde_json::Error,
     },
 }
@@ -122,7 +122,7 @@
         .any(|window| window == NO_CAPACITY)
 }
 
-/// Client of the cloud.
+/// Client of the cloud's API, within its rate limit.
 #[derive(Debug)]
 pub struct Cloud {
     http: HttpClient,
@@ -138,7 +138,7 @@
 /// Machines per request of a listing.
 const PAGE_SIZE: usize = 500;
 
-/// Permits requests that change nothing.
+/// The check before sending for requests that change nothing: they are always permitted.
 fn always_permitted() -> bool {
     true
 }
--- a/src/controller/job_lookup.rs
+++ b/src/controller/job_lookup.rs
@@ -19,14 +19,14 @@
 pub enum StoredJob {
     /// Accepted, not finished: its record, and the version of the record's key.
     Unfinished(Box<JobRecord>, u64),
-    /// Done or cancelled.
+    /// Its final state, done or cancelled, is stored.
     Finished(JobStatus),
     /// Nothing is stored: the job was never accepted.
     NeverAccepted,
 }
 
 impl Controller {
-    /// Reads a job from the state service and caches a terminal state. The key of the
+    /// Reads a job from the state service and caches a final state. The key of the
     /// unfinished job is read first, because a job moves from there to the key of the
     /// finished job and never back.
     pub async fn lookup_job(&self, id: JobId) -> Result<StoredJob, StoreError> {
--- a/src/controller/leaderless_submission.rs
+++ b/src/controller/leaderless_submission.rs
@@ -19,7 +19,7 @@
 
 impl Controller {
     /// Responds to a submission from the state service: with the stored status if the job
-    /// is known there, and otherwise by checking and storing the job.
+    /// is stored there, and otherwise by checking and storing the job.
     pub(super) async fn submit_without_leader(&self, body: &[u8]) -> ApiResponse {
         let id = match self.submission_id(body) {
             Ok(id) => id,
@@ -61,8 +61,8 @@
     }
 }
 
-/// Puts a job's record and its inbox mark, on condition that neither a record of it nor its
-/// terminal state is stored.
+/// Puts a job's record and its inbox mark, on condition that neither a record of it nor
+/// its final state is stored.
 fn new_job_transaction(id: JobId, record: Value) -> Transaction {
     let absent = |key| Condition { key, version: 0 };
     let put = |key, value| Change::Put {
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -12,7 +12,7 @@
 //! - `user_requests` responds to users; without the leader, `leaderless_submission` stores
 //!   new jobs.
 //! - [`submission`] validates submissions, [`job_lookup`] reads stored jobs.
-//! - [`terminal_states`] caches the states of jobs that ended, `machine_types` the machine
+//! - [`terminal_states`] caches the final states of jobs, `machine_types` the machine
 //!   types.
 
 pub mod job_lookup;
@@ -150,7 +150,7 @@
         &self.links
     }
 
-    /// Locks the cache of terminal states until the guard is dropped. A caller that also
+    /// Locks the cache of final states until the guard is dropped. A caller that also
     /// locks the model has to lock the model first.
     pub fn final_states(&self) -> MutexGuard<'_, FinalStates> {
         self.final_states.lock()
--- a/src/controller/role.rs
+++ b/src/controller/role.rs
@@ -13,11 +13,11 @@
 /// The role of this controller: whether it leads, or which controller it follows.
 #[derive(Debug, Clone)]
 pub enum Role {
-    /// No leader is known.
+    /// No leader is known yet, or this controller's own term has ended.
     Unknown,
-    /// Another controller leads.
+    /// Another controller leads, as far as this one knows.
     Following {
-        /// The leader's name.
+        /// Name of the controller that leads.
         host: String,
         /// The term for which the leader was elected.
         term: u64,
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -204,7 +204,7 @@
         Ok(())
     }
 
-    /// The kind of a stored job that is unfinished; `None` if it has ended.
+    /// The kind of a stored job that is unfinished; `None` if it is finished.
     async fn stored_kind(&self, dependency: JobId) -> Result<Option<JobKind>, SubmissionError> {
         match self.lookup_job(dependency).await {
             Ok(StoredJob::Unfinished(record, _)) => Ok(Some(record.spec.kind)),
--- a/src/controller/terminal_states.rs
+++ b/src/controller/terminal_states.rs
@@ -1,15 +1,15 @@
-//! A cache of the terminal states of jobs.
+//! A cache of the final states of jobs.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::core::storage::record::FinalRecord;
 use crate::wire::{JobId, JobStatus};
 
-/// Maximum number of cached terminal states; others are read from the state service.
+/// Maximum number of cached final states; others are read from the state service.
 const MAX_RECORDS: usize = 50_000;
 
-/// The terminal states that this process has read or stored, those of the `MAX_RECORDS` jobs
-/// that were inserted last. A terminal state never changes, so a cached one is never out of
+/// The final states that this process has read or stored, those of the `MAX_RECORDS` jobs
+/// that were inserted last. A final state never changes, so a cached one is never out of
 /// date.
 #[derive(Debug, Default)]
 pub struct FinalStates {
@@ -19,7 +19,7 @@
 }
 
 impl FinalStates {
-    /// Inserts a terminal state; beyond `MAX_RECORDS`, the one inserted first is removed. If
+    /// Inserts a final state; beyond `MAX_RECORDS`, the one inserted first is removed. If
     /// `record` has no time of the end, a time that is cached already stays.
     pub fn insert(&mut self, id: JobId, record: FinalRecord) {
         let ended_at = record.ended_at;
@@ -40,18 +40,18 @@
         }
     }
 
-    /// The record of a job that ended, if it is cached.
+    /// The record of a finished job, if it is cached.
     pub fn record(&self, id: JobId) -> Option<&FinalRecord> {
         self.records.get(&id)
     }
 
-    /// The status of a job that ended, if it is cached.
+    /// The status of a finished job, if it is cached.
     pub fn status(&self, id: JobId) -> Option<JobStatus> {
         self.records.get(&id).map(|record| final_status(id, record))
     }
 }
 
-/// The status that users get of a job that ended.
+/// The status that users get of a finished job.
 pub(super) fn final_status(id: JobId, record: &FinalRecord) -> JobStatus {
     JobStatus {
         id,
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -1,6 +1,6 @@
-//! Users' requests. A controller that doesn't lead responds from its cache of terminal
-//! states if the job is there. It forwards other requests to the leader, and responds from
-//! the state service if the leader can't be reached or is unavailable.
+//! Users' requests. A controller that doesn't lead responds from its cache of final
+//! states if the job is there. It forwards other requests to the leader, and responds
+//! from the state service if the leader can't be reached or is unavailable.
 
 use std::time::{Duration, Instant};
 
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Responds to a poll. An overloaded controller responds only about jobs whose terminal
-    /// states are cached, and rejects all other polls.
+    /// Responds to a poll. An overloaded controller responds only about jobs whose final
+    /// states are cached, and refuses all other polls.
     pub async fn poll(&self, id: JobId) -> ApiResponse {
         self.check_for_stall();
         if self.stall_detector.is_overloaded(Instant::now()) {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Responds to a cancellation from the state service. Only a job that has ended, is
+    /// Responds to a cancellation from the state service. Only a job that is finished, is
     /// cancelled already or was never accepted needs no leader.
     async fn cancel_without_leader(&self, id: JobId) -> ApiResponse {
         let Ok(found) = self.lookup_job(id).await else {
@@ -98,14 +98,14 @@
         }
     }
 
-    /// The response with a job's terminal state, if it is cached.
+    /// The response with a job's final state, if it is cached.
     fn final_response(&self, id: JobId) -> Option<ApiResponse> {
         self.final_states()
             .status(id)
             .map(|status| ApiResponse::json(200, &status))
     }
 
-    /// Caches the terminal state in the leader's response, if it contains one.
+    /// Caches the final state in the leader's response, if it contains one.
     fn cache_final_state(&self, response: &ApiResponse) {
         if response.status != 200 {
             return;
--- a/src/core/evidence/authority.rs
+++ b/src/core/evidence/authority.rs
@@ -18,9 +18,10 @@
 /// Both clocks of a process, read at the same moment.
 #[derive(Debug, Clone, Copy)]
 pub struct ClockReading {
-    /// The monotonic clock, which may stop while the process is paused.
+    /// The steady clock, which may stop while the process is paused.
     pub steady: Instant,
-    /// The time of day, off by at most the configured error in either direction.
+    /// The time of day by the wall clock, off by at most the configured error in either
+    /// direction.
     pub time_of_day: SystemTime,
 }
 
@@ -94,15 +95,15 @@
     }
 
     /// Whether the leader may act: place and start tasks, rent and release machines,
-    /// answer requests from memory.
+    /// respond to requests from memory.
     pub fn may_act(&self, now: ClockReading) -> bool {
         self.since_renewal(now) < self.acting_period
     }
 
     /// Whether the leader may respond to heartbeats, without starting tasks, so that
-    /// workers' leases outlast an outage of the state service. The time is bounded because
-    /// another leader may meanwhile have confirmed a cancellation to a client, after which
-    /// the job's tasks must end within the cancellation deadline.
+    /// workers' leases outlast an outage of the state service. The time is bounded
+    /// because another leader may meanwhile have confirmed a cancellation to a user,
+    /// after which the job's tasks must end within the cancellation deadline.
     pub fn may_renew_leases(&self, now: ClockReading) -> bool {
         self.resumed_at.is_none() && self.since_renewal(now) < self.acting_period + self.renewal_grace
     }
--- a/src/core/evidence/commands/mod.rs
+++ b/src/core/evidence/commands/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! - `response` decides what the response to a heartbeat carries.
 //! - `batch` assembles the next batch of commands for a machine.
-//! - This module decides which machines are due, and records how a batch ended.
+//! - This module decides which machines are due, and records the outcome of a batch.
 //!
 //! At most one batch of commands is in flight to a machine. Each batch has its own fencing
 //! token, higher than all issued for that machine before. A worker refuses tokens below the
--- a/src/core/evidence/heartbeats/exit.rs
+++ b/src/core/evidence/heartbeats/exit.rs
@@ -12,7 +12,7 @@
 use crate::wire::{ExitReason, JobKind, ReportedTask};
 
 /// How long no task is placed on a machine that refused a start for lack of free
-/// resources: long enough for the tasks that still hold the resources to end or to be
+/// resources: long enough for the tasks that still take the resources to end or to be
 /// reported.
 const FULL_MACHINE_PAUSE: Duration = Duration::from_secs(3);
 /// How long no task of a job is placed after a worker reported one of its attempts as
@@ -76,7 +76,7 @@
     effect
 }
 
-/// Records that a task of a batch or gang job is done. Returns the mark of the log entry
+/// Records that a task of an array or gang is done. Returns the mark of the log entry
 /// that records it; `None` for a service, whose tasks are never done, or for a task that
 /// the job doesn't have.
 fn record_done(
--- a/src/core/evidence/heartbeats/mod.rs
+++ b/src/core/evidence/heartbeats/mod.rs
@@ -33,7 +33,7 @@
     MachineReleased,
     /// Ignored: a newer message of the same worker, or a later incarnation, is known.
     Outdated,
-    /// Applied to the model.
+    /// Applied: it was newer than all messages of the worker before.
     Applied,
 }
 
@@ -45,7 +45,7 @@
     fenced: bool,
     /// Size of the machine's image cache, in GB.
     cache_gb: f64,
-    /// When the message arrived.
+    /// When this process received the message.
     now: Instant,
 }
 
@@ -93,8 +93,9 @@
         known.map_or(f64::MAX, |t| t.cache_gb)
     }
 
-    /// Adds a machine whose worker sends heartbeats although neither the log nor the cloud
-    /// has listed it yet: an earlier leader rented it, or its rental is not confirmed.
+    /// Adds a machine whose worker sends heartbeats although neither the log nor the
+    /// cloud has listed it yet: an earlier leader rented it, or its rental is still
+    /// pending.
     fn adopt_unknown_machine(&mut self, id: &MachineId, now: Instant) {
         if !self.machines.contains_key(id) {
             info!(machine = %id, "heartbeat of an unknown machine, machine adopted");
--- a/src/core/fleet/actions.rs
+++ b/src/core/fleet/actions.rs
@@ -12,9 +12,9 @@
 /// A request to the cloud that a round has decided on.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FleetAction {
-    /// Rent machines.
+    /// Rent machines, by a request that may be repeated under its name.
     Rent(RentalRequest),
-    /// Release machines.
+    /// Release these machines, by one request.
     Release(Vec<MachineId>),
 }
 
--- a/src/core/fleet/outcomes.rs
+++ b/src/core/fleet/outcomes.rs
@@ -20,7 +20,7 @@
     Other,
 }
 
-/// Outcome of a release.
+/// Whether the cloud confirmed a release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseOutcome {
     /// The cloud confirmed it: the machines and all attempts on them are gone.
@@ -32,7 +32,7 @@
 impl ClusterModel {
     /// Adds the machines that the cloud rented. If they are fewer than requested, the
     /// offer is suspended.
-    pub fn rental_done(&mut self, rental: &RentalRequest, machines: &[MachineId], now: Instant) {
+    pub fn rental_succeeded(&mut self, rental: &RentalRequest, machines: &[MachineId], now: Instant) {
         self.fleet.pending_rentals.remove(&rental.name);
         for id in machines {
             self.add_rented_machine(id.clone(), &rental.machine_type, &rental.zone, rental.spot, now);
@@ -55,7 +55,7 @@
     /// Removes machines whose release was confirmed. Machines whose release failed are up
     /// again, or booting if no heartbeat of theirs was received, and may be released again
     /// in the next round.
-    pub fn release_done(&mut self, ids: &[MachineId], outcome: ReleaseOutcome, now: Instant) {
+    pub fn release_finished(&mut self, ids: &[MachineId], outcome: ReleaseOutcome, now: Instant) {
         for id in ids {
             if outcome == ReleaseOutcome::Confirmed {
                 self.remove_released_machine(id, now);
--- a/src/core/fleet/releases.rs
+++ b/src/core/fleet/releases.rs
@@ -22,7 +22,7 @@
 /// ...plus this many seconds.
 const BOOT_TIMEOUT_EXTRA_S: f64 = 10.0;
 
-/// Whether a machine is released.
+/// Whether a machine is released, decided in each round.
 enum ReleaseDecision {
     Keep,
     /// It is in order and has no slots; whether it is released depends on the load.
--- a/src/core/scheduling/eligibility.rs
+++ b/src/core/scheduling/eligibility.rs
@@ -1,5 +1,5 @@
-//! Which machines accept tasks now, how many tasks a job may start, and how much each
-//! team's tasks use.
+//! Which machines accept tasks now, how many tasks of a job may be placed, and how much
+//! each team's tasks use.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -24,7 +24,8 @@
     }
 
     /// Whether tasks may be placed on a machine: it is up, fenced by this term, reachable
-    /// in both directions, not cordoned, and has not just refused a start for want of room.
+    /// in both directions, not cordoned, and has not just refused a start for lack of
+    /// free resources.
     pub fn is_schedulable(&self, machine: &Machine, now: Instant) -> bool {
         machine.phase == MachinePhase::Up
             && machine.is_fenced_by(self.term)
@@ -38,9 +39,9 @@
             && self.silence(machine, now) < self.config.heartbeat_interval * 2
     }
 
-    /// How many more tasks a job may start now: none while it is cancelled or paused, and
-    /// on probation its placement limit less the tasks that are placed. The team's limit
-    /// is not considered.
+    /// How many more tasks of a job may be placed now: none while it is cancelled or
+    /// paused, and on probation its placement limit less the tasks that are placed. The
+    /// team's limit is not considered.
     pub(in crate::core) fn start_allowance(&self, job: &Job, now: Instant) -> u32 {
         if job.cancelled || job.pause_until.is_some_and(|end| end > now) {
             return 0;
--- a/src/core/scheduling/placement/backfilling.rs
+++ b/src/core/scheduling/placement/backfilling.rs
@@ -1,5 +1,5 @@
-//! Venture backfilling: starts jobs behind the blocked head, even where that may delay the
-//! head, since backfilled tasks can be preempted for it.
+//! Venture backfilling: places tasks of jobs behind the blocked head, even where that may
+//! delay the head, since backfilled tasks can be preempted for it.
 
 use std::time::Duration;
 
--- a/src/core/scheduling/placement/batches.rs
+++ b/src/core/scheduling/placement/batches.rs
@@ -27,7 +27,7 @@
 /// How many tasks were placed, and why the placement ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct PlacementResult {
-    /// Number of tasks placed.
+    /// Number of tasks placed before the placement ended.
     pub(super) placed: u32,
     pub(super) outcome: PlacementOutcome,
 }
--- a/src/core/scheduling/placement/free_capacity.rs
+++ b/src/core/scheduling/placement/free_capacity.rs
@@ -21,11 +21,11 @@
     pub(super) excluded: bool,
     /// When the cloud reclaims the machine, if it gave notice.
     pub(super) reclaim_at: Option<Instant>,
-    /// Tasks that hold capacity of the machine; empty until they are collected.
+    /// Tasks that take resources of the machine; empty until they are collected.
     pub(super) running: Vec<RunningLoad>,
 }
 
-/// A task that holds capacity.
+/// A task that takes resources of a machine, in whichever state it is.
 #[derive(Debug, Clone)]
 pub(super) struct RunningLoad {
     pub(super) task: TaskId,
@@ -35,7 +35,7 @@
     pub(super) rank: Option<Rank>,
     pub(super) started_at: Instant,
     pub(super) predicted_end: Instant,
-    /// Time to write a checkpoint when the task is stopped.
+    /// Grace time to save a checkpoint when the task is stopped.
     pub(super) grace: Duration,
 }
 
--- a/src/core/scheduling/placement/in_order.rs
+++ b/src/core/scheduling/placement/in_order.rs
@@ -1,4 +1,4 @@
-//! The first step of a round: jobs start in the order of the queue.
+//! The first step of a round: tasks are placed in the order of the queue.
 
 use crate::core::scheduling::placement::batches::{PlacementMode, PlacementOutcome};
 use crate::core::scheduling::placement::planner::Planner;
@@ -9,7 +9,7 @@
 /// How many tasks were placed in order, and which job blocks those behind it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::core::scheduling) struct InOrderResult {
-    /// Number of tasks placed.
+    /// Number of tasks placed, of all jobs up to the head.
     pub(in crate::core::scheduling) placed: u32,
     /// Position in the queue of the head: the first job that is blocked for lack of free
     /// capacity. Jobs that may not start now are skipped.
--- a/src/core/scheduling/placement/preemption.rs
+++ b/src/core/scheduling/placement/preemption.rs
@@ -1,4 +1,5 @@
-//! Shadow load preemption: stops shadow tasks so that the blocked head can start.
+//! Shadow load preemption: stops shadow tasks so that tasks of the blocked head can be
+//! placed.
 
 use std::time::Instant;
 
@@ -22,9 +23,9 @@
 }
 
 impl Planner<'_> {
-    /// Stops shadow and over-quota tasks if that starts tasks of the head (of a gang: all of
-    /// them) at once. It chooses the machine where the least work is lost, and there the
-    /// tasks of the lowest rank first.
+    /// Stops shadow and over-quota tasks if that lets tasks of the head (of a gang: all
+    /// of them) be placed at once. It chooses the machine where the least work is lost,
+    /// and there the tasks of the lowest rank first.
     pub(in crate::core::scheduling) fn preempt_for_head(&mut self, head: Rank) -> PreemptionResult {
         let mut result = PreemptionResult::default();
         let over_quota = OverQuotaLoad::for_head(self.model, head.job, &self.ranks);
--- a/src/core/scheduling/placement/reservation.rs
+++ b/src/core/scheduling/placement/reservation.rs
@@ -7,9 +7,9 @@
 use crate::wire::JobId;
 
 impl Planner<'_> {
-    /// The earliest time at which the head's next task is predicted to fit on a machine that
-    /// it may use, if only sunny load holds capacity; `None` if no predicted end of sunny
-    /// load makes it fit.
+    /// The earliest time at which the head's next task is predicted to fit on a machine
+    /// that it may use, if only sunny load takes resources; `None` if no predicted end of
+    /// sunny load makes it fit.
     pub(super) fn reservation(&mut self, head: JobId) -> Option<Instant> {
         let job = self.model.jobs.get(&head)?;
         job.waiting.first()?;
--- a/src/core/scheduling/placement/search.rs
+++ b/src/core/scheduling/placement/search.rs
@@ -12,7 +12,7 @@
 /// Which capacity a search may use.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum SearchScope {
-    /// Free capacity only.
+    /// Only capacity that is free now.
     Free {
         /// The task must be predicted to end by this time, if it is given.
         ends_by: Option<Instant>,
--- a/src/core/scheduling/ranking/rank.rs
+++ b/src/core/scheduling/ranking/rank.rs
@@ -12,7 +12,7 @@
     /// raised because the job is starved; see
     /// [`STARVED_ACROSS_PRIORITIES_AFTER`](super::starvation::STARVED_ACROSS_PRIORITIES_AFTER).
     pub priority: Reverse<Priority>,
-    /// Order within the priority.
+    /// Order within the priority, see [`Tier`].
     pub tier: Tier,
     /// Order within the tier. For a job with a deadline in [`Tier::InTime`] or
     /// [`Tier::Late`] it is the remaining work in CPU milliseconds, so that as many jobs as
--- a/src/core/scheduling/round.rs
+++ b/src/core/scheduling/round.rs
@@ -1,10 +1,10 @@
-//! A scheduling round of PV-EASY.
+//! A scheduling round of PV-EASY, in three steps.
 //!
-//! 1. Jobs start in the order of the queue until one is blocked, that is, until there is
-//!    no free capacity for its next task (of a gang: for all its tasks). This job is the
-//!    head.
-//! 2. Shadow load preemption stops shadow and over-quota tasks if that starts tasks of the
-//!    head at once.
+//! 1. Tasks are placed in the order of the queue until a job is blocked, that is, until
+//!    there is no free capacity for its next task (of a gang: for all its tasks). This
+//!    job is the head.
+//! 2. Shadow load preemption stops shadow and over-quota tasks if that lets tasks of the
+//!    head be placed at once.
 //! 3. Venture backfilling places tasks of the jobs behind the head.
 
 use std::collections::BTreeMap;
--- a/src/core/state/config.rs
+++ b/src/core/state/config.rs
@@ -14,7 +14,7 @@
 pub struct SchedulerConfig {
     /// Teams by name, with their quotas and limits.
     pub teams: HashMap<String, Team>,
-    /// Service objectives for classes of jobs, such as a time to finish.
+    /// Service-level objectives for classes of jobs, such as a time to finish.
     pub objectives: Vec<Objective>,
     /// Zones in which machines may be rented.
     pub zones: Vec<String>,
@@ -24,7 +24,7 @@
     /// answered.
     pub worker_lease: Duration,
     /// Time from the acceptance of a cancellation until all tasks of the job must have
-    /// stopped.
+    /// ended.
     pub cancel_deadline: Duration,
     /// A machine that sends no heartbeat for this long is released, so that its tasks
     /// can run elsewhere.
--- a/src/core/state/dependencies/graph.rs
+++ b/src/core/state/dependencies/graph.rs
@@ -6,25 +6,25 @@
 use crate::core::state::dependencies::urgency::Urgency;
 use crate::wire::JobId;
 
-/// How a job that others depend on ended, according to the state service.
+/// The outcome of a job that others depend on, according to the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DependencyOutcome {
     /// Its final state `done` is stored; with the time at which it was done, if known.
     Done(Option<Instant>),
-    /// Its cancellation is stored.
+    /// Its cancellation is stored, and so cancels its dependents.
     Cancelled,
 }
 
 /// What the graph needs to know about a job to add it.
 #[derive(Debug, Clone)]
 pub struct DependentJob<'a> {
-    /// The job's id.
+    /// Id under which other jobs name it as a dependency.
     pub id: JobId,
     /// The jobs that must be done before it may start, as its user named them.
     pub awaits: &'a [JobId],
     /// Its own priority and due times, without those that it inherits.
     pub urgency: Urgency,
-    /// Its predicted run time.
+    /// Its predicted run time: its dependencies are due earlier by it.
     pub run_time: Duration,
 }
 
@@ -35,9 +35,9 @@
     pub(super) pending: BTreeSet<JobId>,
     /// Latest time at which one of its other dependencies was done, as far as known.
     last_done_at: Option<Instant>,
-    /// The job's own urgency.
+    /// The job's own urgency, without what it inherits.
     pub(super) urgency: Urgency,
-    /// Its predicted run time.
+    /// Its predicted run time: its dependencies are due earlier by it.
     pub(super) run_time: Duration,
 }
 
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Removes a job that has ended. The edges to its dependents stay:
-    /// [`Self::done_stored`] or [`Self::cancellation_stored`] removes them.
+    /// Removes a finished job. The edges to its dependents stay: [`Self::done_stored`] or
+    /// [`Self::cancellation_stored`] removes them.
     pub fn remove(&mut self, id: JobId) {
         self.pending_cancellations.remove(&id);
         self.nodes.remove(&id);
--- a/src/core/state/dependencies/mod.rs
+++ b/src/core/state/dependencies/mod.rs
@@ -1,11 +1,11 @@
 //! The dependency graph: which unfinished jobs wait for which other jobs.
 //!
 //! A job names its dependencies: the jobs that must be done before any of its tasks may
-//! start. A dependency is settled in one of two ways: its final state `done` is stored,
+//! start. A dependency is resolved in one of two ways: its final state `done` is stored,
 //! or its cancellation is stored, which cancels every job that depends on it. A
 //! dependency that is not known to be unfinished is *unresolved* until its outcome has
-//! been read from the state service: until then no job that depends on it starts, and
-//! the status of those jobs is not served from memory.
+//! been read from the state service: until then no job that depends on it starts, and the
+//! status of those jobs is not served from memory.
 //!
 //! - `graph` holds the nodes and edges, and tells which jobs are ready.
 //! - `cancellation` passes cancellations on to all dependents.
--- a/src/core/state/dependencies/urgency.rs
+++ b/src/core/state/dependencies/urgency.rs
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Recomputes the inherited urgency of jobs that lost some of their dependents, and
+    /// Recomputes the inherited urgency of jobs with fewer dependents than before, and
     /// passes each change on to their dependencies.
     pub(super) fn lower_inherited(&mut self, jobs: BTreeSet<JobId>) {
         let mut stack: Vec<JobId> = jobs.into_iter().collect();
--- a/src/core/state/fleet_state.rs
+++ b/src/core/state/fleet_state.rs
@@ -17,13 +17,13 @@
 /// Machines of one offer that are to be rented by one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RentalOrder {
-    /// Which machines to rent.
+    /// The offer that the machines are rented by.
     pub offer: Offer,
     /// How many machines to rent.
     pub count: u32,
 }
 
-/// Rentals under way, and offers that the cloud refused recently.
+/// Pending rentals, and offers that the cloud had no capacity for recently.
 #[derive(Debug, Default)]
 pub struct FleetState {
     /// Number of rental requests issued in this term; it makes their names unique.
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -17,7 +17,7 @@
     pub spec: Arc<JobSpec>,
     /// When it was accepted, in milliseconds since the Unix epoch.
     pub accepted_at_ms: u64,
-    /// The same moment on this process's monotonic clock.
+    /// The same moment on this process's steady clock.
     pub arrival: Instant,
     /// Whether it is cancelled: no further task starts, and the running ones are stopped.
     pub cancelled: bool,
@@ -29,7 +29,7 @@
     pub waiting: TaskSet,
     /// The machines on which each placed task may be, by the task's index.
     pub places: HashMap<u32, Vec<MachineId>>,
-    /// Indices of the tasks that their machine's last heartbeat reported as running.
+    /// Indices of the tasks that a message of their worker reported as running.
     pub running: HashSet<u32>,
     /// Number of machines in `places`, summed over all tasks.
     pub place_count: u32,
@@ -86,7 +86,7 @@
     }
 
     /// Whether its cancellation is stored, so that any controller may confirm it to a
-    /// client.
+    /// user.
     pub fn cancellation_is_stored(&self) -> bool {
         self.cancelled && self.cancellation_stored
     }
--- a/src/core/state/machine.rs
+++ b/src/core/state/machine.rs
@@ -74,12 +74,13 @@
     pub known_since: Instant,
     /// Position of the newest message that was accepted.
     pub newest_message: MessageOrder,
-    /// Highest fencing token that its worker has seen, by its heartbeats.
+    /// Highest fencing token that its worker has seen, by its messages.
     pub seen_token: u64,
     /// Number of fencing tokens issued for it in this term, which is also the counter in
     /// the low bits of the last one.
     pub issued_tokens: u64,
-    /// When its last heartbeat was received.
+    /// When its newest message was accepted: a heartbeat, or the response to a batch of
+    /// commands.
     pub last_heartbeat: Option<Instant>,
     /// When one of its heartbeats was last answered; its worker's lease runs from then at
     /// the latest.
@@ -93,7 +94,7 @@
     pub images: Vec<(String, f64)>,
     /// Since when ended attempts wait to be acknowledged.
     pub unacknowledged_since: Option<Instant>,
-    /// Whether a batch of commands is on its way to it.
+    /// Whether a batch of commands is in flight to it.
     pub batch_in_flight: bool,
     /// No command is sent to it before this time.
     pub no_command_before: Option<Instant>,
@@ -110,8 +111,8 @@
     pub failures: u32,
     /// Since when it is cordoned, that is, no more tasks are placed on it.
     pub cordoned_since: Option<Instant>,
-    /// No task is placed on it before this time, as it refused a start for lack of
-    /// capacity.
+    /// No task is placed on it before this time, as it refused a start for lack of free
+    /// resources.
     pub no_placement_before: Option<Instant>,
     /// Since when no task on it takes resources. On a machine that booted, this counts anew
     /// from its first heartbeat.
@@ -218,7 +219,7 @@
 impl Machine {
     /// Acknowledgements of the attempts that have ended. As the worker forgets an attempt
     /// that is acknowledged, one that is done waits until the log entry that says so is
-    /// stored or its job has ended or is not known.
+    /// stored or its job is not, or no longer, in the model.
     pub(in crate::core) fn acknowledgements(
         &self,
         log: &WriteAheadLog,
--- a/src/core/state/model/jobs.rs
+++ b/src/core/state/model/jobs.rs
@@ -76,7 +76,7 @@
     }
 
     /// Cancels all jobs that depend on a job whose cancellation is stored. That record
-    /// covers them, too: their cancellation may be confirmed to a client without a record
+    /// covers them, too: their cancellation may be confirmed to a user without a record
     /// of their own.
     fn cancel_dependents(&mut self, id: JobId) {
         for dependent in self.dependencies.cancellation_stored(id) {
@@ -90,12 +90,12 @@
         }
     }
 
-    /// Whether a job is in the queue: it is neither cancelled nor waiting for other jobs.
+    /// Whether a job is ready: it is neither cancelled nor waiting for other jobs.
     pub(in crate::core) fn is_ready(&self, job: &Job) -> bool {
         !job.cancelled && self.dependencies.is_ready(job.spec.id)
     }
 
-    /// All jobs in the queue, whether or not their tasks are placed.
+    /// All ready jobs, whether or not their tasks are placed.
     pub(in crate::core) fn ready_jobs(&self) -> impl Iterator<Item = &Job> {
         self.jobs.values().filter(|job| self.is_ready(job))
     }
@@ -126,7 +126,7 @@
     }
 
     /// Marks a job as cancelled, so that none of its tasks starts any more, and stops the
-    /// placed ones without grace.
+    /// placed ones without grace time.
     pub fn cancel(&mut self, id: JobId, now: Instant) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         job.cancelled = true;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Removes a job that has ended.
+    /// Removes a finished job: its final state is stored.
     pub fn remove_job(&mut self, id: JobId) {
         self.jobs.remove(&id);
         self.dependencies.remove(id);
--- a/src/core/state/model/machines.rs
+++ b/src/core/state/model/machines.rs
@@ -78,7 +78,7 @@
             }
             if listed.state == CloudMachineState::Failed {
                 machine.cordoned_since.get_or_insert(now);
-                // The machine has stopped by itself, so nothing runs on it any more.
+                // The machine has failed, so nothing runs on it any more.
                 self.remove_all_slots(&listed.id, now, "listed as failed");
             }
         }
--- a/src/core/state/model/mod.rs
+++ b/src/core/state/model/mod.rs
@@ -41,7 +41,7 @@
 pub struct ClusterModel {
     /// The settings that the model's rules read.
     pub(in crate::core) config: Arc<SchedulerConfig>,
-    /// The leader's term.
+    /// Term of the leader that the model belongs to.
     pub(in crate::core) term: u64,
     /// The machine types that the cloud offers; empty until known.
     pub(in crate::core) machine_types: Vec<MachineType>,
@@ -57,7 +57,7 @@
     pub(in crate::core) run_time_ratios_changed: bool,
     /// When the ratios were last taken to be stored.
     pub(in crate::core) run_time_ratios_taken_at: Option<Instant>,
-    /// The write-ahead log.
+    /// The write-ahead log of this term, with what it loaded of earlier ones.
     pub(in crate::core) log: WriteAheadLog,
     /// When an append was last taken from the log.
     pub(in crate::core) log_append_taken_at: Option<Instant>,
@@ -72,7 +72,7 @@
     pub(in crate::core) listening_since: Option<Instant>,
     /// Number of attempt numbers issued in this term.
     issued_attempts: u64,
-    /// Rentals under way and suspended offers.
+    /// Pending rentals and suspended offers.
     pub(in crate::core) fleet: FleetState,
 }
 
@@ -120,7 +120,7 @@
         self.machine_types = machine_types;
     }
 
-    /// The unfinished jobs.
+    /// The unfinished jobs by id, cancelled ones included.
     pub fn jobs(&self) -> &BTreeMap<JobId, Job> {
         &self.jobs
     }
--- a/src/core/state/model/places.rs
+++ b/src/core/state/model/places.rs
@@ -62,9 +62,9 @@
         debug!(%task, attempt, machine = %machine_id, backfilled, "task placed");
     }
 
-    /// Orders a task on a machine to stop, with `grace` to write a checkpoint; an earlier
-    /// order with no more grace stands. A placement whose start was in no batch of commands
-    /// yet is removed at once.
+    /// Orders a task on a machine to stop, with the grace time `grace` to save a
+    /// checkpoint; an earlier order with no more grace time stands. A placement whose
+    /// start was in no batch of commands yet is removed at once.
     pub fn stop(
         &mut self,
         machine_id: &MachineId,
@@ -80,7 +80,7 @@
             return;
         };
         if slot.state == SlotState::Placed && slot.start_token == 0 {
-            debug!(%task, attempt = slot.attempt, machine = %machine_id, reason, "placement withdrawn before the start was sent");
+            debug!(%task, attempt = slot.attempt, machine = %machine_id, reason, "slot removed before the start was sent");
             self.remove_slot(machine_id, task, now);
             return;
         }
--- a/src/core/state/predictions.rs
+++ b/src/core/state/predictions.rs
@@ -39,7 +39,7 @@
             return end;
         }
         // The task has outrun the prediction: next come its estimate, then a time in
-        // proportion to its run time. No job is killed for outrunning its estimate.
+        // proportion to its run time. No task is stopped for outrunning its estimate.
         let estimated_end = since + Duration::from_secs_f64(spec.estimate_s.max(0.0));
         if estimated_end > now {
             estimated_end
--- a/src/core/state/resources.rs
+++ b/src/core/state/resources.rs
@@ -12,9 +12,9 @@
 /// Resources that a task takes or that a machine has.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
-    /// Number of CPUs.
+    /// Number of CPUs; may be a fraction.
     pub cpus: f64,
-    /// Number of accelerators.
+    /// Number of accelerators; may be a fraction.
     pub gpus: f64,
     /// Memory in GB.
     pub memory_gb: f64,
@@ -108,8 +108,8 @@
 /// Resources that all tasks of a team use together.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TeamUsage {
-    /// Number of CPUs.
+    /// CPUs, summed over the tasks.
     pub cpus: f64,
-    /// Number of accelerators.
+    /// Accelerators, summed over the tasks.
     pub gpus: f64,
 }
--- a/src/core/state/set_up.rs
+++ b/src/core/state/set_up.rs
@@ -13,9 +13,9 @@
 pub struct ModelSetUp<'a> {
     /// The term of the leader that the model belongs to.
     pub term: &'a mut u64,
-    /// Unfinished jobs by id.
+    /// The unfinished jobs, as in [`ClusterModel::jobs`].
     pub jobs: &'a mut BTreeMap<JobId, Job>,
-    /// Rented machines by id.
+    /// The rented machines, as in [`ClusterModel::machines`].
     pub machines: &'a mut BTreeMap<MachineId, Machine>,
     /// Machines that a command may be due for.
     pub command_candidates: &'a mut BTreeSet<MachineId>,
--- a/src/core/state/slot.rs
+++ b/src/core/state/slot.rs
@@ -6,10 +6,10 @@
 use crate::core::state::token;
 use crate::wire::{ExitReason, JobSpec};
 
-/// What the last heartbeat says of the attempt in a slot.
+/// What the worker's newest message says of the attempt in a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotState {
-    /// Placed; the start has not been confirmed yet.
+    /// Placed; the worker has not reported the attempt yet.
     Placed,
     /// An attempt that the log of an earlier term names, or that this leader didn't
     /// expect, and whose state is not reported yet. It may or may not be there.
@@ -18,7 +18,7 @@
     Fetching,
     /// Runs, as its worker reports.
     Running,
-    /// Writes a checkpoint after a stop command.
+    /// Saves a checkpoint after a stop command.
     Saving,
     /// Ended; the slot stays until the worker has taken the acknowledgement.
     Ended(ExitReason),
@@ -29,7 +29,7 @@
 pub struct Slot {
     /// Number of the attempt, unique over all terms.
     pub attempt: u64,
-    /// State of the attempt by the last heartbeat.
+    /// State of the attempt by the worker's newest message.
     pub state: SlotState,
     /// Specification of its job; `None` if the job is not known, or no longer.
     pub spec: Option<Arc<JobSpec>>,
@@ -49,15 +49,16 @@
     /// Whether it was placed by backfilling and is still shadow load: it may be preempted
     /// as long as a job that waits for capacity outranks its own.
     pub backfilled: bool,
-    /// When it was placed.
+    /// When the attempt was placed, or when this leader learned of it.
     pub placed_at: Instant,
     /// When it was first seen running.
     pub running_since: Option<Instant>,
-    /// Set once the attempt is to be stopped: the time that it has to write a checkpoint.
+    /// Set once the attempt is to be stopped: the grace time that it has to save a
+    /// checkpoint.
     pub stop_grace: Option<Duration>,
     /// When `Slot::order_stop` first set `stop_grace`; some time after that, the stop is
-    /// overdue. `None` although `stop_grace` is set: the grace was set only because the
-    /// worker reported another attempt than the slot's. Such a stop is never overdue.
+    /// overdue. `None` although `stop_grace` is set: the grace time was set only because
+    /// the worker reported another attempt than the slot's. Such a stop is never overdue.
     pub stop_ordered_at: Option<Instant>,
 }
 
@@ -88,7 +89,8 @@
         }
     }
 
-    /// Orders a stop with `grace`. `stop_ordered_at` keeps the time of the first order.
+    /// Orders a stop with the grace time `grace`. `stop_ordered_at` keeps the time of the
+    /// first order.
     pub(in crate::core) fn order_stop(&mut self, grace: Duration, now: Instant) {
         self.stop_grace = Some(grace);
         self.stop_ordered_at.get_or_insert(now);
--- a/src/core/state/tombstones.rs
+++ b/src/core/state/tombstones.rs
@@ -1,4 +1,4 @@
-//! Ids of released machines.
+//! Remembers which machines were released.
 
 use std::collections::{HashSet, VecDeque};
 
--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -35,11 +35,11 @@
     Append(LogAppend),
     /// A job's final state, which replaces the record of the unfinished job.
     Final {
-        /// Id of the job.
+        /// Id of the job that has ended.
         id: JobId,
         /// The record that is written.
         record: FinalRecord,
-        /// Other jobs depend on this one and it is done, so the write is urgent.
+        /// The job is done and other jobs depend on it, so the write is urgent.
         has_dependents: bool,
     },
     /// The teams' run-to-estimate ratios (Last Model).
--- a/src/core/storage/record.rs
+++ b/src/core/storage/record.rs
@@ -21,11 +21,11 @@
 /// Key of the machine types, stored once a leader has read them from the cloud.
 pub const MACHINE_TYPES_KEY: &str = "types";
 
-/// Key of an unfinished job.
+/// Key of an unfinished job, a [`JobRecord`].
 pub fn job_key(id: JobId) -> String {
     format!("{JOB_PREFIX}{id}")
 }
-/// Key of a finished job.
+/// Key of a finished job, a [`FinalRecord`].
 pub fn final_key(id: JobId) -> String {
     format!("{FINAL_PREFIX}{id}")
 }
@@ -38,7 +38,7 @@
     format!("{SEGMENT_PREFIX}{number:012}")
 }
 
-/// The elected leader.
+/// The elected leader: the value of [`LEADER_KEY`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderRecord {
     /// Name of the leading controller.
@@ -48,10 +48,10 @@
     pub nonce: u64,
 }
 
-/// An unfinished job.
+/// An unfinished job, from its acceptance until its final state is stored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// What its user submitted.
+    /// The job as its user submitted it.
     pub spec: JobSpec,
     /// When the job was accepted, in milliseconds since the Unix epoch.
     #[serde(rename = "at")]
@@ -61,7 +61,7 @@
     pub cancelled: bool,
 }
 
-/// A finished job.
+/// A finished job: its final state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinalRecord {
     /// Either `done` or `cancelled`.
--- a/src/core/storage/wal/entry.rs
+++ b/src/core/storage/wal/entry.rs
@@ -7,7 +7,7 @@
 
 use crate::wire::{JobId, MachineId};
 
-/// An entry of the log.
+/// An entry of the log, in the form in which it is stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogEntry {
     /// A rented machine: id, address (empty if not known yet), type, zone, whether it is a
--- a/src/core/storage/wal/mod.rs
+++ b/src/core/storage/wal/mod.rs
@@ -56,7 +56,7 @@
     max_segment_bytes: usize,
     /// Most task indices in an entry, so that every entry fits into a segment.
     max_entry_indices: usize,
-    /// The compaction in progress.
+    /// The compaction that has begun and not reached its last step.
     compaction: Option<Compaction>,
     /// Whether the last append included a step of a compaction.
     compacted_last_append: bool,
@@ -111,7 +111,6 @@
         }
         let bytes = entries.iter().map(LogEntry::bytes).sum();
         self.segments.insert(number, Segment { entries, bytes });
-        // Numbers are never reused.
         self.next_segment = self.next_segment.max(number + 1);
         true
     }
--- a/src/core/storage/wal/replay.rs
+++ b/src/core/storage/wal/replay.rs
@@ -12,7 +12,7 @@
     pub address: String,
     /// Name of its machine type.
     pub machine_type: String,
-    /// Its zone.
+    /// Zone in which it was rented.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
--- a/src/http.rs
+++ b/src/http.rs
@@ -26,7 +26,7 @@
     Unsent {
         /// Address of the server, as `host:port`.
         address: String,
-        /// The step that failed.
+        /// The step before sending that failed.
         source: TransportError,
     },
     /// The request was sent, or part of it: it may have been executed, or may
@@ -35,7 +35,7 @@
     Unanswered {
         /// Address of the server, as `host:port`.
         address: String,
-        /// The step that failed.
+        /// The step that failed, or the timeout that expired.
         source: TransportError,
     },
 }
@@ -74,7 +74,7 @@
     /// The body of the response is incomplete, or exceeds [`MAX_RESPONSE_BYTES`].
     #[error("response body: {0}")]
     Body(#[source] Box<dyn Error + Send + Sync>),
-    /// The timeout expired.
+    /// This timeout of the connection or the request expired.
     #[error("timed out after {0:?}")]
     TimedOut(Duration),
 }
@@ -90,10 +90,10 @@
     Http(#[from] HttpError),
 }
 
-/// A complete response.
+/// A response whose body was received as a whole.
 #[derive(Debug, Clone)]
 pub struct Response {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
     /// Body, at most [`MAX_RESPONSE_BYTES`] long.
     pub body: Bytes,
@@ -113,7 +113,7 @@
 
 /// Largest accepted body of a response, in bytes.
 pub const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
-/// Timeout of opening a connection.
+/// Timeout of opening a connection, as part of the request's own timeout.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long an unused connection stays in the pool.
 const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
--- a/src/leader/active_leader/cancellation.rs
+++ b/src/leader/active_leader/cancellation.rs
@@ -23,12 +23,12 @@
 const FINAL_STATE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Most such checks for one cancellation.
 const MAX_FINAL_STATE_POLLS: u32 = 100;
-/// Pause before a cancellation that was not stored is tried again.
+/// Pause before the write of a cancellation that was not stored is repeated.
 const STORE_RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// What the state of the job in the model requires of a cancellation.
 enum CancellationStep {
-    /// The model doesn't have the job: it has ended or was never accepted.
+    /// The model doesn't have the job: it is finished or was never accepted.
     NotInModel,
     /// All tasks of the job are done; it is about to be stored as done.
     Completing,
@@ -38,7 +38,7 @@
     Store(Box<JobRecord>),
 }
 
-/// Outcome of storing a cancellation.
+/// Whether a cancellation was stored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CancellationOutcome {
     Stored,
@@ -47,7 +47,7 @@
 }
 
 impl ActiveLeader {
-    /// Responds to a cancellation.
+    /// Responds to a user's cancellation; confirms it only once it is stored.
     pub async fn cancel(self: &Arc<Self>, id: JobId) -> ApiResponse {
         if !self.may_act() {
             return ApiResponse::unavailable("leadership is in doubt");
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Cancels a job after [`Self::load_job`]: the model has it, or it has ended or was
+    /// Cancels a job after [`Self::load_job`]: the model has it, or it is finished or was
     /// never accepted.
     async fn cancel_loaded(self: Arc<Self>, id: JobId) -> ApiResponse {
         self.wait_for_final_state(id).await;
@@ -127,7 +127,7 @@
 
     /// Stores a cancellation that is already applied to the model. The job's tasks are
     /// being stopped, so only the end of the term can undo it. After a conflict or a
-    /// refusal the record is read and the write repeated; otherwise the job would
+    /// rejection the record is read and the write repeated; otherwise the job would
     /// neither run nor be cancelled for the rest of the term.
     async fn store_cancellation(&self, id: JobId, record: &JobRecord) -> CancellationOutcome {
         let key = record::job_key(id);
--- a/src/leader/active_leader/dependency_lookup.rs
+++ b/src/leader/active_leader/dependency_lookup.rs
@@ -1,5 +1,5 @@
-//! Resolves dependencies on jobs that the model doesn't know, by reading how they
-//! ended: after a takeover, and if a job depends on one that ended long ago.
+//! Resolves dependencies on jobs that the model doesn't know, by reading their outcomes:
+//! after a takeover, and if a job depends on one that finished long ago.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -104,7 +104,7 @@
     record.state == JobState::Cancelled || record.ended_at.is_some()
 }
 
-/// How a job ended, for the jobs that depend on it.
+/// The outcome of a finished job, for the jobs that depend on it.
 fn outcome_of(record: &FinalRecord, now: Moment) -> DependencyOutcome {
     if record.state == JobState::Cancelled {
         return DependencyOutcome::Cancelled;
--- a/src/leader/active_leader/fleet_actions.rs
+++ b/src/leader/active_leader/fleet_actions.rs
@@ -33,7 +33,7 @@
             if self.should_end_term() {
                 info!(
                     term = self.term,
-                    "resigning: more workers ignore this controller's commands than answer them"
+                    "more workers ignore this controller's commands than answer them; the term ends"
                 );
                 return self.end();
             }
@@ -71,8 +71,15 @@
             }
             match self.controller.cloud().rent(rental, || self.may_act()).await {
                 Ok(machines) => {
-                    info!(request = rental.name, got = machines.len(), "machines rented");
-                    return self.model.lock().rental_done(rental, &machines, Instant::now());
+                    info!(
+                        request = rental.name,
+                        machines = machines.len(),
+                        "machines rented"
+                    );
+                    return self
+                        .model
+                        .lock()
+                        .rental_succeeded(rental, &machines, Instant::now());
                 }
                 Err(error) if error.is_retryable() && retries < MAX_RENTAL_RETRIES => {
                     retries += 1;
@@ -105,6 +112,8 @@
                 ReleaseOutcome::Failed
             }
         };
-        self.model.lock().release_done(machines, outcome, Instant::now());
+        self.model
+            .lock()
+            .release_finished(machines, outcome, Instant::now());
     }
 }
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -24,7 +24,7 @@
 /// Outcome of looking up jobs that may be missing in the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum IntakeOutcome {
-    /// The job is in the model, has ended, or was never accepted.
+    /// The job is in the model, is finished, or was never accepted.
     Settled,
     /// The job's record could not be read; the read has to be repeated.
     Unreadable,
@@ -127,7 +127,7 @@
         let now = Moment::now();
         let arrival = now.instant_of(record.accepted_at_ms).unwrap_or(now.steady);
         let mut model = self.model.lock();
-        // The job may have become known, or may have ended, since it was read.
+        // The job may have become known, or finished, since it was read.
         if model.jobs().contains_key(&id) || self.controller.final_states().status(id).is_some() {
             return;
         }
@@ -139,7 +139,7 @@
         self.request_round();
     }
 
-    /// Whether the job is in the model or known to have ended.
+    /// Whether the job is in the model or known to be finished.
     pub(super) fn is_known(&self, id: JobId) -> bool {
         self.model.lock().jobs().contains_key(&id) || self.controller.final_states().status(id).is_some()
     }
--- a/src/leader/active_leader/job_status.rs
+++ b/src/leader/active_leader/job_status.rs
@@ -7,7 +7,7 @@
 use super::ActiveLeader;
 
 impl ActiveLeader {
-    /// Responds to a poll.
+    /// Responds to a user's poll: from memory, or as the job is stored.
     pub async fn poll(&self, id: JobId) -> ApiResponse {
         if let Some(status) = self.confirmed_status(id).await {
             return status;
--- a/src/leader/active_leader/lease_renewal.rs
+++ b/src/leader/active_leader/lease_renewal.rs
@@ -26,7 +26,7 @@
 /// The pause after a failed renewal is the lifetime divided by this.
 const RETRY_INTERVAL_DIVISOR: u32 = 15;
 
-/// How a renewal ended.
+/// Whether a renewal succeeded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum RenewalOutcome {
     /// The state service has renewed the lease.
@@ -35,10 +35,10 @@
     Failed,
 }
 
-/// A renewal that has ended.
+/// Number and outcome of the renewal that finished last.
 #[derive(Debug, Clone, Copy)]
 struct FinishedRenewal {
-    /// Number of the renewal within the term, from 1; 0: none has ended yet.
+    /// Number of the renewal within the term, from 1; 0: none has finished yet.
     number: u64,
     outcome: RenewalOutcome,
 }
@@ -75,9 +75,9 @@
             .send_replace(FinishedRenewal { number, outcome });
     }
 
-    /// Requests a renewal and waits for one that begins after this call, so that
-    /// its success shows that this controller still led at the time of the call.
-    /// `None`: none has ended within [`CONFIRMATION_TIMEOUT`].
+    /// Requests a renewal and waits for one that begins after this call, so that its
+    /// success shows that this controller still led at the time of the call. `None`: none
+    /// has finished within [`CONFIRMATION_TIMEOUT`].
     async fn wait_for_new_renewal(&self) -> Option<RenewalOutcome> {
         let begun_before = self.begun.load(Ordering::Relaxed);
         let mut last_finished = self.last_finished.subscribe();
@@ -113,7 +113,7 @@
                     return self.end();
                 }
                 Err(error) => {
-                    debug!(%error, "renewal of the leader's lease failed; it is tried again");
+                    debug!(%error, "renewal of the leader's lease failed, retrying");
                     self.renewals.finish(number, RenewalOutcome::Failed);
                     lifetime / RETRY_INTERVAL_DIVISOR
                 }
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -14,7 +14,7 @@
 //!   each worker is to report to.
 //! * `submission`, `job_status`, `cancellation`: requests of users.
 //! * `job_intake`, `reconciliation`: jobs that other controllers stored.
-//! * `dependency_lookup`: reads how jobs ended that other jobs depend on.
+//! * `dependency_lookup`: reads the outcomes of jobs that other jobs depend on.
 //! * `machine_types`, `machine_list`, `fleet_actions`: requests to the cloud.
 //! * `term_leader`: the trait through which the controller calls this type.
 //! * `moment`: converts stored times of day to instants of the steady clock.
@@ -55,7 +55,7 @@
 use crate::core::ClusterModel;
 use crate::store::writer::Writer;
 
-/// The leader of one term.
+/// The leader of one term, from its election to the end of the term.
 #[derive(Debug)]
 pub struct ActiveLeader {
     /// The term: the revision at which this controller was elected.
@@ -152,7 +152,7 @@
         self.end_notify.notify_one();
     }
 
-    /// Requests a scheduling round.
+    /// Wakes `run_rounds` for a scheduling round, now or after the present pause.
     fn request_round(&self) {
         self.round_requested.notify_one();
     }
--- a/src/leader/active_leader/reconciliation.rs
+++ b/src/leader/active_leader/reconciliation.rs
@@ -49,7 +49,7 @@
                     info!(
                         key = item.key,
                         %error,
-                        "a stored job record can't be parsed; it is read again later"
+                        "a stored job record can't be parsed, reading it again later"
                     );
                 }
             }
--- a/src/leader/active_leader/rounds.rs
+++ b/src/leader/active_leader/rounds.rs
@@ -27,7 +27,7 @@
 /// Upper bound of that pause, as a multiple of the operators' `plan.pause_ms`.
 const MAX_PAUSE_FACTOR: u32 = 10;
 
-/// What one round decided.
+/// What a round decided to store and to send.
 struct RoundDecisions {
     writes: Vec<PendingWrite>,
     commands: Vec<DueBatch>,
--- a/src/leader/active_leader/state_writes.rs
+++ b/src/leader/active_leader/state_writes.rs
@@ -45,9 +45,9 @@
         }
     }
 
-    /// Stores the segments of an append one by one after it was refused as a whole: the
-    /// state service may take fewer changes at once than the settings say. Deletions
-    /// come last in an append, so that the log never lacks a live entry.
+    /// Stores the segments of an append one by one after it was rejected as a whole: the
+    /// state service may take fewer changes at once than the settings say. Deletions come
+    /// last in an append, so that the log never lacks a live entry.
     async fn commit_in_order(&self, append: &LogAppend) -> Result<(), CommitError> {
         for (number, value) in &append.segments {
             let segment = AtomicWrite {
--- a/src/leader/active_leader/term.rs
+++ b/src/leader/active_leader/term.rs
@@ -46,7 +46,7 @@
             match self.load().await {
                 Ok(()) => break,
                 Err(error) => {
-                    info!(%error, "loading the stored state failed; it is tried again");
+                    info!(%error, "loading the stored state failed, retrying");
                     sleep(LOAD_RETRY_PAUSE).await;
                 }
             }
--- a/src/leader/election.rs
+++ b/src/leader/election.rs
@@ -30,7 +30,7 @@
 const LEASE_RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Timeout of the transaction that puts the leader's key.
 const PUT_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Pause after a lost election.
+/// Pause after another candidate was elected, or the key could not be put.
 const LOST_ELECTION_PAUSE: Duration = Duration::from_millis(100);
 /// Pause after a term, so that another controller can be elected first: this one
 /// may have ended its term because it lacked connections.
@@ -53,7 +53,7 @@
             },
             Ok(KeyRead::Missing { .. }) => stand_for_election(&controller, 0).await,
             Err(error) => {
-                debug!(%error, "reading the leader's key failed; it is read again");
+                debug!(%error, "reading the leader's key failed, retrying");
                 sleep(READ_RETRY_PAUSE).await;
             }
         }
@@ -82,7 +82,7 @@
             Err(error) => {
                 // This doesn't show that the leader has lost its lease, so it is
                 // followed until a read shows that its key has changed.
-                debug!(%error, "watching the leader's key failed; it is read again");
+                debug!(%error, "watching the leader's key failed, reading it again");
                 sleep(WATCH_RETRY_PAUSE).await;
                 match controller.store().get(LEADER_KEY).await {
                     Ok(KeyRead::Found(item)) if item.version == term => since = term,
@@ -102,7 +102,7 @@
     let lease = match controller.store().grant_lease(lifetime).await {
         Ok(lease) => lease,
         Err(error) => {
-            debug!(%error, "no lease granted for the election; it is tried again");
+            debug!(%error, "no lease granted for the election, retrying");
             return sleep(LEASE_RETRY_PAUSE).await;
         }
     };
--- a/src/leader/process.rs
+++ b/src/leader/process.rs
@@ -26,9 +26,9 @@
     Listen {
         /// Name of the setting that holds the address.
         setting: &'static str,
-        /// The address.
+        /// Address that can't be bound.
         address: SocketAddr,
-        /// The operating system's error.
+        /// Why the operating system refuses it.
         source: io::Error,
     },
 }
--- a/src/peer/frame.rs
+++ b/src/peer/frame.rs
@@ -31,7 +31,7 @@
 pub struct KnownLeader {
     /// The term for which it was elected.
     pub term: u64,
-    /// The controller's name.
+    /// Name of the leading controller.
     pub host: String,
 }
 
@@ -40,7 +40,7 @@
 pub enum Frame {
     /// The first frame on a connection, sent by the controller that opened it.
     Hello {
-        /// The sender's name.
+        /// Name of the controller that opened the connection.
         host: String,
     },
     /// A request, sent by the controller that opened the connection.
@@ -52,7 +52,7 @@
     },
     /// The response to a request other than a ping.
     Response {
-        /// The request's id.
+        /// The id of the request that this responds to.
         id: u64,
         /// The highest term known to the sender.
         term: u64,
--- a/src/peer/handler.rs
+++ b/src/peer/handler.rs
@@ -9,7 +9,7 @@
 /// Handles what other controllers send. All methods except
 /// [`handle_request`](Self::handle_request) return without waiting for I/O.
 pub trait PeerRequestHandler: Send + Sync + 'static {
-    /// This controller's name.
+    /// This controller's name, sent in the hello.
     fn host(&self) -> &str;
 
     /// Maximum number of responses that wait to be sent on one connection; further ones are
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -64,7 +64,7 @@
         })
     }
 
-    /// The other controller's name.
+    /// Name of the controller that the link leads to.
     pub fn host(&self) -> &str {
         &self.host
     }
--- a/src/peer/listener.rs
+++ b/src/peer/listener.rs
@@ -15,7 +15,7 @@
 use super::frame::{Frame, PeerRequest};
 use super::handler::PeerRequestHandler;
 
-/// Pause after a failed accept.
+/// Pause after a failed accept, so that the loop doesn't spin.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// Accepts and serves connections from other controllers forever. Dropping the future
--- a/src/settings/cluster.rs
+++ b/src/settings/cluster.rs
@@ -19,7 +19,7 @@
     /// The teams of users, with their quotas and limits.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// The users' service-level objectives.
+    /// The users' service-level objectives on their jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Intervals and bounds of the protocol with the workers.
@@ -83,17 +83,17 @@
     /// Lifetime of a worker's lease.
     #[serde(rename = "lease_s", deserialize_with = "readers::seconds")]
     pub lease: Duration,
-    /// Time from a job's cancellation until all of its tasks must have stopped; above the
+    /// Time from a job's cancellation until all of its tasks must have ended; above the
     /// lease.
     #[serde(rename = "cancel_s", deserialize_with = "readers::seconds")]
     pub cancel_deadline: Duration,
 }
 
-/// Limits of the cloud's API.
+/// Limits of the cloud: the rate of its API, and the lag of its machine list.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct CloudLimits {
-    /// Requests per second.
+    /// Most requests per second that the cloud accepts.
     pub rps: f64,
     /// How far the machine list may lag behind rentals and releases.
     #[serde(rename = "list_lag_s", deserialize_with = "readers::seconds")]
@@ -109,7 +109,7 @@
     }
 }
 
-/// Limits of a controller's process.
+/// What a controller's process may use of its machine.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(default)]
 pub struct ProcessLimits {
--- a/src/settings/deployment.rs
+++ b/src/settings/deployment.rs
@@ -33,7 +33,7 @@
     pub cluster: ClusterSettings,
 }
 
-/// Another controller of the cluster.
+/// Name and address of another controller of the cluster.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PeerAddress {
     /// Its name, the `host_name` of its own settings.
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,4 +1,4 @@
-//! Errors in the settings files.
+//! Errors in the settings files, each with its file and field.
 
 use std::io;
 
@@ -9,7 +9,7 @@
     /// The file could not be read.
     #[error("{file}: {source}")]
     Unreadable {
-        /// The file's path.
+        /// Path of the file that could not be read.
         file: String,
         /// Error of the operating system.
         source: io::Error,
@@ -17,7 +17,7 @@
     /// The file can't be parsed, or a field has a wrong type or value.
     #[error("{file}: field `{field}`: {reason}")]
     Field {
-        /// The file's path.
+        /// Path of the file that contains the field.
         file: String,
         /// Dotted path of the field; `(file)` if the file can't be parsed at all.
         field: String,
@@ -32,7 +32,7 @@
     /// The parser's message: the syntax or the type is wrong.
     #[error("{0}")]
     Malformed(String),
-    /// A name is empty.
+    /// A name that must be given is empty.
     #[error("must not be empty")]
     Empty,
     /// A peer has no name or this controller's own.
@@ -88,7 +88,7 @@
         }
     }
 
-    /// An error in a field that the parser refused, with the first line of its message.
+    /// An error in a field that the parser rejected, with the first line of its message.
     pub(super) fn malformed(field: impl Into<String>, message: &str) -> Self {
         let first_line = message.lines().next().unwrap_or_default();
         Self::new(field, InvalidValue::Malformed(first_line.to_owned()))
--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -12,7 +12,7 @@
     pub rps: f64,
     /// Puts and deletes per second, of all controllers together.
     pub write_rps: f64,
-    /// Largest value, in KiB.
+    /// Largest value of a key, in KiB.
     pub value_kb: f64,
     /// Most puts and deletes in a transaction.
     pub txn_ops: usize,
@@ -29,7 +29,7 @@
     pub rps: Option<f64>,
     /// Puts and deletes per second, of all controllers together.
     pub write_rps: Option<f64>,
-    /// Largest value, in KiB.
+    /// Largest value of a key, in KiB.
     pub value_kb: Option<f64>,
     /// Most puts and deletes in a transaction.
     pub txn_ops: Option<usize>,
--- a/src/sockets.rs
+++ b/src/sockets.rs
@@ -1,8 +1,8 @@
 //! Divides the sockets that the process may open into shares, one for each use.
 //!
 //! No use can exhaust the sockets of another. Without the shares, a process at the limit
-//! of the operating system could no longer connect to the state service and would lose
-//! its leadership.
+//! of the operating system could no longer connect to the state service, and a leader's
+//! term would end.
 
 use std::sync::Arc;
 
--- a/src/stall.rs
+++ b/src/stall.rs
@@ -11,10 +11,10 @@
 pub const TIMER_INTERVAL: Duration = Duration::from_millis(100);
 /// A timer delay above this counts as a stall: the process was paused.
 const STALL_THRESHOLD: Duration = Duration::from_secs(1);
-/// A timer delay above this counts as overload. Polls are then rejected at once, before
-/// they cost much. Overload never rejects submissions, cancellations or heartbeats: a
-/// write that can't be stored in time is rejected by the length of the writer's queue.
-/// A second, higher level of overload would hardly ever be reached, because
+/// A timer delay above this counts as overload. Polls are then refused at once, before
+/// they cost much. Overload never refuses submissions, cancellations or heartbeats: a
+/// write that can't be stored in time is refused by the length of the writer's queue. A
+/// second, higher level of overload would hardly ever be reached, because
 /// `STALL_THRESHOLD` is so close.
 const OVERLOAD_THRESHOLD: Duration = Duration::from_millis(400);
 
@@ -25,7 +25,7 @@
     latest: Mutex<TimerFiring>,
 }
 
-/// One firing of the timer.
+/// The latest firing of the timer.
 #[derive(Debug, Clone, Copy)]
 struct TimerFiring {
     fired_at: Instant,
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -23,7 +23,7 @@
 /// The state service counts as unreachable once requests have failed for this long.
 const UNREACHABLE_AFTER: Duration = Duration::from_secs(4);
 
-/// Timeout of an ordinary request.
+/// Timeout of a request that has no timeout of its own.
 pub(super) const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Client of the state service. All its callers share this controller's budgets of
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -9,17 +9,17 @@
 pub enum Operation {
     /// Read of a key.
     Get {
-        /// The key.
+        /// Key that is read.
         key: String,
     },
     /// Read of all keys with a prefix.
     List {
-        /// The prefix.
+        /// Prefix of the keys that are read.
         prefix: String,
     },
     /// Watch for changes of the keys with a prefix.
     Watch {
-        /// The prefix.
+        /// Prefix of the keys that are watched.
         prefix: String,
     },
     /// Execution of a transaction.
@@ -29,16 +29,16 @@
         /// Number of puts and deletes.
         changes: usize,
     },
-    /// Grant of a lease.
+    /// Grant of a new lease, for an election.
     GrantLease,
-    /// Renewal of a lease.
+    /// Renewal of the leader's lease.
     RenewLease {
-        /// Id of the lease.
+        /// Id of the lease to renew.
         lease: u64,
     },
-    /// Revocation of a lease.
+    /// Revocation of a lease that is no longer needed.
     RevokeLease {
-        /// Id of the lease.
+        /// Id of the lease to revoke.
         lease: u64,
     },
 }
@@ -64,7 +64,7 @@
 /// How a request failed, as the client saw it.
 #[derive(Debug, thiserror::Error)]
 pub enum FailureCause {
-    /// No response.
+    /// No response: connecting, sending or receiving failed or timed out.
     #[error("{0}")]
     Http(#[source] Box<HttpError>),
     /// A response with this HTTP status.
@@ -85,17 +85,17 @@
     /// Not sent, or refused for now: the request was not executed.
     #[error("state service unavailable: {operation}: {source}")]
     Unavailable {
-        /// The request.
+        /// The request, which may be sent again.
         operation: Operation,
-        /// How it failed.
+        /// Why it was not sent, or how it was refused.
         source: FailureCause,
     },
     /// No usable response: the request may have been executed, or may still be.
     #[error("state service did not answer: {operation}: {source}")]
     Unanswered {
-        /// The request.
+        /// The request, whose effect is in doubt.
         operation: Operation,
-        /// How it failed.
+        /// What came instead of a usable response.
         source: FailureCause,
     },
     /// Conditions of a transaction did not hold: it was not executed.
@@ -107,25 +107,25 @@
     /// The lease does not exist, or has ended.
     #[error("no such lease: {operation}")]
     LeaseNotFound {
-        /// The request.
+        /// The request that named the lease.
         operation: Operation,
     },
     /// The request exceeds the limits on sizes, so it was not sent.
     #[error("request exceeds the state service's limits on sizes: {operation}")]
     TooLarge {
-        /// The request.
+        /// The transaction that was not sent.
         operation: Operation,
     },
     /// The state service no longer keeps the revision to watch from.
     #[error("revision is no longer kept: {operation}")]
     RevisionTooOld {
-        /// The request.
+        /// The watch, which needs a new listing or read first.
         operation: Operation,
     },
     /// Rejected permanently: the same request would be rejected again.
     #[error("state service rejected the request with status {status}: {operation}")]
     Rejected {
-        /// The request.
+        /// The request, which must not be repeated as it is.
         operation: Operation,
         /// HTTP status of the response.
         status: u16,
@@ -133,15 +133,15 @@
     /// The request can't be serialized as JSON, so it was not sent.
     #[error("request can't be serialized: {operation}: {source}")]
     Unserializable {
-        /// The request.
+        /// The request that was not sent.
         operation: Operation,
-        /// The serializer's error.
+        /// Why the serializer failed.
         source: serde_json::Error,
     },
     /// A stored value doesn't have the content that its key is for.
     #[error("value of key {key} can't be read")]
     UnreadableValue {
-        /// The key.
+        /// Key whose value was read.
         key: String,
         /// The parser's error; `None` if the caller found the value invalid itself.
         source: Option<serde_json::Error>,
@@ -149,7 +149,7 @@
     /// A key that has to exist does not.
     #[error("key {key} does not exist")]
     KeyNotFound {
-        /// The key.
+        /// Key that was expected to exist.
         key: String,
     },
 }
--- a/src/store/leases.rs
+++ b/src/store/leases.rs
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Revokes a lease; succeeds also if it has ended already. The request is not taken
-    /// from the budget.
+    /// Revokes a lease; succeeds also if it has expired or was revoked already. The
+    /// request is not taken from the budget.
     pub async fn revoke_lease(&self, lease: u64) -> Result<(), StoreError> {
         let operation = || Operation::RevokeLease { lease };
         let request = StoreRequest {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -6,7 +6,7 @@
 //!   until this controller's share of the service's rate limits allows it
 //!   ([`rate_limiter`]).
 //! * [`error`] says which request failed, how, and whether it may have been executed.
-//! * [`writer`] is the group commit of one leader term, used by the leader only.
+//! * [`writer`] is the group commit of one term, used by the leader only.
 
 mod client;
 pub mod error;
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -20,7 +20,7 @@
 
 #[derive(Debug)]
 struct Bucket {
-    /// Tokens per second.
+    /// Tokens that the bucket earns per second.
     rate: f64,
     /// Most tokens that are available at once.
     burst: f64,
--- a/src/store/reads.rs
+++ b/src/store/reads.rs
@@ -1,4 +1,4 @@
-//! Reads of keys and watches.
+//! Requests that change nothing: reads of keys, listings and watches.
 
 use std::time::Duration;
 
@@ -22,11 +22,11 @@
 /// Result of the read of one key.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KeyRead {
-    /// The key exists.
+    /// The key exists, with this value and version.
     Found(KeyValue),
-    /// The key does not exist at this revision of the store.
+    /// The key does not exist at this revision.
     Missing {
-        /// The store's revision at the time of the read.
+        /// The state service's revision at the time of the read.
         revision: u64,
     },
 }
@@ -42,7 +42,7 @@
 pub struct Listing {
     /// The keys with their values, in key order.
     pub items: Vec<KeyValue>,
-    /// The store's revision when the last page was read.
+    /// The state service's revision when the last page was read.
     pub revision: u64,
 }
 
--- a/src/store/writer/batch.rs
+++ b/src/store/writer/batch.rs
@@ -131,8 +131,8 @@
     }
 
     /// Whether a single write of this size may be sent. Only the limit on conditions
-    /// applies: a write that exceeds the limits on changes or bytes can't be split, so
-    /// it is sent anyway, and is refused if it is too large.
+    /// applies: a write that exceeds the limits on changes or bytes can't be split, so it
+    /// is sent anyway, and is rejected if it is too large.
     pub(super) fn fits_alone(self, max_changes: usize) -> bool {
         self.conditions <= max_changes * MAX_CONDITIONS_PER_CHANGE
     }
--- a/src/store/writer/mod.rs
+++ b/src/store/writer/mod.rs
@@ -7,7 +7,7 @@
 //!   behind one lock, and selects the writes of the next batch.
 //! * `batch` holds a batch of writes and the size limits, `transaction` builds the
 //!   transaction that executes it.
-//! * `send` sends a batch until its outcome is known, and splits one that is refused.
+//! * `send` sends a batch until its outcome is known, and splits one that is rejected.
 //! * `resolve` handles a transaction whose conditions did not hold: it tells an earlier
 //!   attempt that was executed without an answer from a change by another writer.
 
@@ -32,17 +32,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CommitError {
     /// The term has ended. The write may have been executed if it was in flight.
-    #[error("no longer the leader")]
+    #[error("the term has ended")]
     TermEnded,
-    /// The write was refused, for its size or another reason that a retry doesn't
+    /// The write was rejected, for its size or another reason that a retry doesn't
     /// change. An earlier attempt that was not answered may still have been executed.
-    #[error("refused by the state service")]
+    #[error("rejected by the state service")]
     Rejected,
     /// The conditions on these keys of the write did not hold: as a rule another writer has
     /// changed them, and the write was not executed. It may have been executed only by an
     /// earlier attempt that was not answered, which goes unnoticed if the whole batch
     /// deletes or another writer has changed its keys since.
-    #[error("keys changed by another: {0:?}")]
+    #[error("keys changed by another writer: {0:?}")]
     Conflict(Vec<String>),
 }
 
--- a/src/store/writer/send.rs
+++ b/src/store/writer/send.rs
@@ -44,14 +44,14 @@
                 Err(StoreError::Conflict { failed_keys }) if self.leader_condition_failed(&failed_keys) => {
                     info!(
                         term = self.term,
-                        "transaction refused: this controller no longer leads, the term ends"
+                        "transaction failed: this controller no longer leads, the term ends"
                     );
                     self.end();
                 }
                 Err(StoreError::Conflict { failed_keys }) => {
                     batch = self.resolve_conflict(batch, &failed_keys, earlier_attempt).await;
-                    // An earlier attempt that is still on its way has at least the conditions
-                    // that have just failed, so it fails as well.
+                    // An earlier attempt that is still in flight has at least the
+                    // conditions that have just failed, so it fails as well.
                     earlier_attempt = EarlierAttempt::NotExecuted;
                 }
                 Err(StoreError::Unanswered { .. }) => {
@@ -63,12 +63,12 @@
                 Err(error) if batch.len() > 1 => {
                     // The limits may be lower than announced. This attempt was not
                     // executed, so its writes are sent again in smaller transactions.
-                    info!(%error, writes = batch.len(), "transaction refused, retrying in smaller ones");
+                    info!(%error, writes = batch.len(), "transaction rejected, retrying in smaller ones");
                     self.split_batch(&mut batch, transaction.changes.len());
                     keys = batch.keys().cloned().collect();
                 }
                 Err(error) => {
-                    info!(%error, "transaction of a single write refused, the write fails");
+                    info!(%error, "transaction of a single write rejected, the write fails");
                     std::mem::take(&mut batch).fail(&CommitError::Rejected);
                 }
             }
@@ -83,7 +83,7 @@
     }
 
     /// Puts the later half of a batch back into the queue, and limits later transactions
-    /// to half as many changes as the refused one had.
+    /// to half as many changes as the rejected one had.
     fn split_batch(&self, batch: &mut Batch, rejected_changes: usize) {
         self.state.lock().lower_max_changes(rejected_changes / 2);
         let later = batch.split_off_half();
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -14,9 +14,9 @@
     /// Its name, unique in the cloud.
     #[serde(rename = "label")]
     pub name: String,
-    /// CPUs of a machine.
+    /// CPUs that tasks may take on a machine of this type.
     pub cpus: f64,
-    /// Accelerators of a machine.
+    /// Accelerators that tasks may take on a machine of this type.
     #[serde(rename = "accelerators", default)]
     pub gpus: f64,
     /// Memory of a machine in GB.
@@ -44,7 +44,7 @@
 /// Response of `GET /machine_types`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypeList {
-    /// All types on offer.
+    /// All types on offer, in all zones.
     #[serde(rename = "rigs")]
     pub machine_types: Vec<MachineType>,
 }
@@ -59,7 +59,7 @@
     /// Name of the machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
-    /// Name of the zone.
+    /// Name of the zone to rent in.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether spot machines are rented instead of on-demand ones.
@@ -87,7 +87,7 @@
     Booting,
     /// It has booted and is up.
     Running,
-    /// It stopped by itself: nothing runs on it any more.
+    /// It has failed: nothing runs on it any more.
     Failed,
 }
 
@@ -103,13 +103,13 @@
     /// Name of its machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
-    /// Name of its zone.
+    /// Name of the zone that it was rented in.
     #[serde(rename = "yard")]
     pub zone: String,
     /// Whether it is a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Its state when the list was made.
+    /// Its state when the cloud made the list.
     #[serde(rename = "standing")]
     pub state: CloudMachineState,
     /// Time since its rental when the list was made, in seconds.
@@ -123,7 +123,7 @@
     /// The machines of this page.
     #[serde(rename = "racks")]
     pub machines: Vec<ListedMachine>,
-    /// Whether another page follows.
+    /// Whether more machines follow after the last one of this page.
     #[serde(rename = "has_next", default)]
     pub has_more: bool,
 }
--- a/src/wire/state.rs
+++ b/src/wire/state.rs
@@ -5,13 +5,13 @@
 /// A key with its value: the response of `GET /kv/{key}`, and an item of a [`KeyPage`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeyValue<V = serde_json::Value> {
-    /// Name of the key.
+    /// The key's full name, prefix included.
     #[serde(rename = "path")]
     pub key: String,
     /// The value stored under it.
     #[serde(rename = "v")]
     pub value: V,
-    /// Its version: the store's revision at its last change.
+    /// Its version: the state service's revision at its last change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -22,10 +22,10 @@
     /// The keys with their values, in key order.
     #[serde(rename = "pairs")]
     pub items: Vec<KeyValue>,
-    /// Whether another page follows.
+    /// Whether more keys follow after the last one of this page.
     #[serde(rename = "has_next", default)]
     pub has_more: bool,
-    /// The store's revision when this page was read.
+    /// The state service's revision when this page was read.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
@@ -45,11 +45,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Change {
-    /// Writes a value.
+    /// Writes a value, whether the key exists or not.
     Put {
         /// The key that is written.
         put: String,
-        /// The new value.
+        /// The value that the key has afterwards.
         #[serde(rename = "v")]
         value: serde_json::Value,
         /// Lease that the key is bound to: when it ends, the key is deleted.
@@ -88,7 +88,7 @@
 /// Response of `POST /multi`, and of `GET /kv/{key}` for a key that doesn't exist.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransactionResult {
-    /// The store's revision after the transaction or at the read.
+    /// The state service's revision after the transaction or at the read.
     #[serde(rename = "ledger")]
     pub revision: u64,
     /// Keys whose condition didn't hold (status 409).
@@ -127,7 +127,7 @@
     /// The value, if the key was written.
     #[serde(rename = "v", default)]
     pub value: serde_json::Value,
-    /// The store's revision at the change.
+    /// The state service's revision at the change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -4,7 +4,7 @@
 
 use super::ids::JobId;
 
-/// How a job's tasks run.
+/// How the tasks of a job run: separately, together, or without end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
@@ -47,18 +47,18 @@
     /// Name of the team whose quota and limit apply.
     #[serde(rename = "desk")]
     pub team: String,
-    /// How its tasks run.
+    /// How its tasks run: separately, together, or without end.
     #[serde(rename = "sort")]
     pub kind: JobKind,
     /// Priority that the user chose.
     #[serde(rename = "urgency")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of tasks, at most [`MAX_TASKS_PER_JOB`].
     #[serde(rename = "lots")]
     pub tasks: u32,
-    /// CPUs of each task.
+    /// CPUs that each task takes.
     pub cpus: f64,
-    /// Accelerators of each task.
+    /// Accelerators that each task takes.
     #[serde(rename = "accelerators")]
     pub gpus: f64,
     /// Memory of each task in GB.
@@ -111,8 +111,8 @@
 pub const MAX_TASKS_PER_JOB: u32 = 100_000;
 
 impl JobSpec {
-    /// Time that a task has for a checkpoint when it is stopped; zero if its job saves no
-    /// checkpoints.
+    /// Grace time that a task has to save a checkpoint when it is stopped; zero if its
+    /// job saves no checkpoints.
     pub fn grace(&self) -> std::time::Duration {
         let s = if self.checkpoint_s > 0.0 {
             self.checkpoint_grace_s
@@ -174,9 +174,9 @@
     Queued,
     /// At least one task runs.
     Running,
-    /// All tasks are done.
+    /// All tasks are done; the state is final.
     Done,
-    /// Its user cancelled it.
+    /// The job, or a job that it depends on, was cancelled; the state is final.
     Cancelled,
 }
 
@@ -184,7 +184,7 @@
 /// `GET /v2/runs/{id}`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobStatus {
-    /// Id of the job.
+    /// Id under which its user submitted it.
     #[serde(rename = "name_id")]
     pub id: JobId,
     /// State that is shown to the user.
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -14,7 +14,7 @@
     /// Its image is there; it waits for the other tasks of its gang.
     #[serde(rename = "waiting")]
     Waiting,
-    /// Its program runs.
+    /// Its program runs on the machine.
     #[serde(rename = "running")]
     Running,
     /// It was ordered to stop and saves a checkpoint.
@@ -28,13 +28,13 @@
 /// Why an attempt of a task ended, or was not started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExitReason {
-    /// It ran to completion.
+    /// It ran to completion, so its task is done.
     #[serde(rename = "done")]
     Done,
-    /// A command stopped it.
+    /// A command stopped it, before it was done.
     #[serde(rename = "halted")]
     Stopped,
-    /// It failed by itself.
+    /// Its program failed, without a command.
     #[serde(rename = "error")]
     Failed,
     /// The start was refused: the machine lacks free resources.
@@ -60,13 +60,13 @@
 /// An attempt of a task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ReportedTask {
-    /// Id of the task.
+    /// Id of the task that the attempt is of.
     #[serde(rename = "lot")]
     pub task: TaskId,
     /// Number of the attempt; each start of the task has a different one.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// State of the attempt.
+    /// State of the attempt when the heartbeat was sent.
     #[serde(rename = "standing")]
     pub state: TaskState,
     /// Why it ended; absent until then.
@@ -119,33 +119,33 @@
 pub enum Command {
     /// Start an attempt of a task.
     Start {
-        /// Id of the task.
+        /// Id of the task to start.
         #[serde(rename = "lot")]
         task: TaskId,
-        /// Number of the new attempt.
+        /// Number of the new attempt; the same when the command is repeated.
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stop an attempt.
+    /// Stop an attempt, with a grace time to save a checkpoint.
     #[serde(rename = "kill")]
     Stop {
-        /// Id of the task.
+        /// Id of the task to stop.
         #[serde(rename = "lot")]
         task: TaskId,
-        /// Number of the attempt.
+        /// Number of the attempt to stop; no other is affected.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time that it has to save a checkpoint, in seconds.
+        /// Grace time that it has to save a checkpoint, in seconds.
         #[serde(rename = "leeway_s")]
         grace_s: f64,
     },
     /// Acknowledge an ended attempt: the worker forgets it and reports it no more.
     #[serde(rename = "reap")]
     Acknowledge {
-        /// Id of the task.
+        /// Id of the task whose attempt ended.
         #[serde(rename = "lot")]
         task: TaskId,
-        /// Number of the attempt.
+        /// Number of the attempt that ended.
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -173,7 +173,7 @@
 /// Body of `POST /commands`: commands sent to the worker directly.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CommandBatch {
-    /// The leader's fencing token.
+    /// Fencing token that is issued for this batch only.
     #[serde(rename = "gavel")]
     pub token: u64,
     /// Worker incarnation that the commands are meant for; any other refuses them.
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -1,4 +1,4 @@
-//! Client of the workers' agents: sends commands directly to a worker's address.
+//! Client of the workers: sends batches of commands directly to a worker's address.
 
 use std::time::Duration;
 
