--- a/src/controller/job_lookup.rs
+++ b/src/controller/job_lookup.rs
@@ -12,7 +12,7 @@
 use crate::store::{parse_value, KeyRead, StoreError};
 use crate::wire::{JobId, JobState, JobStatus};
 
-use super::terminal_states::final_status;
+use super::final_states::final_status;
 
 /// What the state service has stored of a job.
 #[derive(Debug)]
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -12,9 +12,10 @@
 //! - `user_requests` responds to users; without the leader, `leaderless_submission` stores
 //!   new jobs.
 //! - [`submission`] validates submissions, [`job_lookup`] reads stored jobs.
-//! - [`terminal_states`] caches the final states of jobs, `machine_types` the machine
+//! - [`final_states`] caches the final states of jobs, `machine_types` the machine
 //!   types.
 
+pub mod final_states;
 pub mod job_lookup;
 mod leaderless_submission;
 mod machine_types;
@@ -22,7 +23,6 @@
 mod role;
 pub mod submission;
 pub mod term_leader;
-pub mod terminal_states;
 mod user_requests;
 
 use std::collections::HashMap;
@@ -41,7 +41,7 @@
 use crate::store::Store;
 use crate::wire::MachineType;
 
-use terminal_states::FinalStates;
+use final_states::FinalStates;
 
 pub use role::Role;
 
