--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -57,7 +57,7 @@
     Unanswered {
         /// Path of the request, whose effect is in doubt.
         path: String,
-        /// What came instead of a usable response.
+        /// Why there is no response, or why it can't be used.
         source: FailureCause,
     },
     /// Rejected permanently: the same request would be rejected again.
--- a/src/core/evidence/heartbeats/mod.rs
+++ b/src/core/evidence/heartbeats/mod.rs
@@ -50,7 +50,8 @@
 }
 
 impl ClusterModel {
-    /// Applies a message of a worker: a heartbeat, or the response to a command.
+    /// Applies a message of a worker: a heartbeat, or the response to a batch of
+    /// commands.
     ///
     /// Messages may arrive late, twice and in any order. One that is not newer than all
     /// applied before changes nothing.
--- a/src/core/fleet/idle.rs
+++ b/src/core/fleet/idle.rs
@@ -14,10 +14,11 @@
 
 impl ClusterModel {
     /// Idle machines to release: those beyond the warm capacity that have been idle for
-    /// long enough, the most expensive ones first. None while any waiting task may start.
+    /// long enough, the most expensive ones first. None while any waiting task may be placed,
+    /// given enough machines.
     pub(super) fn idle_machines_to_release(&self, mut idle: Vec<&Machine>, now: Instant) -> Vec<MachineId> {
         let mut release = Vec::new();
-        if self.has_startable_tasks(now) {
+        if self.has_placeable_tasks(now) {
             return release;
         }
         let cpus = self.fleet_cpus(now);
--- a/src/core/fleet/rentals.rs
+++ b/src/core/fleet/rentals.rs
@@ -36,7 +36,7 @@
     open_machines: Vec<OpenMachine>,
     plan: RentalPlan,
     usage_by_team: HashMap<String, TeamUsage>,
-    /// CPUs of all startable tasks so far, whether they fit or not.
+    /// CPUs of all placeable tasks so far, whether they fit or not.
     cpus_waiting: f64,
 }
 
@@ -106,9 +106,9 @@
             }
             let machine_type = &self.machine_types[type_index];
             let mut open = OpenMachine::empty(type_index, machine_type, &machine.zone, machine.spot);
-            let takes_resources = |slot: &&Slot| slot.takes_resources() && slot.state != SlotState::Unknown;
+            let is_known_load = |slot: &&Slot| slot.takes_resources() && slot.state != SlotState::Unknown;
             let stays = |slot: &&Slot| self.predicted_end(slot, now) > soon;
-            let staying = machine.slots.values().filter(takes_resources).filter(stays);
+            let staying = machine.slots.values().filter(is_known_load).filter(stays);
             for spec in staying.filter_map(|slot| slot.spec.as_ref()) {
                 open.claim(spec);
             }
@@ -166,13 +166,13 @@
         }
     }
 
-    /// Packs a job's startable tasks onto the open machines, and plans machines for the
+    /// Packs a job's placeable tasks onto the open machines, and plans machines for the
     /// rest.
     fn pack(&mut self, job: &Job) {
         let spec = &job.spec;
         let types = &self.model.machine_types;
         let usage = self.usage_by_team.entry(spec.team.clone()).or_default();
-        let mut left = self.model.startable_tasks(job, *usage, self.now);
+        let mut left = self.model.placeable_tasks(job, *usage, self.now);
         usage.cpus += f64::from(left) * spec.cpus;
         usage.gpus += f64::from(left) * spec.gpus;
         self.cpus_waiting += f64::from(left) * spec.cpus;
--- a/src/core/scheduling/eligibility.rs
+++ b/src/core/scheduling/eligibility.rs
@@ -42,7 +42,7 @@
     /// How many more tasks of a job may be placed now: none while it is cancelled or
     /// paused, and on probation its placement limit less the tasks that are placed. The
     /// team's limit is not considered.
-    pub(in crate::core) fn start_allowance(&self, job: &Job, now: Instant) -> u32 {
+    pub(in crate::core) fn placement_allowance(&self, job: &Job, now: Instant) -> u32 {
         if job.cancelled || job.pause_until.is_some_and(|end| end > now) {
             return 0;
         }
--- a/src/core/scheduling/gang_repair.rs
+++ b/src/core/scheduling/gang_repair.rs
@@ -1,4 +1,4 @@
-//! Gang repair: if a task of a gang is lost, the other tasks are stopped.
+//! Gang repair: if a task of a gang is no longer placed, the other tasks are stopped.
 
 use std::time::{Duration, Instant};
 
@@ -6,8 +6,8 @@
 use crate::wire::{JobId, MachineId, TaskId};
 
 impl ClusterModel {
-    /// Stops the remaining tasks of each gang that lost one, so that all of its tasks can
-    /// be placed again together.
+    /// Stops the placed tasks of each gang of which other tasks wait, so that all of its
+    /// tasks can be placed again together.
     pub(super) fn stop_broken_gangs(&mut self, now: Instant) {
         let broken: Vec<(JobId, u32, MachineId)> = self
             .jobs
@@ -22,7 +22,13 @@
             let checkpoint_grace_s = self.jobs.get(&job).map_or(0.0, |j| j.spec.checkpoint_grace_s);
             let grace = Duration::from_secs_f64(checkpoint_grace_s);
             let task = TaskId { job, index };
-            self.stop(&machine, task, grace, now, "its gang lost a task");
+            self.stop(
+                &machine,
+                task,
+                grace,
+                now,
+                "another task of its gang is no longer placed",
+            );
         }
     }
 }
--- a/src/core/scheduling/over_quota.rs
+++ b/src/core/scheduling/over_quota.rs
@@ -19,7 +19,7 @@
 /// share of its predicted run time.
 const YOUNG_RUN_TIME_SHARE: f64 = 0.25;
 
-/// How long a job starts no tasks after its over-quota tasks were preempted: they would
+/// How long no tasks of a job are placed after its over-quota tasks were preempted: they would
 /// take the next free capacity, only to be preempted again. This is well below the limit
 /// on how long a job may wait while a machine has free capacity for it.
 const PAUSE_AFTER_PREEMPTION: Duration = Duration::from_secs(20);
--- a/src/core/scheduling/placement/batches.rs
+++ b/src/core/scheduling/placement/batches.rs
@@ -19,8 +19,8 @@
     /// No machine that the job may use has free capacity for the next task, or there is not
     /// enough for all tasks of a gang.
     NoFreeCapacity,
-    /// The team's limit, a pause, probation, or the repair of a gang forbids further starts
-    /// of the job now.
+    /// The team's limit, a pause, probation, or the repair of a gang lets no further
+    /// task of the job be placed now.
     NotAllowedNow,
 }
 
@@ -57,7 +57,7 @@
     placed: u32,
 }
 
-/// The team's limit lets no further task of the group start now.
+/// The team's limit lets no further task of the group be placed now.
 struct TeamLimitReached;
 
 impl PlacementMode {
@@ -104,7 +104,7 @@
             let Some(batch) = self.next_batch(id) else {
                 break PlacementOutcome::Placed;
             };
-            if !self.may_start(id, batch.len()) {
+            if !self.may_place(id, batch.len()) {
                 break PlacementOutcome::NotAllowedNow;
             }
             let Some(placements) = self.find_placements(id, &batch, mode.scope()) else {
@@ -148,7 +148,7 @@
         if job.waiting.count() == 0 || mode.max_tasks() == 0 {
             return PlacementResult::nothing_placed(PlacementOutcome::Placed);
         }
-        if !self.may_start(id, 1) {
+        if !self.may_place(id, 1) {
             return PlacementResult::nothing_placed(PlacementOutcome::NotAllowedNow);
         }
         let spec = job.spec.clone();
--- a/src/core/scheduling/placement/claims.rs
+++ b/src/core/scheduling/placement/claims.rs
@@ -14,7 +14,7 @@
 pub(super) enum PlacementKind {
     /// The task is placed in the order of the queue.
     InOrder,
-    /// The task starts before a blocked head that outranks it, and is shadow load as long
+    /// The task is placed before a blocked head that outranks it, and is shadow load as long
     /// as a job that outranks it waits.
     Backfilled,
 }
--- a/src/core/scheduling/placement/in_order.rs
+++ b/src/core/scheduling/placement/in_order.rs
@@ -12,7 +12,7 @@
     /// Number of tasks placed, of all jobs up to the head.
     pub(in crate::core::scheduling) placed: u32,
     /// Position in the queue of the head: the first job that is blocked for lack of free
-    /// capacity. Jobs that may not start now are skipped.
+    /// capacity. Jobs of which no task may be placed now are skipped.
     pub(in crate::core::scheduling) head_position: Option<usize>,
 }
 
@@ -37,8 +37,8 @@
         }
     }
 
-    /// How many tasks of a job may start at its present rank: of a starved job only the
-    /// first [`STARVED_FIRST_TASKS`], unless it is a gang, which starts whole.
+    /// How many tasks of a job may be placed at its present rank: of a starved job only the
+    /// first [`STARVED_FIRST_TASKS`], unless it is a gang, which is placed whole.
     pub(super) fn max_tasks_at_rank(&self, rank: Rank) -> u32 {
         match self.model.jobs.get(&rank.job) {
             Some(job) if rank.tier == Tier::Starved && job.spec.kind != JobKind::Gang => STARVED_FIRST_TASKS,
--- a/src/core/scheduling/placement/preemption.rs
+++ b/src/core/scheduling/placement/preemption.rs
@@ -42,7 +42,7 @@
             let Some(batch) = self.next_batch(head.job) else {
                 break;
             };
-            if !self.may_start(head.job, batch.len()) {
+            if !self.may_place(head.job, batch.len()) {
                 break;
             }
             let Some(placements) = self.find_placements(head.job, &batch, SearchScope::Preempting) else {
--- a/src/core/scheduling/placement/rules.rs
+++ b/src/core/scheduling/placement/rules.rs
@@ -10,15 +10,15 @@
 use crate::wire::{JobId, JobSpec};
 
 impl Planner<'_> {
-    /// Whether the job's own state lets tasks start now, and its team's limit lets `tasks`
-    /// more start.
-    pub(super) fn may_start(&self, id: JobId, tasks: usize) -> bool {
+    /// Whether the job's own state lets tasks be placed now, and its team's limit lets
+    /// `tasks` more be placed.
+    pub(super) fn may_place(&self, id: JobId, tasks: usize) -> bool {
         let Some(job) = self.model.jobs.get(&id) else {
             return false;
         };
         self.model.is_ready(job)
             && !job.is_broken_gang()
-            && self.model.start_allowance(job, self.now) > 0
+            && self.model.placement_allowance(job, self.now) > 0
             && self.is_within_team_limit(&job.spec, tasks)
     }
 
--- a/src/core/state/dependencies/graph.rs
+++ b/src/core/state/dependencies/graph.rs
@@ -11,7 +11,7 @@
 pub enum DependencyOutcome {
     /// Its final state `done` is stored; with the time at which it was done, if known.
     Done(Option<Instant>),
-    /// Its cancellation is stored, and so cancels its dependents.
+    /// Its cancellation is stored, which cancels its dependents.
     Cancelled,
 }
 
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -29,7 +29,7 @@
     pub waiting: TaskSet,
     /// The machines on which each placed task may be, by the task's index.
     pub places: HashMap<u32, Vec<MachineId>>,
-    /// Indices of the tasks that a message of their worker reported as running.
+    /// Indices of the placed tasks that a message of their worker has reported as running.
     pub running: HashSet<u32>,
     /// Number of machines in `places`, summed over all tasks.
     pub place_count: u32,
--- a/src/leader/mod.rs
+++ b/src/leader/mod.rs
@@ -1,4 +1,4 @@
-//! Leadership of the cluster: who leads, and what the leader does.
+//! Leading the cluster: who leads, and what the leader does.
 //!
 //! * `process` starts the controller process and the loops that run until it
 //!   exits.
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,4 +1,4 @@
-//! Errors in the settings files, each with its file and field.
+//! Errors in the settings files, each with its file and, if the file can be read, its field.
 
 use std::io;
 
--- a/src/stall.rs
+++ b/src/stall.rs
@@ -12,9 +12,9 @@
 /// A timer delay above this counts as a stall: the process was paused.
 const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 /// A timer delay above this counts as overload. Polls are then refused at once, before
-/// they cost much. Overload never refuses submissions, cancellations or heartbeats: a
-/// write that can't be stored in time is refused by the length of the writer's queue. A
-/// second, higher level of overload would hardly ever be reached, because
+/// they cost much. Overload never rejects submissions, cancellations or heartbeats: a
+/// submission that can't be stored in time is rejected by the length of the writer's
+/// queue. A second, higher level of overload would hardly ever be reached, because
 /// `STALL_THRESHOLD` is so close.
 const OVERLOAD_THRESHOLD: Duration = Duration::from_millis(400);
 
--- a/src/store/error.rs
+++ b/src/store/error.rs
@@ -95,7 +95,7 @@
     Unanswered {
         /// The request, whose effect is in doubt.
         operation: Operation,
-        /// What came instead of a usable response.
+        /// Why there is no response, or why it can't be used.
         source: FailureCause,
     },
     /// Conditions of a transaction did not hold: it was not executed.
@@ -104,7 +104,7 @@
         /// The keys whose conditions did not hold.
         failed_keys: Vec<String>,
     },
-    /// The lease does not exist, or has ended.
+    /// The lease does not exist: it may have expired or been revoked.
     #[error("no such lease: {operation}")]
     LeaseNotFound {
         /// The request that named the lease.
--- a/src/store/rate_limiter.rs
+++ b/src/store/rate_limiter.rs
@@ -87,7 +87,7 @@
 
     /// Takes tokens if `reserve`, a share of the burst (0 to 1), remains after that, and
     /// returns zero. Otherwise takes none, and returns how long the caller has to wait
-    /// before it tries again.
+    /// before it asks again.
     pub fn take_above_reserve(&self, tokens: f64, reserve: f64, now: Instant) -> Duration {
         let mut bucket = self.bucket.lock();
         bucket.refill(now);
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -34,7 +34,7 @@
     /// A command stopped it, before it was done.
     #[serde(rename = "halted")]
     Stopped,
-    /// Its program failed, without a command.
+    /// It failed, without a command.
     #[serde(rename = "error")]
     Failed,
     /// The start was refused: the machine lacks free resources.
@@ -46,7 +46,7 @@
     /// The command was refused: the worker has no such attempt.
     #[serde(rename = "no_such")]
     UnknownTask,
-    /// Another task of its gang ended or was lost.
+    /// Another task of its gang ended or is gone.
     #[serde(rename = "mates_gone")]
     GangMemberLost,
     /// The other tasks of its gang were not ready in time.
--- a/tests/dependencies/cancellation.rs
+++ b/tests/dependencies/cancellation.rs
@@ -26,7 +26,7 @@
     // cancelled.
     model.add_job(job_awaiting(5, &[3, 4]), now);
     assert_eq!(state_of(&model, 5), Some(JobState::Cancelled));
-    // While the final states are being stored, clients are given no other state.
+    // While the final states are being stored, users are told no other state.
     let writes = model.take_due_writes(now);
     let finals = writes
         .iter()
--- a/tests/dependencies/fixtures.rs
+++ b/tests/dependencies/fixtures.rs
@@ -50,7 +50,7 @@
     model.apply_heartbeat(&message, now);
 }
 
-/// The job's state that a client would be given; `None` if the model can't tell.
+/// The job's state that a user would be told; `None` if the model can't tell.
 pub fn state_of(model: &ClusterModel, number: usize) -> Option<JobState> {
     model.status(job_id(number)).map(|status| status.state)
 }
--- a/tests/dependencies/main.rs
+++ b/tests/dependencies/main.rs
@@ -1,6 +1,6 @@
 //! Dependencies between jobs: the dependency graph compared with a plain model of it, and its
 //! effects in the cluster model on placement, starts, ranks, quotas, rentals and the status that
-//! clients are given.
+//! users are told.
 
 mod cancellation;
 mod fixtures;
--- a/tests/dependencies/readiness.rs
+++ b/tests/dependencies/readiness.rs
@@ -82,7 +82,7 @@
 fn a_job_that_waits_for_a_dependency_takes_no_quota_and_its_age_counts_once_it_is_ready() {
     let now = start();
     let (mut model, _) = model_with_machine(now);
-    // Red's quota is 16 CPUs. Job 1 needs 12, which leaves room for job 3 with 4, but not if
+    // Red's quota is 16 CPUs. Job 1 needs 12, which leaves enough for job 3 with 4, but not if
     // job 2 with 12 counts.
     for (n, awaits) in [(1, vec![]), (2, vec![1]), (3, vec![])] {
         let mut record = job_awaiting(n, &awaits);
@@ -90,7 +90,7 @@
         model.add_job(record, now - secs(300) + secs(u64::from(n)));
     }
     let ranks = model.ranks(now);
-    assert!(!ranks.contains_key(&job_id(2)), "job 2 isn't in the queue");
+    assert!(!ranks.contains_key(&job_id(2)), "job 2 isn't ready");
     let waiting: Vec<JobId> = model.jobs_waiting_for_capacity().map(|j| j.spec.id).collect();
     assert_eq!(waiting, [job_id(1), job_id(3)]);
     assert_eq!(
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -360,7 +360,7 @@
         "the team of the job is at its limit"
     );
 
-    let mut startable = idle_fleet();
-    startable.add_job(job_record(job(1, 50, 8.0)), later);
-    assert_eq!(plan_releases(&mut startable, later), Vec::<String>::new());
+    let mut placeable = idle_fleet();
+    placeable.add_job(job_record(job(1, 50, 8.0)), later);
+    assert_eq!(plan_releases(&mut placeable, later), Vec::<String>::new());
 }
--- a/tests/gap/main.rs
+++ b/tests/gap/main.rs
@@ -2,7 +2,7 @@
 //! another controller is elected and confirms cancellations, then the state service fails
 //! for all, while workers keep sending heartbeats to the old leader. No task of a cancelled
 //! job may run longer than the setting `cancel_s` after the cancellation was confirmed to
-//! the client, whatever the settings, the drift of the clocks, the delays and the lost
+//! the user, whatever the settings, the drift of the clocks, the delays and the lost
 //! messages.
 
 #[path = "../support/mod.rs"]
--- a/tests/gap/world/leaders.rs
+++ b/tests/gap/world/leaders.rs
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Stores a requested cancellation and confirms it to the client.
+    /// Stores a requested cancellation and confirms it to the user.
     fn store_cancellation(&mut self, leader: &mut Leader) {
         if !leader.cancellation_requested || self.confirmed_at.is_some() {
             return;
@@ -178,7 +178,7 @@
         (0..3).max_by_key(|controller| self.leaders[*controller].as_ref().map_or(0, |l| l.term))
     }
 
-    /// A client asks the latest leader to cancel the job.
+    /// A user asks the latest leader to cancel the job.
     pub(super) fn request_cancellation(&mut self) {
         let latest = self.latest_leader();
         let Some(controller) = latest.filter(|controller| !self.is_paused(*controller)) else {
--- a/tests/gap/world/mod.rs
+++ b/tests/gap/world/mod.rs
@@ -1,5 +1,5 @@
 //! A simulated site on simulated time: three controllers, two of which believe that they
-//! lead, the state service, workers, and a client that cancels a job. The controllers, the
+//! lead, the state service, workers, and a user who cancels a job. The controllers, the
 //! workers and the state service each have a clock of their own.
 
 mod leaders;
@@ -82,7 +82,7 @@
     clock_paused: [Duration; CONTROLLERS],
     /// Messages with the time at which they arrive.
     in_flight: Vec<(Duration, Message)>,
-    /// When the cancellation was confirmed to the client.
+    /// When the cancellation was confirmed to the user.
     confirmed_at: Option<Duration>,
 }
 
--- a/tests/gap/world/run.rs
+++ b/tests/gap/world/run.rs
@@ -18,7 +18,7 @@
     outage_begins: Duration,
     /// The state service serves all controllers again.
     outage_ends: Duration,
-    /// A client begins to request the cancellation of the job.
+    /// A user begins to request the cancellation of the job.
     cancelled: Duration,
     /// A controller is paused.
     paused: Duration,
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -83,8 +83,8 @@
 fn with_more_workers_than_sockets_all_workers_and_users_are_still_served() {
     // A single controller is left, and its limit on sockets has room for fewer than a
     // third of the workers. Without shares of the limit, a controller that reaches it can
-    // neither accept a connection nor connect to the state service, and loses its
-    // leadership.
+    // neither accept a connection nor connect to the state service, and its
+    // term ends.
     run_async_test(async {
         let mut site = Site::with_settings(Duration::from_millis(300), |text| {
             format!("{text}\n[cluster.machine_limits]\nfd_limit = 64\n")
--- a/tests/planner/preemption.rs
+++ b/tests/planner/preemption.rs
@@ -9,7 +9,7 @@
 use crate::support::*;
 
 /// Fills four machines with a job of low priority that is placed in order. When it has run
-/// for `run`, a job of normal priority with a deadline arrives and finds no room. Returns the
+/// for `run`, a job of normal priority with a deadline arrives and finds no free capacity. Returns the
 /// model after the next round, and the number of tasks that the round stops.
 fn preempt_for_urgent_job(
     edit_low: impl Fn(&mut JobSpec),
--- a/tests/planner/ranking.rs
+++ b/tests/planner/ranking.rs
@@ -41,8 +41,8 @@
 
 #[test]
 fn under_load_jobs_that_can_still_be_in_time_come_before_late_ones() {
-    // In the order of arrival, the job that is already late would come first, and with room
-    // for one job all others would be late in turn.
+    // In the order of arrival, the job that is already late would come first, and with free
+    // capacity for one job all others would be late in turn.
     let now = start();
     let submitted = |n: u32, deadline_s: Option<f64>, age_s: u64, team: &str| {
         let mut spec = job(n, 1, 8.0);
--- a/tests/redirects.rs
+++ b/tests/redirects.rs
@@ -29,7 +29,7 @@
     assert!(history.record_heartbeat(&worker, "heron-1", now + secs(12)));
     assert!(
         history.may_redirect_to(&worker, "heron-0", now + secs(60)),
-        "the target may be tried again"
+        "a redirect to the target is allowed again"
     );
 }
 
--- a/tests/safety/cluster/delivery.rs
+++ b/tests/safety/cluster/delivery.rs
@@ -135,7 +135,7 @@
         );
     }
 
-    /// Stores a cancellation, conditional on the leader's key. The client gets the
+    /// Stores a cancellation, conditional on the leader's key. The user gets the
     /// confirmation after that.
     fn store_cancellation(&mut self, id: JobId, term: u64) {
         let Some(record) = self.stored_jobs.get_mut(&id) else {
--- a/tests/safety/cluster/invariants.rs
+++ b/tests/safety/cluster/invariants.rs
@@ -14,7 +14,7 @@
 const MACHINE_CPUS: f64 = 8.0;
 
 impl SimulatedCluster {
-    /// Records that a job's state is confirmed to a client. A final state must not change,
+    /// Records that a job's state is confirmed to a user. A final state must not change,
     /// and a job may be done only once all its tasks are.
     pub fn record_confirmed_state(&mut self, id: JobId, state: JobState) {
         if let Some(previous) = self.confirmed_states.insert(id, state) {
--- a/tests/safety/cluster/mod.rs
+++ b/tests/safety/cluster/mod.rs
@@ -47,7 +47,7 @@
     pub submitted: Vec<JobId>,
     /// The jobs that each job depends on.
     pub dependencies: BTreeMap<JobId, Vec<JobId>>,
-    /// The latest state of each job that was confirmed to a client.
+    /// The latest state of each job that was confirmed to a user.
     pub confirmed_states: BTreeMap<JobId, JobState>,
 }
 
--- a/tests/safety/cluster/step/users.rs
+++ b/tests/safety/cluster/step/users.rs
@@ -59,7 +59,7 @@
         known.is_some_and(|job| !job.is_complete() && !job.cancelled)
     }
 
-    /// The leader stops the job's tasks at once. The client gets the confirmation once the
+    /// The leader stops the job's tasks at once. The user gets the confirmation once the
     /// cancellation is stored.
     fn cancel(&mut self, id: JobId) {
         self.model.cancel(id, self.now);
--- a/tests/safety/commands.rs
+++ b/tests/safety/commands.rs
@@ -177,7 +177,7 @@
 #[test]
 fn a_leader_is_partitioned_if_too_few_workers_answer_its_commands() {
     // The workers' heartbeats arrive through other controllers and renew their leases, so
-    // such a leader has to resign: its stops of a cancelled job would never arrive.
+    // such a leader has to end its term: its stops of a cancelled job would never arrive.
     let now = start();
     let mut model = model(7);
     let ids: Vec<MachineId> = (0..4).map(|i| format!("i-{i}").as_str().into()).collect();
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -253,7 +253,7 @@
     let first = model.take_due_batches(now, 64);
     assert_eq!(first.len(), 64);
     assert!(model.take_due_batches(now, 0).is_empty(), "no probe is allowed");
-    // By its heartbeat, the last machine has seen a token of this term and has lost its tasks.
+    // By its heartbeat, the last machine has seen a token of this term and its tasks are gone.
     let last = machine_id(LARGE_FLEET - 1);
     let mut message = heartbeat(&last, "small", "north", false, 8, 90);
     message.token += 5;
@@ -367,7 +367,7 @@
 
 #[test]
 fn a_round_without_free_capacity_costs_the_same_however_many_tasks_wait() {
-    // Twenty arrays of 70 tasks, just more than there is room for, or of as many tasks as a
+    // Twenty arrays of 70 tasks, just more than there is capacity for, or of as many tasks as a
     // job may have: a round that finds no free capacity costs the same.
     let now = start();
     let [few, many] = [70, MAX_TASKS_PER_JOB].map(|tasks| {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -210,6 +210,6 @@
 
 /// The instant at which a test's simulated time begins.
 pub fn start() -> Instant {
-    // Far after the zero of the monotonic clock, so that tests can compute earlier instants.
+    // Far after the zero of the steady clock, so that tests can compute earlier instants.
     Instant::now() + Duration::from_secs(100_000)
 }
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -40,7 +40,7 @@
 }
 
 /// A start waits for a socket, as machines that accept connections but don't respond take all
-/// of them. Meanwhile its job is cancelled and the cancellation is confirmed to the client.
+/// of them. Meanwhile its job is cancelled and the cancellation is confirmed to the user.
 /// From then on none of its tasks may be started.
 #[test]
 fn a_start_that_waits_for_a_socket_is_not_sent_once_its_job_is_cancelled() {
