--- a/src/api/routes.rs
+++ b/src/api/routes.rs
@@ -54,8 +54,8 @@
         .and(warp::path!("up"))
         .and(with_controller(controller))
         .map(|controller: Arc<Controller>| {
-            to_http(if controller.can_serve() {
-                ApiResponse::json(200, &json!({}))
+            to_http(if controller.can_respond_to_users() {
+                ApiResponse::with_json(200, &json!({}))
             } else {
                 ApiResponse::unavailable("cut off from the state service and the other controllers")
             })
@@ -84,7 +84,7 @@
         .and(with_controller(controller))
         .then(|id: String, controller: Arc<Controller>| async move {
             to_http(match id.parse::<JobId>() {
-                Ok(id) => controller.poll(id).await,
+                Ok(id) => controller.poll_job(id).await,
                 Err(_) => unknown_job(),
             })
         })
@@ -119,7 +119,7 @@
         .and(limited_body())
         .and(with_controller(controller))
         .then(|body: Bytes, controller: Arc<Controller>| async move {
-            let mut response = to_http(controller.heartbeat(&body).await);
+            let mut response = to_http(controller.respond_to_heartbeat(&body).await);
             if controller.sockets().is_incoming_over_half_used() {
                 // The worker opens a new connection for its next heartbeat; until then
                 // another client can use the socket.
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -184,14 +184,14 @@
         }
     }
 
-    /// Sends a request like [`Cloud::send`], and parses the body of the response.
-    async fn call<T: DeserializeOwned>(
+    /// Sends a request like [`Cloud::send_request`], and parses the body of the response.
+    async fn request_json<T: DeserializeOwned>(
         &self,
         request: CloudRequest<'_>,
         may_send: impl FnOnce() -> bool,
     ) -> Result<T, CloudError> {
         let path = request.path;
-        let body = self.send(request, may_send).await?;
+        let body = self.send_request(request, may_send).await?;
         serde_json::from_slice(&body).map_err(|e| CloudError::Unanswered {
             path: path.to_owned(),
             source: FailureCause::MalformedResponse(e),
@@ -200,7 +200,7 @@
 
     /// Sends a request once the budget allows it, if `may_send` returns true at that
     /// moment. Returns the body of a successful response.
-    async fn send(
+    async fn send_request(
         &self,
         request: CloudRequest<'_>,
         may_send: impl FnOnce() -> bool,
@@ -214,7 +214,7 @@
         }
         let response = self
             .http
-            .call(method, &self.address, path, body, REQUEST_TIMEOUT)
+            .send_request(method, &self.address, path, body, REQUEST_TIMEOUT)
             .await
             .map_err(|e| CloudError::no_response(path, e))?;
         match response.status {
@@ -226,7 +226,7 @@
     /// Fetches the machine types that the cloud offers.
     pub async fn list_machine_types(&self) -> Result<Vec<MachineType>, CloudError> {
         let request = CloudRequest::get("/machine_types");
-        let listed: MachineTypeList = self.call(request, always_permitted).await?;
+        let listed: MachineTypeList = self.request_json(request, always_permitted).await?;
         Ok(listed.machine_types)
     }
 
@@ -238,7 +238,7 @@
         may_send: impl FnOnce() -> bool,
     ) -> Result<Vec<MachineId>, CloudError> {
         let request = CloudRequest::post("/hosts", rental)?;
-        let rented: MachineIds = self.call(request, may_send).await?;
+        let rented: MachineIds = self.request_json(request, may_send).await?;
         Ok(rented.machines)
     }
 
@@ -253,7 +253,7 @@
             machines: machines.to_vec(),
         };
         let request = CloudRequest::post("/hosts/release", &machines)?;
-        self.send(request, may_send).await.map(drop)
+        self.send_request(request, may_send).await.map(drop)
     }
 
     /// Fetches all machines that the cloud lists, page by page. The list lags behind
@@ -266,7 +266,9 @@
                 .map(|machine| format!("since={}&", machine.id))
                 .unwrap_or_default();
             let path = format!("/hosts?{since}limit={PAGE_SIZE}");
-            let page: MachinePage = self.call(CloudRequest::get(&path), always_permitted).await?;
+            let page: MachinePage = self
+                .request_json(CloudRequest::get(&path), always_permitted)
+                .await?;
             let is_last = page.machines.is_empty() || !page.has_more;
             all.extend(page.machines);
             if is_last {
--- a/src/controller/final_states.rs
+++ b/src/controller/final_states.rs
@@ -41,7 +41,7 @@
     }
 
     /// The record of a finished job, if it is cached.
-    pub fn record(&self, id: JobId) -> Option<&FinalRecord> {
+    pub fn final_record(&self, id: JobId) -> Option<&FinalRecord> {
         self.records.get(&id)
     }
 
--- a/src/controller/job_lookup.rs
+++ b/src/controller/job_lookup.rs
@@ -29,7 +29,7 @@
     /// Reads a job from the state service and caches a final state. The key of the
     /// unfinished job is read first, because a job moves from there to the key of the
     /// finished job and never back.
-    pub async fn lookup_job(&self, id: JobId) -> Result<StoredJob, StoreError> {
+    pub async fn look_up_job(&self, id: JobId) -> Result<StoredJob, StoreError> {
         if let KeyRead::Found(item) = self.store.get_for_user(&record::job_key(id)).await? {
             let version = item.version;
             let record = parse_value(item)?;
@@ -68,7 +68,7 @@
             let cached = self.final_states().status(id);
             let found = match cached {
                 Some(status) => StoredJob::Finished(status),
-                None => self.lookup_job(id).await?,
+                None => self.look_up_job(id).await?,
             };
             match found {
                 StoredJob::Finished(status) if status.state == JobState::Cancelled => return Ok(true),
@@ -86,7 +86,7 @@
     /// The response to a user with the status of a job that was looked up.
     pub async fn status_response(&self, id: JobId, found: &StoredJob) -> ApiResponse {
         if let StoredJob::Finished(status) = found {
-            return ApiResponse::json(200, status);
+            return ApiResponse::with_json(200, status);
         }
         match self.stored_state(found).await {
             Ok(None) => ApiResponse::error(404, "no such job"),
@@ -97,7 +97,7 @@
                     done: 0,
                     running: 0,
                 };
-                ApiResponse::json(200, &status)
+                ApiResponse::with_json(200, &status)
             }
             Err(_) => ApiResponse::unavailable("the state of a job that it needs can't be read now"),
         }
--- a/src/controller/leaderless_submission.rs
+++ b/src/controller/leaderless_submission.rs
@@ -27,7 +27,7 @@
         };
         // The id is looked up before the rest of the body is checked: a repeated submission
         // of an accepted job gets 200.
-        match self.lookup_job(id).await {
+        match self.look_up_job(id).await {
             Ok(StoredJob::NeverAccepted) => {}
             Ok(found) => return self.status_response(id, &found).await,
             Err(_) => return ApiResponse::unavailable("the job's state can't be read now"),
@@ -51,7 +51,7 @@
                 accepted_response(id)
             }
             // The job may have been stored nevertheless, or by another controller.
-            Err(_) => match self.lookup_job(id).await {
+            Err(_) => match self.look_up_job(id).await {
                 Ok(StoredJob::NeverAccepted) | Err(_) => {
                     ApiResponse::unavailable("the job can't be stored now")
                 }
--- a/src/controller/peers.rs
+++ b/src/controller/peers.rs
@@ -21,7 +21,7 @@
 
     /// Whether this controller can respond to users: it leads and may act, or it can reach
     /// another controller or the state service.
-    pub fn can_serve(&self) -> bool {
+    pub fn can_respond_to_users(&self) -> bool {
         self.active_leader().is_some() || self.has_reachable_peer() || self.store.is_reachable()
     }
 
@@ -55,10 +55,10 @@
     }
 
     /// Responds to a worker's heartbeat, or forwards it if another controller leads.
-    pub async fn heartbeat(&self, body: &[u8]) -> ApiResponse {
+    pub async fn respond_to_heartbeat(&self, body: &[u8]) -> ApiResponse {
         self.check_for_stall();
         match self.role() {
-            Role::Leading(active_leader) => active_leader.heartbeat(body, self.host()),
+            Role::Leading(active_leader) => active_leader.respond_to_heartbeat(body, self.host()),
             Role::Following { .. } => self
                 .forward_to_leader(PeerRequest::Heartbeat(body.to_vec()), HEARTBEAT_TIMEOUT)
                 .await
@@ -106,7 +106,7 @@
     fn handle_heartbeat(&self, from: &str, body: &[u8]) -> ApiResponse {
         self.check_for_stall();
         match self.role() {
-            Role::Leading(active_leader) => active_leader.heartbeat(body, from),
+            Role::Leading(active_leader) => active_leader.respond_to_heartbeat(body, from),
             _ => ApiResponse::not_leading(),
         }
     }
@@ -121,7 +121,7 @@
         match request {
             PeerRequest::Submit(body) => active_leader.submit(&body).await,
             PeerRequest::Poll(id) => match id.parse() {
-                Ok(id) => active_leader.poll(id).await,
+                Ok(id) => active_leader.poll_job(id).await,
                 Err(_) => ApiResponse::error(404, "no such job"),
             },
             PeerRequest::Cancel(id) => match id.parse() {
--- a/src/controller/role.rs
+++ b/src/controller/role.rs
@@ -59,7 +59,7 @@
                     newer_term = term,
                     "a newer term exists, ending this controller's term"
                 );
-                active_leader.end();
+                active_leader.end_term();
             }
         }
     }
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -82,7 +82,7 @@
         done: 0,
         running: 0,
     };
-    ApiResponse::json(201, &status)
+    ApiResponse::with_json(201, &status)
 }
 
 /// Whether a body can be a JSON object. Without this check an array of values in the order
@@ -119,7 +119,7 @@
 
 /// Sorts the job's lists of machine types and dependencies, and removes duplicates and types
 /// that don't exist.
-fn normalize(spec: &mut JobSpec, types: &[MachineType]) {
+fn normalize_spec(spec: &mut JobSpec, types: &[MachineType]) {
     if let Some(allowed) = &mut spec.machine_types {
         allowed.retain(|name| types.iter().any(|known| known.name == *name));
         allowed.sort();
@@ -153,7 +153,7 @@
         if spec.awaits.contains(&spec.id) {
             return Err(AdmissionError::DependsOnItself.into());
         }
-        normalize(&mut spec, types);
+        normalize_spec(&mut spec, types);
         Ok(spec)
     }
 
@@ -173,7 +173,7 @@
             accepted_at_ms: unix_time_ms(),
             cancelled: false,
         };
-        if !self.record_fits(&record) {
+        if !self.fits_value_limit(&record) {
             return Err(SubmissionError::TooLong);
         }
         self.check_dependencies(&record.spec, kind_in_model).await?;
@@ -182,7 +182,7 @@
 
     /// Whether a record fits into a value of the state service, even once the job is
     /// cancelled.
-    fn record_fits(&self, record: &JobRecord) -> bool {
+    fn fits_value_limit(&self, record: &JobRecord) -> bool {
         serde_json::to_vec(record)
             .is_ok_and(|value| value.len() + CANCELLATION_BYTES <= self.config.max_value_bytes)
     }
@@ -194,7 +194,7 @@
     ) -> Result<(), SubmissionError> {
         for dependency in &spec.awaits {
             let mut kind = kind_in_model(*dependency);
-            if kind.is_none() && self.final_states().record(*dependency).is_none() {
+            if kind.is_none() && self.final_states().final_record(*dependency).is_none() {
                 kind = self.stored_kind(*dependency).await?;
             }
             if kind == Some(JobKind::Service) {
@@ -206,7 +206,7 @@
 
     /// The kind of a stored job that is unfinished; `None` if it is finished.
     async fn stored_kind(&self, dependency: JobId) -> Result<Option<JobKind>, SubmissionError> {
-        match self.lookup_job(dependency).await {
+        match self.look_up_job(dependency).await {
             Ok(StoredJob::Unfinished(record, _)) => Ok(Some(record.spec.kind)),
             Ok(StoredJob::Finished(_)) => Ok(None),
             Ok(StoredJob::NeverAccepted) => Err(AdmissionError::UnknownDependency(dependency).into()),
--- a/src/controller/term_leader.rs
+++ b/src/controller/term_leader.rs
@@ -23,20 +23,20 @@
     fn may_act(&self) -> bool;
 
     /// Ends the term in this process. May be called more than once.
-    fn end(&self);
+    fn end_term(&self);
 
     /// Records that the process was paused until `now`. Heartbeats missed before then are no
     /// evidence that a worker failed.
     fn resumed_after_pause(&self, now: Instant);
 
     /// Responds to a worker's heartbeat that the controller `via` received.
-    fn heartbeat(&self, body: &[u8], via: &str) -> ApiResponse;
+    fn respond_to_heartbeat(&self, body: &[u8], via: &str) -> ApiResponse;
 
     /// Responds to a user's submission: its JSON body.
     fn submit<'a>(self: Arc<Self>, body: &'a [u8]) -> ResponseFuture<'a>;
 
     /// Responds to a user's poll of a job.
-    fn poll(self: Arc<Self>, id: JobId) -> ResponseFuture<'static>;
+    fn poll_job(self: Arc<Self>, id: JobId) -> ResponseFuture<'static>;
 
     /// Responds to a user's cancellation of a job.
     fn cancel(self: Arc<Self>, id: JobId) -> ResponseFuture<'static>;
--- a/src/controller/user_requests.rs
+++ b/src/controller/user_requests.rs
@@ -24,7 +24,7 @@
         }
         let cached = parse_submission_id(body).and_then(|id| self.final_states().status(id));
         if let Some(status) = cached {
-            return ApiResponse::json(200, &status);
+            return ApiResponse::with_json(200, &status);
         }
         let request = PeerRequest::Submit(body.to_vec());
         let timeout = self.operator_settings.forward_timeout;
@@ -36,7 +36,7 @@
 
     /// Responds to a poll. An overloaded controller responds only about jobs whose final
     /// states are cached, and refuses all other polls.
-    pub async fn poll(&self, id: JobId) -> ApiResponse {
+    pub async fn poll_job(&self, id: JobId) -> ApiResponse {
         self.check_for_stall();
         if self.stall_detector.is_overloaded(Instant::now()) {
             return self
@@ -44,7 +44,7 @@
                 .unwrap_or_else(|| ApiResponse::unavailable("too much to do"));
         }
         if let Some(active_leader) = self.active_leader() {
-            return active_leader.poll(id).await;
+            return active_leader.poll_job(id).await;
         }
         if let Some(response) = self.final_response(id) {
             return response;
@@ -80,7 +80,7 @@
 
     /// Responds to a poll with what the state service has stored.
     async fn poll_without_leader(&self, id: JobId) -> ApiResponse {
-        match self.lookup_job(id).await {
+        match self.look_up_job(id).await {
             Ok(found) => self.status_response(id, &found).await,
             Err(_) => ApiResponse::unavailable("the job's state can't be read now"),
         }
@@ -89,7 +89,7 @@
     /// Responds to a cancellation from the state service. Only a job that is finished, is
     /// cancelled already or was never accepted needs no leader.
     async fn cancel_without_leader(&self, id: JobId) -> ApiResponse {
-        let Ok(found) = self.lookup_job(id).await else {
+        let Ok(found) = self.look_up_job(id).await else {
             return ApiResponse::unavailable("no leader to cancel it now");
         };
         match self.stored_state(&found).await {
@@ -102,7 +102,7 @@
     fn final_response(&self, id: JobId) -> Option<ApiResponse> {
         self.final_states()
             .status(id)
-            .map(|status| ApiResponse::json(200, &status))
+            .map(|status| ApiResponse::with_json(200, &status))
     }
 
     /// Caches the final state in the leader's response, if it contains one.
--- a/src/core/evidence/commands/batch.rs
+++ b/src/core/evidence/commands/batch.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use crate::core::evidence::commands::AddressedBatch;
-use crate::core::evidence::permission::check_job;
+use crate::core::evidence::permission::check_job_startable;
 use crate::core::state::dependencies::Dependencies;
 use crate::core::state::job::Job;
 use crate::core::state::machine::{Machine, MachinePhase};
@@ -163,7 +163,7 @@
         }
         let Some(spec) = &slot.spec else { continue };
         // Checked again, independently of the checks that led to the placement.
-        if check_job(conditions.jobs, conditions.dependencies, task.job).is_err() {
+        if check_job_startable(conditions.jobs, conditions.dependencies, task.job).is_err() {
             continue;
         }
         if slot.start_token == 0 {
--- a/src/core/evidence/heartbeats/exit.rs
+++ b/src/core/evidence/heartbeats/exit.rs
@@ -102,10 +102,11 @@
 /// Counts a failure against both the machine and the job. Failures elsewhere show which
 /// of the two is faulty.
 fn record_failure(machine: &mut Machine, job: &mut Job, ran: Option<Duration>, now: Instant) {
-    job.failures.record(&machine.id, ran.unwrap_or_default(), now);
+    job.failures
+        .record_failure(&machine.id, ran.unwrap_or_default(), now);
     machine.failures += 1;
     machine.failed_jobs.insert(job.spec.id);
-    if job.on_probation(now) {
+    if job.is_on_probation(now) {
         job.pause_until = Some(now + job.failures.pause());
     }
 }
--- a/src/core/evidence/permission.rs
+++ b/src/core/evidence/permission.rs
@@ -57,7 +57,7 @@
 
 /// Checks whether a job's tasks may be started, as far as that depends on the job and
 /// its dependencies and not on any machine.
-pub(in crate::core) fn check_job(
+pub(in crate::core) fn check_job_startable(
     jobs: &BTreeMap<JobId, Job>,
     dependencies: &Dependencies,
     id: JobId,
@@ -95,7 +95,7 @@
 
     /// Checks whether an attempt that was placed may be started now.
     fn check_start(&self, machine: &MachineId, task: TaskId, attempt: u64) -> Result<(), StartRefusal> {
-        check_job(&self.jobs, &self.dependencies, task.job)?;
+        check_job_startable(&self.jobs, &self.dependencies, task.job)?;
         let machine = self
             .machines
             .get(machine)
--- a/src/core/evidence/probation.rs
+++ b/src/core/evidence/probation.rs
@@ -13,7 +13,7 @@
     /// their machines' heartbeats, see [`crate::core::state::probation`]. Other jobs are not
     /// limited.
     pub fn placement_limit(&self, job: &Job, now: Instant) -> u32 {
-        if !job.on_probation(now) {
+        if !job.is_on_probation(now) {
             return u32::MAX;
         }
         let trial = job.failures.trial_run_time();
--- a/src/core/fleet/rentals.rs
+++ b/src/core/fleet/rentals.rs
@@ -30,7 +30,7 @@
 }
 
 /// Packs waiting tasks onto open machines, and plans rentals for those that don't fit.
-struct Packing<'m> {
+struct RentalPlanner<'m> {
     model: &'m ClusterModel,
     now: Instant,
     open_machines: Vec<OpenMachine>,
@@ -75,15 +75,15 @@
     /// The rentals that the waiting tasks need beyond the capacity of the fleet, and those
     /// for warm capacity. Jobs are packed in the order of their rank.
     pub(super) fn machines_to_rent(&self, now: Instant) -> Vec<RentalOrder> {
-        let mut packing = Packing::new(self, now);
+        let mut planner = RentalPlanner::new(self, now);
         let mut queue: Vec<_> = self.jobs_waiting_for_capacity().collect();
         let ranks = self.ranks(now);
         queue.sort_by_key(|job| ranks.get(&job.spec.id));
         for job in queue {
-            packing.pack(job);
+            planner.pack_job(job);
         }
-        packing.plan_warm_capacity();
-        packing.plan.into_orders()
+        planner.plan_warm_capacity();
+        planner.plan.into_orders()
     }
 
     /// Machines that boot, are schedulable or are being rented, with their free resources.
@@ -140,7 +140,7 @@
     }
 }
 
-impl<'m> Packing<'m> {
+impl<'m> RentalPlanner<'m> {
     fn new(model: &'m ClusterModel, now: Instant) -> Self {
         let partitioned_zones = model.partitioned_zones(now);
         let open_machines = model.open_machines(&partitioned_zones, now);
@@ -168,7 +168,7 @@
 
     /// Packs a job's placeable tasks onto the open machines, and plans machines for the
     /// rest.
-    fn pack(&mut self, job: &Job) {
+    fn pack_job(&mut self, job: &Job) {
         let spec = &job.spec;
         let types = &self.model.machine_types;
         let usage = self.usage_by_team.entry(spec.team.clone()).or_default();
--- a/src/core/scheduling/over_quota.rs
+++ b/src/core/scheduling/over_quota.rs
@@ -59,16 +59,16 @@
         let Some(head) = model.jobs.get(&head).filter(|_| head_in_time) else {
             return Self::default();
         };
-        let head_priority = model.priority(head);
+        let head_priority = model.effective_priority(head);
         let beyond_quota = |id: &JobId| ranks.get(id).is_some_and(|rank| rank.tier != Tier::WithinQuota);
         let jobs = model
             .jobs
             .iter()
             .filter(|(_, job)| job.place_count > STARVED_FIRST_TASKS)
             .filter(|(_, job)| job.spec.kind == JobKind::Array)
-            .filter(|(_, job)| model.priority(job) < head_priority)
+            .filter(|(_, job)| model.effective_priority(job) < head_priority)
             .filter(|(id, _)| beyond_quota(id))
-            .filter(|(_, job)| model.deadlines(job).earliest.is_none())
+            .filter(|(_, job)| model.effective_deadlines(job).earliest.is_none())
             .map(|(id, _)| *id)
             .collect();
         Self {
--- a/src/core/scheduling/placement/batches.rs
+++ b/src/core/scheduling/placement/batches.rs
@@ -134,7 +134,7 @@
             job.spec.kind != JobKind::Gang
                 && !job.spec.one_zone
                 && !job.spec.spread
-                && !job.on_probation(self.now)
+                && !job.is_on_probation(self.now)
         })
     }
 
@@ -177,7 +177,7 @@
             .open_machines
             .iter()
             .filter_map(|position| {
-                let candidate = self.evaluate(&self.machines[*position], spec, None, scope)?;
+                let candidate = self.score_machine(&self.machines[*position], spec, None, scope)?;
                 Some((candidate.score, *position))
             })
             .collect();
--- a/src/core/scheduling/placement/search.rs
+++ b/src/core/scheduling/placement/search.rs
@@ -85,7 +85,7 @@
     }
 
     /// Scores a machine for a task of a job; `None` if the task can't be placed there.
-    pub(super) fn evaluate(
+    pub(super) fn score_machine(
         &self,
         machine: &FreeCapacity,
         spec: &JobSpec,
@@ -170,7 +170,7 @@
     ) -> Option<Placement> {
         let mut best: Option<(Score, Placement)> = None;
         for (index, machine) in machines.iter().enumerate() {
-            let Some(Candidate { score, victims }) = self.evaluate(machine, spec, tasks_by_zone, scope)
+            let Some(Candidate { score, victims }) = self.score_machine(machine, spec, tasks_by_zone, scope)
             else {
                 continue;
             };
--- a/src/core/scheduling/ranking/mod.rs
+++ b/src/core/scheduling/ranking/mod.rs
@@ -38,7 +38,7 @@
 
     /// The effective priority of a job: its own, or a higher one of a job that depends on
     /// it.
-    pub fn priority(&self, job: &Job) -> Priority {
+    pub fn effective_priority(&self, job: &Job) -> Priority {
         let inherited = self.dependencies.inherited_urgency(job.spec.id);
         inherited.map_or(job.spec.priority, |i| i.priority.max(job.spec.priority))
     }
@@ -49,7 +49,7 @@
         let starvation = Starvation::of(job, waited);
         let priority = match starvation {
             Starvation::AcrossPriorities => Priority::Production,
-            Starvation::No | Starvation::WithinPriority => self.priority(job),
+            Starvation::No | Starvation::WithinPriority => self.effective_priority(job),
         };
         let tier = if starvation != Starvation::No {
             Tier::Starved
@@ -68,7 +68,7 @@
 
     /// The tier of a job that is neither starved nor within its team's quota.
     fn deadline_tier(&self, job: &Job, now: Instant) -> Tier {
-        let deadlines = self.deadlines(job);
+        let deadlines = self.effective_deadlines(job);
         let (Some(earliest), Some(latest)) = (deadlines.earliest, deadlines.latest) else {
             return Tier::InTime;
         };
@@ -86,7 +86,7 @@
     /// Computes [`Rank::tie_break`].
     fn tie_break(&self, job: &Job, tier: Tier, waited: Duration) -> i64 {
         match tier {
-            Tier::InTime | Tier::Late if self.deadlines(job).earliest.is_some() => {
+            Tier::InTime | Tier::Late if self.effective_deadlines(job).earliest.is_some() => {
                 let cpu_seconds_per_task = self.predict(&job.spec).as_secs_f64() * job.spec.cpus;
                 (cpu_seconds_per_task * f64::from(job.spec.tasks - job.done.count()) * 1e3) as i64
             }
--- a/src/core/scheduling/round.rs
+++ b/src/core/scheduling/round.rs
@@ -19,17 +19,17 @@
 impl ClusterModel {
     /// Runs a scheduling round. It places and stops tasks in the model only; a start is
     /// sent to a worker once the log entry that names the placement is stored.
-    pub fn plan(&mut self, now: Instant) -> RoundSummary {
-        self.run_round(PlacementStrategy::Grouped, now)
+    pub fn run_scheduling_round(&mut self, now: Instant) -> RoundSummary {
+        self.run_with_strategy(PlacementStrategy::Grouped, now)
     }
 
     /// Runs a round that places each task separately. This is the simple reference that
-    /// tests compare [`ClusterModel::plan`] with.
-    pub fn plan_one_by_one(&mut self, now: Instant) -> RoundSummary {
-        self.run_round(PlacementStrategy::OneByOne, now)
+    /// tests compare [`ClusterModel::run_scheduling_round`] with.
+    pub fn run_scheduling_round_one_by_one(&mut self, now: Instant) -> RoundSummary {
+        self.run_with_strategy(PlacementStrategy::OneByOne, now)
     }
 
-    fn run_round(&mut self, strategy: PlacementStrategy, now: Instant) -> RoundSummary {
+    fn run_with_strategy(&mut self, strategy: PlacementStrategy, now: Instant) -> RoundSummary {
         let mut summary = RoundSummary::default();
         if self.jobs_waiting_for_capacity().next().is_none() {
             self.clear_shadow_load();
--- a/src/core/state/deadlines.rs
+++ b/src/core/state/deadlines.rs
@@ -39,8 +39,8 @@
 impl ClusterModel {
     /// The job's own deadlines together with those that it inherits from the jobs that
     /// depend on it.
-    pub(in crate::core) fn deadlines(&self, job: &Job) -> Deadlines {
-        let own = self.own_deadlines(job);
+    pub(in crate::core) fn effective_deadlines(&self, job: &Job) -> Deadlines {
+        let own = self.deadlines_without_inherited(job);
         let Some(inherited) = self.dependencies.inherited_urgency(job.spec.id) else {
             return own;
         };
@@ -57,7 +57,7 @@
     /// The job's own deadlines: the one that its user gave, and those that the objectives
     /// of its class set. The time that the job waits for its dependencies doesn't count
     /// towards an objective on the time to finish.
-    pub(in crate::core) fn own_deadlines(&self, job: &Job) -> Deadlines {
+    pub(in crate::core) fn deadlines_without_inherited(&self, job: &Job) -> Deadlines {
         let class = Some(&job.spec.class);
         let objectives = self.config.objectives.iter();
         let of_class = objectives.filter(|objective| objective.class.as_ref() == class);
--- a/src/core/state/dependencies/cancellation.rs
+++ b/src/core/state/dependencies/cancellation.rs
@@ -7,7 +7,7 @@
 
 impl Dependencies {
     /// Notes that a job's cancellation is requested and may be stored at any moment. Until
-    /// it is known to be stored, its dependents are [in doubt](Self::in_doubt).
+    /// it is known to be stored, its dependents are [in doubt](Self::has_dependency_in_doubt).
     pub fn cancellation_requested(&mut self, id: JobId) {
         self.pending_cancellations.insert(id);
     }
@@ -63,7 +63,7 @@
 
     /// Whether a direct or indirect dependency of this job may be cancelled without this
     /// process knowing. Then only the state service can tell whether the job is cancelled.
-    pub fn in_doubt(&self, id: JobId) -> bool {
+    pub fn has_dependency_in_doubt(&self, id: JobId) -> bool {
         if self.unresolved.is_empty() && self.pending_cancellations.is_empty() {
             return false;
         }
--- a/src/core/state/job.rs
+++ b/src/core/state/job.rs
@@ -81,8 +81,8 @@
 
     /// Whether its tasks failed on several machines recently and none was ever done; see
     /// [`crate::core::state::probation`].
-    pub fn on_probation(&self, now: Instant) -> bool {
-        self.done.count() == 0 && self.failures.on_probation(now)
+    pub fn is_on_probation(&self, now: Instant) -> bool {
+        self.done.count() == 0 && self.failures.is_on_probation(now)
     }
 
     /// Whether its cancellation is stored, so that any controller may confirm it to a
@@ -114,7 +114,7 @@
     /// so its record leaves out the lists that only starts need: the job may have been
     /// accepted when values could be larger, and its cancellation has to fit into the
     /// current limits.
-    pub fn record(&self) -> JobRecord {
+    pub fn to_record(&self) -> JobRecord {
         let mut spec = (*self.spec).clone();
         if self.cancelled {
             spec.machine_types = None;
--- a/src/core/state/model/jobs.rs
+++ b/src/core/state/model/jobs.rs
@@ -45,7 +45,7 @@
     }
 
     fn add_dependencies(&mut self, job: &Job) {
-        let own = self.own_deadlines(job);
+        let own = self.deadlines_without_inherited(job);
         let instant_of = |due: Option<f64>| {
             let due = Duration::try_from_secs_f64(due?).ok()?;
             job.arrival.checked_add(due)
@@ -158,7 +158,9 @@
     pub fn status(&self, id: JobId) -> Option<JobStatus> {
         let job = self.jobs.get(&id)?;
         let cancelled = job.cancellation_is_stored();
-        if !cancelled && (job.final_write_pending || job.cancelled || self.dependencies.in_doubt(id)) {
+        if !cancelled
+            && (job.final_write_pending || job.cancelled || self.dependencies.has_dependency_in_doubt(id))
+        {
             return None;
         }
         let running = job.running.len() as u32;
--- a/src/core/state/model/replay.rs
+++ b/src/core/state/model/replay.rs
@@ -20,7 +20,7 @@
     /// Returns false if the segment can't be read: then it is not known which attempts may
     /// be on which machines.
     pub fn load_log_segment(&mut self, number: u64, value: serde_json::Value) -> bool {
-        self.log.load(number, value)
+        self.log.load_segment(number, value)
     }
 
     /// Applies the loaded log of earlier terms; to be called once the jobs are added.
--- a/src/core/state/probation.rs
+++ b/src/core/state/probation.rs
@@ -51,7 +51,7 @@
 
 impl FailureHistory {
     /// Records that a task failed on a machine after it had run for `run_time`.
-    pub fn record(&mut self, machine: &MachineId, run_time: Duration, now: Instant) {
+    pub fn record_failure(&mut self, machine: &MachineId, run_time: Duration, now: Instant) {
         self.machines.insert(machine.clone());
         self.failures += 1;
         self.longest_run = self.longest_run.max(run_time);
@@ -70,7 +70,7 @@
 
     /// Whether the job failed recently, and on too many machines for the machines to be
     /// the likely cause.
-    pub fn on_probation(&self, now: Instant) -> bool {
+    pub fn is_on_probation(&self, now: Instant) -> bool {
         let recent = |failure: Instant| now.saturating_duration_since(failure) < MAX_PROBATION;
         self.machines.len() >= MIN_FAILED_MACHINES && self.last_failure.is_some_and(recent)
     }
--- a/src/core/storage/pending_writes.rs
+++ b/src/core/storage/pending_writes.rs
@@ -83,14 +83,14 @@
         let mut writes = Vec::new();
         writes.extend(self.take_log_append(now).map(PendingWrite::Append));
         self.stop_tasks_of_cancelled_jobs(now);
-        self.take_final_states(&mut writes, now);
+        self.add_final_writes(&mut writes, now);
         writes.extend(self.take_run_time_ratios(now).map(PendingWrite::Ratios));
         writes
     }
 
     /// Adds the final states of the jobs that have ended to `writes`, and updates the
     /// run-to-estimate ratios of their teams by those that are done.
-    fn take_final_states(&mut self, writes: &mut Vec<PendingWrite>, now: Instant) {
+    fn add_final_writes(&mut self, writes: &mut Vec<PendingWrite>, now: Instant) {
         let mut learned_ratios = Vec::new();
         let mut cancelled_remaining = self.max_new_cancelled_states();
         for (id, job) in &mut self.jobs {
--- a/src/core/storage/wal/compaction.rs
+++ b/src/core/storage/wal/compaction.rs
@@ -49,7 +49,7 @@
         );
         let mut remaining = Vec::new();
         for entry in entries {
-            if !remaining.is_empty() || !self.write(&entry, changed, max_changed) {
+            if !remaining.is_empty() || !self.write_to_segment(&entry, changed, max_changed) {
                 remaining.push(entry);
             }
         }
--- a/src/core/storage/wal/entry.rs
+++ b/src/core/storage/wal/entry.rs
@@ -46,7 +46,7 @@
     }
 
     /// Bytes that the entry takes in a segment.
-    pub(super) fn bytes(&self) -> usize {
+    pub(super) fn serialized_len(&self) -> usize {
         serde_json::to_string(self).map_or(0, |s| s.len() + 1)
     }
 }
--- a/src/core/storage/wal/mod.rs
+++ b/src/core/storage/wal/mod.rs
@@ -102,14 +102,14 @@
     }
 
     /// Loads a stored segment of an earlier term. Returns whether it could be read.
-    pub fn load(&mut self, number: u64, value: Value) -> bool {
+    pub fn load_segment(&mut self, number: u64, value: Value) -> bool {
         let Ok(entries) = serde_json::from_value::<Vec<LogEntry>>(value) else {
             return false;
         };
         if entries.iter().any(LogEntry::is_damaged) {
             return false;
         }
-        let bytes = entries.iter().map(LogEntry::bytes).sum();
+        let bytes = entries.iter().map(LogEntry::serialized_len).sum();
         self.segments.insert(number, Segment { entries, bytes });
         self.next_segment = self.next_segment.max(number + 1);
         true
@@ -182,7 +182,7 @@
         let mut stored_up_to = self.stored_mark;
         let mut remaining = Vec::new();
         for (entry, mark) in std::mem::take(&mut self.pending) {
-            if remaining.is_empty() && self.write(&entry, &mut changed, max_changed) {
+            if remaining.is_empty() && self.write_to_segment(&entry, &mut changed, max_changed) {
                 stored_up_to = mark;
             } else {
                 remaining.push((entry, mark));
@@ -202,8 +202,13 @@
 
     /// Adds an entry to the open segment or a new one, unless that would change more than
     /// `max_changed` segments. Returns whether it was added.
-    fn write(&mut self, entry: &LogEntry, changed: &mut BTreeSet<u64>, max_changed: usize) -> bool {
-        let bytes = entry.bytes();
+    fn write_to_segment(
+        &mut self,
+        entry: &LogEntry,
+        changed: &mut BTreeSet<u64>,
+        max_changed: usize,
+    ) -> bool {
+        let bytes = entry.serialized_len();
         let may_change = |n: &u64| changed.contains(n) || changed.len() < max_changed;
         let fitting = self
             .open_segment
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,5 +1,5 @@
 //! HTTP/1.1 clients: [`HttpClient`] keeps pooled connections to the services that are
-//! called often; [`post_once`] opens a connection for a single request.
+//! called often; [`post_unpooled`] opens a connection for a single request.
 //!
 //! Every request has a timeout. A request that times out or is dropped closes its
 //! connection, so that a late response can't be taken for that of another request.
@@ -79,7 +79,7 @@
     TimedOut(Duration),
 }
 
-/// Why [`post_once`] returns no response; `R` is the caller's reason not to send.
+/// Why [`post_unpooled`] returns no response; `R` is the caller's reason not to send.
 #[derive(Debug, thiserror::Error)]
 pub enum PostError<R> {
     /// The caller's `permit` refused once the connection was open; nothing was sent.
@@ -100,7 +100,7 @@
 }
 
 impl Response {
-    async fn read(response: hyper::Response<Incoming>, address: &str) -> Result<Self, HttpError> {
+    async fn receive(response: hyper::Response<Incoming>, address: &str) -> Result<Self, HttpError> {
         let status = response.status().as_u16();
         let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
             .collect()
@@ -159,7 +159,7 @@
 impl HttpClient {
     /// Sends a request to `address` (`host:port`) and waits at most `timeout` for the
     /// complete response.
-    pub async fn call(
+    pub async fn send_request(
         &self,
         method: Method,
         address: &str,
@@ -176,7 +176,7 @@
                     HttpError::unanswered(address, e)
                 }
             })?;
-            Response::read(response, address).await
+            Response::receive(response, address).await
         };
         tokio::time::timeout(timeout, exchange)
             .await
@@ -199,7 +199,7 @@
 /// `permit` is called once the connection is open, right before the request is sent. It
 /// checks again a decision that was made earlier, as a decision made before a pause of
 /// the process must not be sent after it.
-pub async fn post_once<R>(
+pub async fn post_unpooled<R>(
     address: &str,
     path: &str,
     body: Vec<u8>,
@@ -218,7 +218,7 @@
                 .send_request(request)
                 .await
                 .map_err(|e| HttpError::unanswered(address, e))?;
-            Response::read(response, address).await
+            Response::receive(response, address).await
         };
         // The connection is polled here, not in a task, so that it ends with the request.
         tokio::pin!(response);
--- a/src/leader/active_leader/cancellation.rs
+++ b/src/leader/active_leader/cancellation.rs
@@ -57,7 +57,7 @@
         }
         // The cancellation goes on if it takes longer than the user waits.
         let active_leader = self.clone();
-        let cancellation = tokio::spawn(async move { active_leader.cancel_loaded(id).await });
+        let cancellation = tokio::spawn(async move { active_leader.cancel_loaded_job(id).await });
         match timeout(STORE_TIMEOUT, cancellation).await {
             Ok(Ok(response)) => response,
             _ => ApiResponse::unavailable("the cancellation can't be stored now"),
@@ -66,13 +66,13 @@
 
     /// Cancels a job after [`Self::load_job`]: the model has it, or it is finished or was
     /// never accepted.
-    async fn cancel_loaded(self: Arc<Self>, id: JobId) -> ApiResponse {
+    async fn cancel_loaded_job(self: Arc<Self>, id: JobId) -> ApiResponse {
         self.wait_for_final_state(id).await;
         let step = self.begin_cancellation(id);
         match &step {
             CancellationStep::NotInModel => {
                 return match self.controller.final_states().status(id) {
-                    Some(status) => ApiResponse::json(200, &status),
+                    Some(status) => ApiResponse::with_json(200, &status),
                     None => ApiResponse::error(404, "no such job"),
                 };
             }
@@ -120,7 +120,7 @@
             Some(_) => {
                 model.cancel(id, Instant::now());
                 let job = model.jobs().get(&id).expect("a cancellation removes no job");
-                CancellationStep::Store(Box::new(job.record()))
+                CancellationStep::Store(Box::new(job.to_record()))
             }
         }
     }
@@ -155,7 +155,7 @@
     /// whether the cancellation is stored nevertheless. `None`: the write is to be
     /// repeated.
     async fn check_stored_cancellation(&self, id: JobId, key: &str) -> Option<CancellationOutcome> {
-        match self.controller.lookup_job(id).await {
+        match self.controller.look_up_job(id).await {
             Ok(StoredJob::Unfinished(record, _)) if record.cancelled => Some(CancellationOutcome::Stored),
             Ok(StoredJob::Unfinished(_, version)) => {
                 self.writer.set_known_version(key, version);
@@ -166,7 +166,7 @@
                     job = %id,
                     "a job cancelled by this leader has no unfinished record any more; the term ends"
                 );
-                self.end();
+                self.end_term();
                 Some(CancellationOutcome::TermEnded)
             }
             Err(_) => None,
--- a/src/leader/active_leader/dependency_lookup.rs
+++ b/src/leader/active_leader/dependency_lookup.rs
@@ -49,7 +49,7 @@
     }
 
     async fn look_up_dependency(&self, id: JobId) -> Result<(), StoreError> {
-        match self.controller.lookup_job(id).await? {
+        match self.controller.look_up_job(id).await? {
             StoredJob::Unfinished(record, version) => self.add_stored_job(*record, version),
             StoredJob::Finished(_) => self.resolve_after_lookup(id),
             StoredJob::NeverAccepted => {
@@ -71,7 +71,10 @@
         let unresolved: Vec<JobId> = model.dependencies().unresolved().iter().copied().collect();
         let mut resolved = 0;
         for id in &unresolved {
-            if let Some(record) = final_states.record(*id).filter(|record| is_sufficient(record)) {
+            if let Some(record) = final_states
+                .final_record(*id)
+                .filter(|record| is_sufficient(record))
+            {
                 model.resolve_dependency(*id, outcome_of(record, now));
                 resolved += 1;
             }
@@ -90,7 +93,7 @@
     fn resolve_after_lookup(&self, id: JobId) {
         let now = Moment::now();
         let mut model = self.model.lock();
-        if let Some(record) = self.controller.final_states().record(id) {
+        if let Some(record) = self.controller.final_states().final_record(id) {
             model.resolve_dependency(id, outcome_of(record, now));
         }
         drop(model);
--- a/src/leader/active_leader/fleet_actions.rs
+++ b/src/leader/active_leader/fleet_actions.rs
@@ -35,7 +35,7 @@
                     term = self.term,
                     "more workers ignore this controller's commands than answer them; the term ends"
                 );
-                return self.end();
+                return self.end_term();
             }
             let actions = self.model.lock().plan_fleet(Instant::now());
             for action in actions {
--- a/src/leader/active_leader/heartbeat_handling.rs
+++ b/src/leader/active_leader/heartbeat_handling.rs
@@ -58,7 +58,7 @@
 
 impl ActiveLeader {
     /// Responds to a heartbeat that came through the controller `via`.
-    pub fn heartbeat(&self, body: &[u8], via: &str) -> ApiResponse {
+    pub fn respond_to_heartbeat(&self, body: &[u8], via: &str) -> ApiResponse {
         self.handle_heartbeat(body, via).unwrap_or_else(ApiResponse::from)
     }
 
@@ -87,7 +87,7 @@
             response.commands.clear();
         }
         response.commands.extend(handled.stops);
-        Ok(ApiResponse::json(200, &response))
+        Ok(ApiResponse::with_json(200, &response))
     }
 
     /// Applies a heartbeat to the model and computes the response to it, under
@@ -125,7 +125,7 @@
             token = heartbeat.token,
             "a worker has accepted a token of a newer leader; the term ends"
         );
-        self.end();
+        self.end_term();
     }
 
     fn log_unknown_tasks(&self, model: &ClusterModel, heartbeat: &Heartbeat) {
--- a/src/leader/active_leader/job_intake.rs
+++ b/src/leader/active_leader/job_intake.rs
@@ -110,7 +110,7 @@
         if self.is_known(id) {
             return IntakeOutcome::Settled;
         }
-        match self.controller.lookup_job(id).await {
+        match self.controller.look_up_job(id).await {
             Ok(StoredJob::Unfinished(record, version)) => {
                 self.add_stored_job(*record, version);
                 IntakeOutcome::Settled
--- a/src/leader/active_leader/job_status.rs
+++ b/src/leader/active_leader/job_status.rs
@@ -8,7 +8,7 @@
 
 impl ActiveLeader {
     /// Responds to a user's poll: from memory, or as the job is stored.
-    pub async fn poll(&self, id: JobId) -> ApiResponse {
+    pub async fn poll_job(&self, id: JobId) -> ApiResponse {
         if let Some(status) = self.confirmed_status(id).await {
             return status;
         }
@@ -25,14 +25,14 @@
         }
         let unfinished = self.model.lock().status(id);
         let status = unfinished.or_else(|| self.controller.final_states().status(id))?;
-        Some(ApiResponse::json(200, &status))
+        Some(ApiResponse::with_json(200, &status))
     }
 
     /// The response about a job from memory, after a check that no other leader can have
     /// confirmed a newer status to a user. Final states need no check: they never change.
     pub(super) async fn confirmed_status(&self, id: JobId) -> Option<ApiResponse> {
         if let Some(status) = self.controller.final_states().status(id) {
-            return Some(ApiResponse::json(200, &status));
+            return Some(ApiResponse::with_json(200, &status));
         }
         let response = self.status_in_memory(id)?;
         if response.status == 200 && !self.confirm_leadership().await {
@@ -44,7 +44,7 @@
     /// The response about a job as it is stored, or `if_never_accepted`. An unfinished
     /// job that was unknown here is added to the model.
     pub(super) async fn stored_status_or(&self, id: JobId, if_never_accepted: ApiResponse) -> ApiResponse {
-        match self.controller.lookup_job(id).await {
+        match self.controller.look_up_job(id).await {
             Ok(StoredJob::NeverAccepted) => if_never_accepted,
             Ok(found) => {
                 let response = self.controller.status_response(id, &found).await;
--- a/src/leader/active_leader/lease_renewal.rs
+++ b/src/leader/active_leader/lease_renewal.rs
@@ -110,7 +110,7 @@
                 }
                 Err(StoreError::LeaseNotFound { .. }) => {
                     info!(term = self.term, "the leader's lease has expired; the term ends");
-                    return self.end();
+                    return self.end_term();
                 }
                 Err(error) => {
                     debug!(%error, "renewal of the leader's lease failed, retrying");
--- a/src/leader/active_leader/mod.rs
+++ b/src/leader/active_leader/mod.rs
@@ -74,7 +74,7 @@
     fencing_began: Mutex<Option<Instant>>,
     /// The term has ended: this controller may no longer decide or store anything.
     ended: AtomicBool,
-    /// Wakes [`ActiveLeader::lead`] when the term ends.
+    /// Wakes [`ActiveLeader::run_term`] when the term ends.
     end_notify: Notify,
     /// Wakes `run_rounds`: the model has changed in a way that may need a scheduling
     /// round.
@@ -146,7 +146,7 @@
     }
 
     /// Ends the term in this process for good. May be called more than once.
-    pub fn end(&self) {
+    pub fn end_term(&self) {
         self.ended.store(true, Ordering::Relaxed);
         self.writer.end();
         self.end_notify.notify_one();
--- a/src/leader/active_leader/rounds.rs
+++ b/src/leader/active_leader/rounds.rs
@@ -74,7 +74,7 @@
 
     fn plan_round(&self, now: Instant) -> RoundDecisions {
         let mut model = self.model.lock();
-        let summary = model.plan(now);
+        let summary = model.run_scheduling_round(now);
         if summary != RoundSummary::default() {
             debug!(?summary, "scheduling round placed or preempted tasks");
         }
--- a/src/leader/active_leader/state_writes.rs
+++ b/src/leader/active_leader/state_writes.rs
@@ -24,7 +24,7 @@
         if result.is_err() && matches!(write, PendingWrite::Append(_)) {
             // No other writer may change the log during this term. After a failed append
             // its content is in doubt, and only the next term reads it again.
-            return self.end();
+            return self.end_term();
         }
         let stored = result.is_ok();
         if let (true, PendingWrite::Final { id, record, .. }) = (stored, &write) {
--- a/src/leader/active_leader/submission.rs
+++ b/src/leader/active_leader/submission.rs
@@ -60,7 +60,7 @@
     async fn accept_within_timeout(self: &Arc<Self>, record: JobRecord) -> ApiResponse {
         let id = record.spec.id;
         let active_leader = self.clone();
-        let acceptance = tokio::spawn(async move { active_leader.accept(record).await });
+        let acceptance = tokio::spawn(async move { active_leader.accept_job(record).await });
         match timeout(STORE_TIMEOUT, acceptance).await {
             Ok(Ok(Ok(()))) => accepted_response(id),
             Ok(Ok(Err(CommitError::Conflict(_) | CommitError::Rejected))) => {
@@ -73,7 +73,7 @@
 
     /// Stores a new job, on condition that no unfinished or final record of it exists,
     /// then adds it to the model.
-    async fn accept(&self, record: JobRecord) -> Result<(), CommitError> {
+    async fn accept_job(&self, record: JobRecord) -> Result<(), CommitError> {
         let id = record.spec.id;
         let value = serde_json::to_value(&record).unwrap_or(Value::Null);
         let key = record::job_key(id);
--- a/src/leader/active_leader/takeover.rs
+++ b/src/leader/active_leader/takeover.rs
@@ -21,7 +21,7 @@
     /// Those of requests to the state service, and [`StoreError::UnreadableValue`] if a
     /// segment of the log can't be parsed. The model may hold part of the state
     /// then; the caller repeats the whole load.
-    pub(super) async fn load(&self) -> Result<(), StoreError> {
+    pub(super) async fn load_stored_state(&self) -> Result<(), StoreError> {
         let store = self.controller.store();
         let jobs = store.list(record::JOB_PREFIX).await?.items;
         let segments = store.list(record::SEGMENT_PREFIX).await?.items;
--- a/src/leader/active_leader/term.rs
+++ b/src/leader/active_leader/term.rs
@@ -16,10 +16,10 @@
 const LOAD_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 impl ActiveLeader {
-    /// Leads until any task calls [`ActiveLeader::end`]. Then the renewal of the
+    /// Leads until any task calls [`ActiveLeader::end_term`]. Then the renewal of the
     /// lease, the writer and the loops of the term are cancelled. Writes, commands
     /// and users' requests in progress are not: they find that the term has ended.
-    pub async fn lead(self: Arc<Self>) {
+    pub async fn run_term(self: Arc<Self>) {
         let mut tasks = JoinSet::new();
         tasks.spawn(self.clone().renew_lease());
         tasks.spawn(self.writer.clone().run());
@@ -27,7 +27,7 @@
             () = self.clone().load_and_run() => {}
             () = self.end_notify.notified() => {}
         }
-        self.end();
+        self.end_term();
         tasks.abort_all();
         self.revoke_lease_in_background();
     }
@@ -43,7 +43,7 @@
     /// Loads the stored state; retries until that succeeds or the term ends.
     async fn load_with_retry(&self) {
         while !self.ended.load(Ordering::Relaxed) {
-            match self.load().await {
+            match self.load_stored_state().await {
                 Ok(()) => break,
                 Err(error) => {
                     info!(%error, "loading the stored state failed, retrying");
--- a/src/leader/active_leader/term_leader.rs
+++ b/src/leader/active_leader/term_leader.rs
@@ -18,24 +18,24 @@
         ActiveLeader::may_act(self)
     }
 
-    fn end(&self) {
-        ActiveLeader::end(self);
+    fn end_term(&self) {
+        ActiveLeader::end_term(self);
     }
 
     fn resumed_after_pause(&self, now: Instant) {
         ActiveLeader::resumed_after_pause(self, now);
     }
 
-    fn heartbeat(&self, body: &[u8], via: &str) -> ApiResponse {
-        ActiveLeader::heartbeat(self, body, via)
+    fn respond_to_heartbeat(&self, body: &[u8], via: &str) -> ApiResponse {
+        ActiveLeader::respond_to_heartbeat(self, body, via)
     }
 
     fn submit<'a>(self: Arc<Self>, body: &'a [u8]) -> ResponseFuture<'a> {
         Box::pin(async move { ActiveLeader::submit(&self, body).await })
     }
 
-    fn poll(self: Arc<Self>, id: JobId) -> ResponseFuture<'static> {
-        Box::pin(async move { ActiveLeader::poll(&self, id).await })
+    fn poll_job(self: Arc<Self>, id: JobId) -> ResponseFuture<'static> {
+        Box::pin(async move { ActiveLeader::poll_job(&self, id).await })
     }
 
     fn cancel(self: Arc<Self>, id: JobId) -> ResponseFuture<'static> {
--- a/src/leader/election.rs
+++ b/src/leader/election.rs
@@ -113,7 +113,7 @@
     info!(term, "elected as leader");
     controller.observe_term(term);
     let active_leader = ActiveLeader::new(controller.clone(), term, lease, lease_requested);
-    active_leader.clone().lead().await;
+    active_leader.clone().run_term().await;
     controller.set_role(Role::Unknown);
     info!(term, "no longer leading");
     sleep(PAUSE_AFTER_TERM).await;
@@ -139,7 +139,7 @@
     };
     match controller.store().transact(&transaction, PUT_TIMEOUT).await {
         Ok(revision) => Some(revision),
-        Err(StoreError::Unanswered { .. }) => read_term(controller, &record, version).await,
+        Err(StoreError::Unanswered { .. }) => resolve_unanswered_put(controller, &record, version).await,
         Err(error) => {
             debug!(%error, "election lost: the leader's key was not put");
             None
@@ -150,7 +150,7 @@
 /// Returns the term of a put that was not answered, if the put has been executed.
 /// If it is executed only after this read, the key is attached to a lease that is
 /// not renewed, and is soon deleted with it.
-async fn read_term(controller: &Controller, record: &LeaderRecord, version: u64) -> Option<u64> {
+async fn resolve_unanswered_put(controller: &Controller, record: &LeaderRecord, version: u64) -> Option<u64> {
     let Ok(KeyRead::Found(item)) = controller.store().get(LEADER_KEY).await else {
         return None;
     };
--- a/src/peer/link.rs
+++ b/src/peer/link.rs
@@ -100,7 +100,7 @@
         loop {
             if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address)).await {
                 let _ = stream.set_nodelay(true);
-                let result = self.serve(stream, &mut queue, &*handler).await;
+                let result = self.run_connection(stream, &mut queue, &*handler).await;
                 debug!(peer = %self.host, ?result, "connection to another controller ended");
             }
             *self.last_frame_at.lock() = None;
@@ -109,7 +109,7 @@
     }
 
     /// Sends requests and reads responses on one connection until it ends.
-    async fn serve(
+    async fn run_connection(
         &self,
         stream: TcpStream,
         queue: &mut mpsc::Receiver<QueuedRequest>,
--- a/src/response.rs
+++ b/src/response.rs
@@ -22,7 +22,7 @@
 
 impl ApiResponse {
     /// Creates a response with `body` as JSON.
-    pub fn json<T: serde::Serialize>(status: u16, body: &T) -> Self {
+    pub fn with_json<T: serde::Serialize>(status: u16, body: &T) -> Self {
         Self {
             status,
             retry_after: None,
@@ -32,7 +32,7 @@
 
     /// Creates an error response whose JSON body gives the client the reason.
     pub fn error(status: u16, reason: &str) -> Self {
-        Self::json(status, &serde_json::json!({ "error": reason }))
+        Self::with_json(status, &serde_json::json!({ "error": reason }))
     }
 
     /// Creates a 503: the request can't be responded to or carried out now, and may be
@@ -47,7 +47,7 @@
     /// Creates a 421 that tells a worker to send its heartbeats to the controller `host`.
     pub fn redirect(host: &str) -> Self {
         let report_to = Some(host.to_owned());
-        Self::json(421, &Redirect { report_to })
+        Self::with_json(421, &Redirect { report_to })
     }
 
     /// Creates the response of a controller that was forwarded a request but does not
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -73,20 +73,20 @@
     /// Sets the property with this key, if its value is a number in the allowed range.
     fn set(&mut self, key: &str, value: &str) -> Result<(), InvalidValue> {
         match key {
-            "leader.lease_ms" | "leader.hold_ms" => self.leader_lease = millis(value, 500.0, 60_000.0)?,
-            "plan.pause_ms" => self.min_round_pause = millis(value, 1.0, 5_000.0)?,
-            "fleet.idle_s" => self.idle_timeout = seconds(value, 0.0, 86_400.0)?,
-            "fleet.silent_s" => self.silence_limit = Some(seconds(value, 1.0, 600.0)?),
-            "fleet.most" => self.max_machines = number(value, 1.0, 100_000.0)? as usize,
-            "fleet.warm" => self.warm_share = number(value, 0.0, 10.0)?,
-            "users.forward_ms" => self.forward_timeout = millis(value, 10.0, 5_000.0)?,
+            "leader.lease_ms" | "leader.hold_ms" => self.leader_lease = parse_millis(value, 500.0, 60_000.0)?,
+            "plan.pause_ms" => self.min_round_pause = parse_millis(value, 1.0, 5_000.0)?,
+            "fleet.idle_s" => self.idle_timeout = parse_seconds(value, 0.0, 86_400.0)?,
+            "fleet.silent_s" => self.silence_limit = Some(parse_seconds(value, 1.0, 600.0)?),
+            "fleet.most" => self.max_machines = parse_number(value, 1.0, 100_000.0)? as usize,
+            "fleet.warm" => self.warm_share = parse_number(value, 0.0, 10.0)?,
+            "users.forward_ms" => self.forward_timeout = parse_millis(value, 10.0, 5_000.0)?,
             _ => return Err(InvalidValue::UnknownKey),
         }
         Ok(())
     }
 }
 
-fn number(value: &str, min: f64, max: f64) -> Result<f64, InvalidValue> {
+fn parse_number(value: &str, min: f64, max: f64) -> Result<f64, InvalidValue> {
     value
         .trim()
         .parse::<f64>()
@@ -95,10 +95,10 @@
         .ok_or(InvalidValue::NotInRange { min, max })
 }
 
-fn seconds(value: &str, min: f64, max: f64) -> Result<Duration, InvalidValue> {
-    number(value, min, max).map(Duration::from_secs_f64)
+fn parse_seconds(value: &str, min: f64, max: f64) -> Result<Duration, InvalidValue> {
+    parse_number(value, min, max).map(Duration::from_secs_f64)
 }
 
-fn millis(value: &str, min: f64, max: f64) -> Result<Duration, InvalidValue> {
-    number(value, min, max).map(|millis| Duration::from_secs_f64(millis / 1e3))
+fn parse_millis(value: &str, min: f64, max: f64) -> Result<Duration, InvalidValue> {
+    parse_number(value, min, max).map(|millis| Duration::from_secs_f64(millis / 1e3))
 }
--- a/src/settings/state_limits.rs
+++ b/src/settings/state_limits.rs
@@ -36,30 +36,30 @@
 }
 
 /// The lower one of a current limit and the one announced for it, if there is one.
-fn stricter<T: Copy>(limit: T, next: Option<T>, min: impl FnOnce(T, T) -> T) -> T {
+fn stricter_limit<T: Copy>(limit: T, next: Option<T>, min: impl FnOnce(T, T) -> T) -> T {
     next.map_or(limit, |next| min(next, limit))
 }
 
 impl StateLimits {
     /// Largest value, in bytes, that is accepted by the current and the announced limit.
     pub fn max_value_bytes(&self) -> usize {
-        let kib = stricter(self.value_kb, self.next.value_kb, f64::min);
+        let kib = stricter_limit(self.value_kb, self.next.value_kb, f64::min);
         (kib * BYTES_PER_KIB) as usize
     }
 
     /// Most puts and deletes in a transaction by the current and the announced limit.
     pub fn max_transaction_changes(&self) -> usize {
-        stricter(self.txn_ops, self.next.txn_ops, usize::min)
+        stricter_limit(self.txn_ops, self.next.txn_ops, usize::min)
     }
 
     /// Most requests per second by the current and the announced limit.
     pub fn max_requests_per_s(&self) -> f64 {
-        stricter(self.rps, self.next.rps, f64::min)
+        stricter_limit(self.rps, self.next.rps, f64::min)
     }
 
     /// Most puts and deletes per second by the current and the announced limit.
     pub fn max_changes_per_s(&self) -> f64 {
-        stricter(self.write_rps, self.next.write_rps, f64::min)
+        stricter_limit(self.write_rps, self.next.write_rps, f64::min)
     }
 }
 
--- a/src/store/client.rs
+++ b/src/store/client.rs
@@ -99,7 +99,7 @@
     }
 
     /// Sends a request without taking it from the budgets, which is up to the caller.
-    pub(super) async fn call(
+    pub(super) async fn send_request(
         &self,
         request: StoreRequest<'_>,
         operation: impl FnOnce() -> Operation,
@@ -110,7 +110,10 @@
             body,
             timeout,
         } = request;
-        let response = self.http.call(method, &self.address, path, body, timeout).await;
+        let response = self
+            .http
+            .send_request(method, &self.address, path, body, timeout)
+            .await;
         self.record_reachability(response.as_ref().is_ok_and(|r| r.status != 503));
         if response.as_ref().is_ok_and(|r| r.status == 429) {
             self.lower_rates();
--- a/src/store/leases.rs
+++ b/src/store/leases.rs
@@ -20,7 +20,7 @@
             body: Some(body),
             timeout: REQUEST_TIMEOUT,
         };
-        let response = self.call(request, operation).await?;
+        let response = self.send_request(request, operation).await?;
         match response.status {
             200 => Ok(parse_body::<LeaseGrant>(&response, operation)?.lease),
             status => Err(StoreError::from_status(operation(), status)),
@@ -38,7 +38,7 @@
             body: Some(b"{}".to_vec()),
             timeout,
         };
-        let response = self.call(request, operation).await?;
+        let response = self.send_request(request, operation).await?;
         match response.status {
             200 => Ok(()),
             404 => Err(StoreError::LeaseNotFound {
@@ -58,7 +58,7 @@
             body: None,
             timeout: REQUEST_TIMEOUT,
         };
-        let response = self.call(request, operation).await?;
+        let response = self.send_request(request, operation).await?;
         match response.status {
             200 | 404 => Ok(()),
             status => Err(StoreError::from_status(operation(), status)),
--- a/src/store/reads.rs
+++ b/src/store/reads.rs
@@ -73,7 +73,7 @@
             body: None,
             timeout,
         };
-        let response = self.call(request, operation).await?;
+        let response = self.send_request(request, operation).await?;
         match response.status {
             200 => Ok(KeyRead::Found(parse_body(&response, operation)?)),
             404 => Ok(KeyRead::Missing {
@@ -114,7 +114,7 @@
             body: None,
             timeout: REQUEST_TIMEOUT * 2,
         };
-        let response = self.call(request, operation).await?;
+        let response = self.send_request(request, operation).await?;
         if response.status != 200 {
             return Err(StoreError::from_status(operation(), response.status));
         }
@@ -135,7 +135,7 @@
             body: None,
             timeout: hold + WATCH_MARGIN,
         };
-        let response = self.call(request, operation).await?;
+        let response = self.send_request(request, operation).await?;
         match response.status {
             200 => parse_body(&response, operation),
             410 => Err(StoreError::RevisionTooOld {
--- a/src/store/transactions.rs
+++ b/src/store/transactions.rs
@@ -52,13 +52,13 @@
             body: Some(body),
             timeout,
         };
-        let response = self.call(request, operation).await?;
+        let response = self.send_request(request, operation).await?;
         match response.status {
             200 => Ok(parse_body::<TransactionResult>(&response, operation)?.revision),
             409 => Err(StoreError::Conflict {
                 failed_keys: parse_body::<TransactionResult>(&response, operation)?.failed,
             }),
-            400 if contains(&response.body, NO_SUCH_LEASE) => Err(StoreError::LeaseNotFound {
+            400 if contains_bytes(&response.body, NO_SUCH_LEASE) => Err(StoreError::LeaseNotFound {
                 operation: operation(),
             }),
             status => Err(StoreError::from_status(operation(), status)),
@@ -86,6 +86,6 @@
     }
 }
 
-fn contains(body: &[u8], text: &[u8]) -> bool {
+fn contains_bytes(body: &[u8], text: &[u8]) -> bool {
     body.windows(text.len()).any(|window| window == text)
 }
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::core::evidence::permission::{SendPermit, SendRefusal};
-use crate::http::{post_once, PostError};
+use crate::http::{post_unpooled, PostError};
 use crate::sockets::SocketBudget;
 use crate::wire::{CommandBatch, Heartbeat};
 
@@ -38,7 +38,7 @@
     };
     let _socket = sockets.acquire_command_socket().await;
     let spend_permit = || permit().map(SendPermit::consume);
-    let response = match post_once(address, "/commands", body, COMMAND_TIMEOUT, spend_permit).await {
+    let response = match post_unpooled(address, "/commands", body, COMMAND_TIMEOUT, spend_permit).await {
         Ok(response) => response,
         Err(PostError::Withheld(reason)) => return CommandOutcome::Withheld(reason),
         Err(PostError::Http(_)) => return CommandOutcome::Unanswered,
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -96,7 +96,7 @@
 fn log_segments_of_production_are_read_and_written_unchanged() {
     check_round_trip::<Vec<LogEntry>>(SEGMENT);
     let mut log = WriteAheadLog::new(4096);
-    assert!(log.load(1, serde_json::from_str(SEGMENT).expect("json")));
+    assert!(log.load_segment(1, serde_json::from_str(SEGMENT).expect("json")));
     let replay = log.replay();
     let job: JobId = "job-000412".parse().expect("an id");
     assert_eq!(replay.machines.len(), 1);
@@ -113,7 +113,7 @@
     for (number, line) in (1..).zip(LARGE_SEGMENTS.lines()) {
         let value: Value = serde_json::from_str(line).expect("json");
         stored.insert(number, value.clone());
-        assert!(log.load(number, value));
+        assert!(log.load_segment(number, value));
     }
     (log, stored)
 }
@@ -122,7 +122,7 @@
 fn replay_of(stored: &BTreeMap<u64, Value>) -> LogReplay {
     let mut log = WriteAheadLog::new(4096);
     for (number, value) in stored {
-        assert!(log.load(*number, value.clone()));
+        assert!(log.load_segment(*number, value.clone()));
     }
     log.replay()
 }
@@ -186,7 +186,7 @@
     entries.insert(1, json!({ "later": ["i-000231", 7] }));
     let mut log = WriteAheadLog::new(4096);
     assert!(
-        log.load(1, json!(entries)),
+        log.load_segment(1, json!(entries)),
         "an entry of a later version must not prevent loading"
     );
     assert_eq!(
@@ -196,7 +196,7 @@
     );
     // A compaction rewrites the segment and must keep the entry.
     for number in 2..8 {
-        assert!(log.load(number, json!([])));
+        assert!(log.load_segment(number, json!([])));
     }
     log.push(LogEntry::Released("i-000008".into()));
     let append = log
@@ -210,8 +210,8 @@
     assert!(written.contains("later"), "the entry is lost: {written}");
     // A malformed entry must be refused, because the machines and tasks that it names are
     // unknown.
-    assert!(!WriteAheadLog::new(4096).load(1, json!([{ "s": ["i-000231"] }])));
-    assert!(!WriteAheadLog::new(4096).load(1, json!(["s"])));
+    assert!(!WriteAheadLog::new(4096).load_segment(1, json!([{ "s": ["i-000231"] }])));
+    assert!(!WriteAheadLog::new(4096).load_segment(1, json!(["s"])));
 }
 
 fn decode_hex(hex: &str) -> Vec<u8> {
--- a/tests/dependencies/cancellation.rs
+++ b/tests/dependencies/cancellation.rs
@@ -63,14 +63,14 @@
     let (mut model, machine) = model_with_machine(now);
     model.add_job(job_awaiting(1, &[]), now);
     model.add_job(job_awaiting(2, &[1]), now);
-    model.plan(now);
+    model.run_scheduling_round(now);
     finish_tasks(&mut model, &machine, 2, now);
     // The last task of job 1 is done before the cancellation arrives.
     assert!(model.jobs()[&job_id(1)].is_complete());
     store_due_writes(&mut model, now);
     model.cancel(job_id(1), now);
     assert_eq!(state_of(&model, 2), Some(JobState::Queued));
-    model.plan(now);
+    model.run_scheduling_round(now);
     assert_eq!(model.jobs()[&job_id(2)].place_count, 1);
 }
 
@@ -80,7 +80,7 @@
     let (mut model, _) = model_with_machine(now);
     model.add_job(job_awaiting(2, &[1]), now);
     model.add_job(job_awaiting(3, &[2]), now);
-    model.plan(now);
+    model.run_scheduling_round(now);
     assert_eq!(model.jobs()[&job_id(2)].place_count, 0);
     assert_eq!((state_of(&model, 2), state_of(&model, 3)), (None, None));
     assert_eq!(
--- a/tests/dependencies/plain_model.rs
+++ b/tests/dependencies/plain_model.rs
@@ -276,7 +276,7 @@
             if self.graph.is_ready(*id) {
                 prop_assert!(self.is_ready(*id), "the graph calls {id} ready too early");
             }
-            if !self.graph.in_doubt(*id) {
+            if !self.graph.has_dependency_in_doubt(*id) {
                 let is_requested = |n: &JobId| self.jobs[n].cancellation_requested && self.is_unfinished(*n);
                 prop_assert!(
                     !job.awaits.iter().any(is_requested),
--- a/tests/dependencies/readiness.rs
+++ b/tests/dependencies/readiness.rs
@@ -16,16 +16,16 @@
     let (mut model, machine) = model_with_machine(now);
     model.add_job(job_awaiting(1, &[]), now);
     model.add_job(job_awaiting(2, &[1]), now);
-    model.plan(now);
+    model.run_scheduling_round(now);
     let placed = |m: &ClusterModel, n: usize| m.jobs().get(&job_id(n)).map_or(0, |j| j.place_count);
     assert_eq!((placed(&model, 1), placed(&model, 2)), (1, 0));
     finish_tasks(&mut model, &machine, 2, now);
     // All tasks of job 1 are done, but that isn't stored yet.
-    model.plan(now);
+    model.run_scheduling_round(now);
     assert_eq!(placed(&model, 2), 0, "done, but not stored");
     let ended = now + secs(1);
     assert_eq!(store_due_writes(&mut model, ended), [(job_id(1), JobState::Done)]);
-    model.plan(ended);
+    model.run_scheduling_round(ended);
     assert_eq!(placed(&model, 2), 1);
     assert_eq!(model.ready_since(&model.jobs()[&job_id(2)]), ended);
 }
@@ -37,7 +37,7 @@
     for (n, awaits) in [(1, vec![]), (2, vec![1]), (3, vec![])] {
         model.add_job(job_awaiting(n, &awaits), now);
     }
-    model.plan(now);
+    model.run_scheduling_round(now);
     finish_tasks(&mut model, &machine, 2, now);
     let writes = model.take_due_writes(now);
     let finals = writes.iter().filter_map(|w| match w {
@@ -159,5 +159,8 @@
         .inherited_urgency(job_id(1))
         .expect("job 3 depends on it");
     assert_eq!(inherited.due, Some(now + secs(40)));
-    assert_eq!(model.priority(&model.jobs()[&job_id(1)]), Priority::High);
+    assert_eq!(
+        model.effective_priority(&model.jobs()[&job_id(1)]),
+        Priority::High
+    );
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -41,7 +41,7 @@
             );
         }
     }
-    model.plan(now);
+    model.run_scheduling_round(now);
     let writes = model.take_due_writes(now);
     writes
         .iter()
@@ -335,7 +335,7 @@
     on_probation.add_job(job_record(job(1, 50, 8.0)), later);
     let failing = on_probation.set_up().jobs.values_mut().next().expect("the job");
     fail_on_three_machines(failing, secs(1), later);
-    on_probation.plan(later);
+    on_probation.run_scheduling_round(later);
     assert_eq!(
         on_probation.jobs().values().next().expect("the job").place_count,
         1
@@ -349,7 +349,7 @@
     let mut spec = job(1, 50, 8.0);
     spec.team = "red".into();
     limited.add_job(job_record(spec), later);
-    limited.plan(later);
+    limited.run_scheduling_round(later);
     assert_eq!(
         limited.jobs().values().next().expect("the job").place_count,
         5,
--- a/tests/gap/world/leaders.rs
+++ b/tests/gap/world/leaders.rs
@@ -132,7 +132,7 @@
 
     fn run_round(&mut self, controller: usize, leader: &mut Leader, now: Instant) {
         leader.model.expire_leases(now);
-        leader.model.plan(now);
+        leader.model.run_scheduling_round(now);
         leader.pending_writes.extend(leader.model.take_due_writes(now));
         for due in leader.model.take_due_batches(now, 4) {
             self.send_command(controller, leader.term, &due.machine, due.batch);
--- a/tests/log.rs
+++ b/tests/log.rs
@@ -238,7 +238,7 @@
     fn check_replay(&self) -> Result<(), TestCaseError> {
         let mut reader = WriteAheadLog::new(VALUE_BYTES);
         for (number, value) in &self.stored {
-            prop_assert!(reader.load(*number, value.clone()));
+            prop_assert!(reader.load_segment(*number, value.clone()));
         }
         let replay = reader.replay();
         for (id, on_machine) in &self.slots {
@@ -280,7 +280,7 @@
     fn elect(&mut self) {
         self.log = WriteAheadLog::new(VALUE_BYTES);
         for (number, value) in &self.stored {
-            assert!(self.log.load(*number, value.clone()));
+            assert!(self.log.load_segment(*number, value.clone()));
         }
         let replay = self.log.replay();
         self.slots = replay
--- a/tests/overload.rs
+++ b/tests/overload.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 use bitternfold::api::ConnectionTimeouts;
-use bitternfold::http::{post_once, PostError};
+use bitternfold::http::{post_unpooled, PostError};
 use bitternfold::sockets::SocketBudget;
 use serde_json::json;
 use site::{run_async_test, Site, TEST_TIMEOUT};
@@ -203,7 +203,7 @@
             lengths
         });
         let send = |permit: Result<(), ()>| {
-            post_once(&addr, "/commands", b"{}".to_vec(), TEST_TIMEOUT, move || permit)
+            post_unpooled(&addr, "/commands", b"{}".to_vec(), TEST_TIMEOUT, move || permit)
         };
         assert!(matches!(send(Err(())).await, Err(PostError::Withheld(()))));
         assert_eq!(send(Ok(())).await.expect("a response").status, 200);
--- a/tests/planner/backfilling.rs
+++ b/tests/planner/backfilling.rs
@@ -16,7 +16,7 @@
     let mut model = model(1);
     add_machine(&mut model, "i-1", "large", "north", false, now);
     model.add_job(job_record(job(1, 3, 8.0)), now);
-    model.plan(now);
+    model.run_scheduling_round(now);
     mark_all_running(&mut model, now);
     model.add_job(job_record(job(2, 1, 16.0)), now + secs(1));
     (model, now + secs(1))
@@ -31,7 +31,7 @@
     let mut short = job(4, 1, 8.0);
     short.estimate_s = 20.0;
     model.add_job(job_record(short), now + secs(1));
-    let round = model.plan(now + secs(1));
+    let round = model.run_scheduling_round(now + secs(1));
     assert_eq!(
         (round.placed_in_order, round.backfilled, round.preempted),
         (0, 1, 0)
@@ -48,7 +48,7 @@
     let mut long = job(3, 1, 8.0);
     long.estimate_s = 500.0;
     model.add_job(job_record(long), now);
-    let round = model.plan(now);
+    let round = model.run_scheduling_round(now);
     assert_eq!(round.backfilled, 1);
     assert!(model.machines()[&MachineId::from("i-1")]
         .slots
@@ -62,10 +62,10 @@
     let mut long = job(3, 1, 8.0);
     long.estimate_s = 500.0;
     model.add_job(job_record(long), now);
-    model.plan(now);
+    model.run_scheduling_round(now);
     mark_all_running(&mut model, now);
     // Preempting the shadow load frees 8 CPUs: not enough for the head's 16.
-    assert_eq!(model.plan(now + secs(1)).preempted, 0);
+    assert_eq!(model.run_scheduling_round(now + secs(1)).preempted, 0);
     // A task of the sunny load ends: the shadow load's 8 CPUs and the 8 that it frees are
     // enough to start the head.
     let id = MachineId::from("i-1");
@@ -86,7 +86,7 @@
         });
     }
     model.apply_heartbeat(&message, now + secs(2));
-    let round = model.plan(now + secs(2));
+    let round = model.run_scheduling_round(now + secs(2));
     assert_eq!((round.preempted, round.placed_in_order), (1, 1));
     // The stop comes before the start, in the same batch of commands.
     let writes = model.take_due_writes(now + secs(2));
--- a/tests/planner/cordon.rs
+++ b/tests/planner/cordon.rs
@@ -21,12 +21,12 @@
             first.waiting.remove(1);
             first.done.insert(1);
         }
-        model.plan(now);
+        model.run_scheduling_round(now);
         let id = MachineId::from("i-1");
         end_all_tasks(&mut model, "i-1", ExitReason::Failed, 2, now + secs(1));
         assert!(model.machines()[&id].cordoned_since.is_some(), "{jobs} jobs");
         add_machine(&mut model, "i-2", "small", "north", false, now + secs(1));
-        model.plan(now + secs(1));
+        model.run_scheduling_round(now + secs(1));
         assert!(!tasks_on(&model, "i-2").is_empty() && tasks_on(&model, "i-1").is_empty());
     }
 }
@@ -47,7 +47,7 @@
     let mut attempts = 0;
     for i in 0..300u64 {
         now += secs(1);
-        model.plan(now);
+        model.run_scheduling_round(now);
         for id in &ids {
             attempts += tasks_on(&model, id).len();
             end_all_tasks(&mut model, id, ExitReason::Failed, 10 + i * 2, now);
@@ -72,7 +72,7 @@
     job.waiting.remove(0);
     job.failures.clear();
     job.pause_until = None;
-    model.plan(now + secs(1));
+    model.run_scheduling_round(now + secs(1));
     assert_eq!(
         model.jobs()[&failing[0]].waiting.count(),
         0,
@@ -90,7 +90,7 @@
     ids.iter()
         .for_each(|id| add_machine(&mut model, id, "small", "north", false, now));
     model.add_job(job_record(job(1, 4, 8.0)), now);
-    model.plan(now);
+    model.run_scheduling_round(now);
     let mut message = heartbeat("i-1", "small", "north", false, 1, 2);
     message.tasks = reported_running(&model, &"i-1".into());
     model.apply_heartbeat(&message, now + secs(1));
@@ -109,7 +109,7 @@
     );
     add_machine(&mut model, "i-5", "small", "north", false, now + secs(60));
     add_machine(&mut model, "i-6", "small", "north", false, now + secs(60));
-    model.plan(now + secs(60));
+    model.run_scheduling_round(now + secs(60));
     assert_eq!(tasks_on(&model, "i-5").len() + tasks_on(&model, "i-6").len(), 2);
 }
 
@@ -124,7 +124,7 @@
         add_machine(&mut model, "i-1", "small", "north", false, now);
         if busy {
             model.add_job(job_record(job(1, 1, 4.0)), now);
-            model.plan(now);
+            model.run_scheduling_round(now);
         }
         let id = MachineId::from("i-1");
         model
@@ -134,12 +134,12 @@
             .expect("known")
             .cordoned_since = Some(now);
         model.add_job(job_record(job(2, 1, 4.0)), now);
-        model.plan(now + secs(30));
+        model.run_scheduling_round(now + secs(30));
         assert_eq!(tasks_on(&model, "i-1").len(), usize::from(busy), "still cordoned");
         let mut message = heartbeat("i-1", "small", "north", false, 1, 9);
         message.tasks = reported_running(&model, &id);
         model.apply_heartbeat(&message, now + secs(60));
-        model.plan(now + secs(60));
+        model.run_scheduling_round(now + secs(60));
         assert_eq!(tasks_on(&model, "i-1").len(), 1 + usize::from(busy));
     }
 }
--- a/tests/planner/fixtures.rs
+++ b/tests/planner/fixtures.rs
@@ -75,7 +75,7 @@
             .collect();
         model.apply_heartbeat(&message, now);
     }
-    model.plan(now);
+    model.run_scheduling_round(now);
     // As if all starts had been sent.
     for slot in model
         .set_up()
--- a/tests/planner/gangs.rs
+++ b/tests/planner/gangs.rs
@@ -15,10 +15,10 @@
     let mut spec = job(1, 3, 4.0);
     spec.kind = JobKind::Gang;
     model.add_job(job_record(spec), now);
-    model.plan(now);
+    model.run_scheduling_round(now);
     assert!(tasks_on(&model, "i-1").is_empty(), "two of three would fit");
     add_machine(&mut model, "i-2", "small", "south", false, now);
-    model.plan(now);
+    model.run_scheduling_round(now);
     let attempts: BTreeSet<u64> = model
         .machines()
         .values()
--- a/tests/planner/generated.rs
+++ b/tests/planner/generated.rs
@@ -137,7 +137,7 @@
             add_machine(&mut model, &format!("i-{i}"), machine_type, zone, *spot, now);
         }
         for spec in first { model.add_job(job_record(spec), now); }
-        model.plan(now);
+        model.run_scheduling_round(now);
         check_placements(&model)?;
         mark_all_running(&mut model, now);
         let later = now + secs(2);
@@ -149,7 +149,7 @@
         let backfilled_before: HashMap<TaskId, bool> = model.machines().values()
             .flat_map(|machine| machine.slots.iter().map(|(t, s)| (*t, s.backfilled))).collect();
         let waiting_before: HashMap<JobId, u32> = model.jobs().iter().map(|(id, j)| (*id, j.waiting.count())).collect();
-        model.plan(later);
+        model.run_scheduling_round(later);
         check_placements(&model)?;
         let ranks = model.ranks(later);
         for (task, slot) in model.machines().values().flat_map(|machine| &machine.slots) {
@@ -205,7 +205,7 @@
         for model in [&mut grouped, &mut one_by_one] {
             for spec in &first { model.add_job(job_record(spec.clone()), now); }
         }
-        prop_assert_eq!(grouped.plan(now), one_by_one.plan_one_by_one(now));
+        prop_assert_eq!(grouped.run_scheduling_round(now), one_by_one.run_scheduling_round_one_by_one(now));
         prop_assert_eq!(places(&grouped), places(&one_by_one));
         let later = now + secs(2);
         for model in [&mut grouped, &mut one_by_one] {
@@ -217,7 +217,7 @@
                 model.add_job(job_record(spec), later);
             }
         }
-        prop_assert_eq!(grouped.plan(later), one_by_one.plan_one_by_one(later));
+        prop_assert_eq!(grouped.run_scheduling_round(later), one_by_one.run_scheduling_round_one_by_one(later));
         prop_assert_eq!(places(&grouped), places(&one_by_one));
     }
 }
--- a/tests/planner/prediction.rs
+++ b/tests/planner/prediction.rs
@@ -26,7 +26,7 @@
     let mut model = model(1);
     add_machine(&mut model, "i-1", "small", "north", false, now);
     model.add_job(job_record(job(1, 1, 1.0)), now);
-    model.plan(now);
+    model.run_scheduling_round(now);
     let id = MachineId::from("i-1");
     let mut sequence = 2;
     mark_all_running(&mut model, now);
@@ -65,7 +65,7 @@
             .iter()
             .for_each(|write| model.write_finished(write, true, reported_at));
         assert_eq!(model.run_time_ratios().get("blue").copied(), expected_ratio);
-        model.plan(reported_at + secs(run_s));
+        model.run_scheduling_round(reported_at + secs(run_s));
         mark_all_running(&mut model, reported_at + secs(run_s));
     }
 }
--- a/tests/planner/preemption.rs
+++ b/tests/planner/preemption.rs
@@ -26,7 +26,7 @@
     spec.estimate_s = 300.0;
     edit_low(&mut spec);
     model.add_job(job_record(spec), now);
-    model.plan(now);
+    model.run_scheduling_round(now);
     mark_all_running(&mut model, now);
     let later = now + run;
     for i in 0..4 {
@@ -39,7 +39,7 @@
     spec.deadline_s = Some(120.0);
     edit_urgent(&mut spec);
     model.add_job(job_record(spec), later);
-    model.plan(later);
+    model.run_scheduling_round(later);
     let slots = model
         .machines()
         .values()
@@ -102,7 +102,7 @@
         model.apply_heartbeat(&message, before_pause_end);
     }
     model.add_job(job_record(urgent), before_pause_end);
-    model.plan(before_pause_end);
+    model.run_scheduling_round(before_pause_end);
     let slots = model
         .machines()
         .values()
--- a/tests/planner/probation.rs
+++ b/tests/planner/probation.rs
@@ -42,7 +42,7 @@
             };
             model.apply_heartbeat(&message, at);
         }
-        model.plan(at);
+        model.run_scheduling_round(at);
         placed.push(model.jobs().values().next().expect("the job").place_count);
     }
     placed
@@ -91,12 +91,12 @@
         let mut failures = FailureHistory::default();
         for (i, run_time_s) in run_times_s.iter().enumerate() {
             let machine = format!("i-{i}");
-            failures.record(&machine.as_str().into(), secs(*run_time_s), now);
+            failures.record_failure(&machine.as_str().into(), secs(*run_time_s), now);
             prop_assert!(failures.pause() <= secs(20));
             prop_assert!(failures.trial_run_time() <= secs(10));
             prop_assert!(failures.pause() >= secs(2), "a failure is followed by a pause");
         }
-        prop_assert_eq!(failures.on_probation(now), run_times_s.len() >= 3);
-        prop_assert!(!failures.on_probation(now + secs(60)), "probation lasts for 60 s at most");
+        prop_assert_eq!(failures.is_on_probation(now), run_times_s.len() >= 3);
+        prop_assert!(!failures.is_on_probation(now + secs(60)), "probation lasts for 60 s at most");
     }
 }
--- a/tests/planner/ranking.rs
+++ b/tests/planner/ranking.rs
@@ -17,7 +17,7 @@
     model.add_job(job_record(low), now);
     model.add_job(job_record(job(2, 1, 8.0)), now + secs(1));
     model.add_job(job_record(job(3, 1, 8.0)), now);
-    model.plan(now + secs(1));
+    model.run_scheduling_round(now + secs(1));
     assert_eq!(tasks_on(&model, "i-1"), ["job-000003/0"]);
 }
 
@@ -31,7 +31,7 @@
     big.team = "red".into();
     model.add_job(job_record(big), now);
     model.add_job(job_record(job(2, 3, 8.0)), now);
-    let round = model.plan(now);
+    let round = model.run_scheduling_round(now);
     assert_eq!(
         (round.placed_in_order, round.backfilled),
         (8, 0),
@@ -81,7 +81,7 @@
         spec.deadline_s = Some(200.0);
         model.add_job(job_record(spec), now + secs(u64::from(n)));
     }
-    model.plan(now + secs(4));
+    model.run_scheduling_round(now + secs(4));
     assert_eq!(tasks_on(&model, "i-1"), ["job-000003/0"]);
 }
 
--- a/tests/safety/cluster/mod.rs
+++ b/tests/safety/cluster/mod.rs
@@ -91,7 +91,7 @@
     /// Runs one scheduling round of the leader and sends the writes and commands that are due.
     pub fn run_round(&mut self) {
         self.model.expire_leases(self.now);
-        self.model.plan(self.now);
+        self.model.run_scheduling_round(self.now);
         let term = self.term;
         for write in self.model.take_due_writes(self.now) {
             self.in_flight.push(Message::Write { write, term });
--- a/tests/safety/commands.rs
+++ b/tests/safety/commands.rs
@@ -13,7 +13,7 @@
     let id = MachineId::from("i-1");
     model.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
     model.add_job(job_record(job(1, 1, 4.0)), now);
-    model.plan(now);
+    model.run_scheduling_round(now);
     let writes = model.take_due_writes(now);
     assert!(!writes.is_empty());
     assert!(
@@ -88,7 +88,7 @@
     let job_record = job_record(job(1, 1, 4.0));
     let job = job_record.spec.id;
     model.add_job(job_record, now);
-    model.plan(now);
+    model.run_scheduling_round(now);
     model
         .take_due_writes(now)
         .iter()
@@ -136,7 +136,7 @@
     let id = MachineId::from("i-1");
     model.apply_heartbeat(&heartbeat("i-1", "small", "north", false, 7, 1), now);
     model.add_job(job_record(job(1, 2, 4.0)), now);
-    model.plan(now);
+    model.run_scheduling_round(now);
     let writes = model.take_due_writes(now);
     writes
         .iter()
--- a/tests/safety/heartbeats.rs
+++ b/tests/safety/heartbeats.rs
@@ -100,7 +100,7 @@
         index: 0,
     };
     model.add_job(job_record, now);
-    model.plan(now);
+    model.run_scheduling_round(now);
     let mut message = heartbeat("i-1", "small", "north", false, 7, 2);
     message.tasks = reported_running(&model, &id);
     assert_eq!(model.unknown_tasks(&message).count(), 0);
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -76,7 +76,7 @@
         // 40 tasks of 4 CPUs: as many as fit on 20 machines of 8 CPUs.
         model.add_job(job_record(job(number as u32, 40, 4.0)), now);
     }
-    model.plan(now);
+    model.run_scheduling_round(now);
     for number in 0..30 {
         model.add_job(job_record(job(100_000 + number, 100, 4.0)), now);
     }
@@ -137,7 +137,7 @@
         writes
             .iter()
             .for_each(|write| model.write_finished(write, true, at));
-        let (round, done) = count_allocations(|| model.plan(at));
+        let (round, done) = count_allocations(|| model.run_scheduling_round(at));
         assert_eq!(
             done.placed_in_order + done.backfilled,
             1,
@@ -197,7 +197,7 @@
             .map(|j| j.spec.id)
             .collect();
         waiting.into_iter().for_each(|id| model.remove_job(id));
-        count_allocations(|| model.plan(now)).0
+        count_allocations(|| model.run_scheduling_round(now)).0
     });
     assert!(
         large <= small + 8,
@@ -215,7 +215,7 @@
         let mut new_model = support::model(8);
         let (cost, ()) = count_allocations(|| {
             for old_job in old_model.jobs().values() {
-                new_model.add_job(old_job.record(), now);
+                new_model.add_job(old_job.to_record(), now);
             }
             for (number, value) in stored.iter().filter_map(|(n, v)| Some((n, v.clone()?))) {
                 assert!(new_model.load_log_segment(*number, value));
@@ -242,7 +242,7 @@
     let (old_model, segments) = full_cluster(LARGE_FLEET, now);
     let mut model = model(8);
     for old_job in old_model.jobs().values() {
-        model.add_job(old_job.record(), now);
+        model.add_job(old_job.to_record(), now);
     }
     let stored: std::collections::BTreeMap<_, _> = segments.into_iter().collect();
     for (number, value) in stored {
@@ -258,7 +258,7 @@
     let mut message = heartbeat(&last, "small", "north", false, 8, 90);
     message.token += 5;
     model.apply_heartbeat(&message, now);
-    let round = model.plan(now);
+    let round = model.run_scheduling_round(now);
     assert!(round.placed_in_order + round.backfilled > 0);
     for write in model.take_due_writes(now) {
         model.write_finished(&write, true, now);
@@ -336,7 +336,7 @@
             message.token = model.machines()[&machine_id(i)].seen_token;
             model.apply_heartbeat(&message, at);
         }
-        model.plan(at);
+        model.run_scheduling_round(at);
         for write in model.take_due_writes(at) {
             if let PendingWrite::Append(append) = &write {
                 for (number, value) in &append.segments {
@@ -378,9 +378,9 @@
         for n in 0..20 {
             model.add_job(job_record(job(n, tasks, 1.0)), now);
         }
-        let round = model.plan(now);
+        let round = model.run_scheduling_round(now);
         assert_eq!(round.placed_in_order + round.backfilled, 40 * 32);
-        count_allocations(|| model.plan(now + std::time::Duration::from_millis(1))).0
+        count_allocations(|| model.run_scheduling_round(now + std::time::Duration::from_millis(1))).0
     });
     assert!(
         many <= few + 64,
--- a/tests/support/cloud/heartbeats.rs
+++ b/tests/support/cloud/heartbeats.rs
@@ -63,7 +63,7 @@
             let method = hyper::Method::POST;
             let client = HttpClient::default();
             let _ = client
-                .call(method, &to, "/v1/report", Some(body), RESPONSE_TIMEOUT)
+                .send_request(method, &to, "/v1/report", Some(body), RESPONSE_TIMEOUT)
                 .await;
         });
     }
@@ -95,7 +95,7 @@
             let to = self.controllers[index].1.to_string();
             self.send_late_copy(&body, &to);
             let response = client
-                .call(
+                .send_request(
                     hyper::Method::POST,
                     &to,
                     "/v1/report",
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -200,7 +200,7 @@
 /// use otherwise, after it had run for `run_time`.
 pub fn fail_on_three_machines(job: &mut Job, run_time: Duration, now: Instant) {
     for id in ["i-91", "i-92", "i-93"] {
-        job.failures.record(&id.into(), run_time, now);
+        job.failures.record_failure(&id.into(), run_time, now);
     }
 }
 
--- a/tests/support/standins.rs
+++ b/tests/support/standins.rs
@@ -46,7 +46,7 @@
     let method = hyper::Method::from_bytes(method.as_bytes()).expect("a method");
     let body = body.map(|body| Bytes::from(body.to_string()).to_vec());
     match client
-        .call(method, &addr.to_string(), path, body, Duration::from_secs(5))
+        .send_request(method, &addr.to_string(), path, body, Duration::from_secs(5))
         .await
     {
         Ok(response) => (
--- a/tests/withheld.rs
+++ b/tests/withheld.rs
@@ -120,7 +120,7 @@
         let record = support::job_record(support::job(1, 1, 4.0));
         let job: JobId = record.spec.id;
         model.add_job(record, now);
-        model.plan(now);
+        model.run_scheduling_round(now);
         let writes = model.take_due_writes(now);
         writes.iter().for_each(|w| model.write_finished(w, true, now));
         let commands = model.next_command_batch(&machine, now).expect("the start").batch;
