--- a/src/core/scheduling/gang_repair.rs
+++ b/src/core/scheduling/gang_repair.rs
@@ -1,4 +1,7 @@
 //! Gang repair: if a task of a gang is no longer placed, the other tasks are stopped.
+//!
+//! Gang repair is an addition to the paper that [`scheduling`](crate::core::scheduling)
+//! names.
 
 use std::time::{Duration, Instant};
 
--- a/src/core/scheduling/mod.rs
+++ b/src/core/scheduling/mod.rs
@@ -1,5 +1,12 @@
-//! Scheduling by PV-EASY, a published algorithm that extends EASY backfilling with
-//! preemption: the order of the queue, placement on machines, and preemption.
+//! Scheduling by PV-EASY: the order of the queue, placement on machines, and preemption.
+//!
+//! PV-EASY extends EASY backfilling with preemption and run-time predictions. It is
+//! described in Yuan, Wu, Zheng and Li, "Guarantee Strict Fairness and Utilize Prediction
+//! Better in Parallel Job Scheduling". Its terms are explained where they are defined:
+//! sunny and shadow load in `shadow_load`, shadow load preemption in
+//! `placement::preemption`, venture backfilling in `placement::backfilling`, and the Last
+//! Model in `core::state::predictions`. Over-quota load, gangs that are placed as a whole
+//! and repaired, and starvation are additions to the paper.
 //!
 //! - [`round`] runs a scheduling round, [`round_summary`] counts what it did.
 //! - [`ranking`] orders the queue; `eligibility` decides which machines and jobs a round
--- a/src/core/scheduling/over_quota.rs
+++ b/src/core/scheduling/over_quota.rs
@@ -1,4 +1,5 @@
-//! Over-quota load: tasks of lower priority that a team runs beyond its quota.
+//! Over-quota load: tasks of lower priority that a team runs beyond its quota. It is an
+//! addition to the paper that [`scheduling`](crate::core::scheduling) names.
 //!
 //! Backfilled tasks are shadow load until no waiting job outranks them. But a team
 //! without a quota may also fill the free machines in the order of the queue, with tasks
--- a/src/core/scheduling/placement/backfilling.rs
+++ b/src/core/scheduling/placement/backfilling.rs
@@ -1,5 +1,6 @@
 //! Venture backfilling: places tasks of jobs behind the blocked head, even where that may
-//! delay the head, since backfilled tasks can be preempted for it.
+//! delay the head, since backfilled tasks can be preempted for it. It is defined in section
+//! 4.3 of the paper that [`scheduling`](crate::core::scheduling) names.
 
 use std::time::Duration;
 
--- a/src/core/scheduling/placement/preemption.rs
+++ b/src/core/scheduling/placement/preemption.rs
@@ -1,5 +1,8 @@
 //! Shadow load preemption: stops shadow tasks so that tasks of the blocked head can be
-//! placed.
+//! placed. It is defined in section 4.2 of the paper that
+//! [`scheduling`](crate::core::scheduling) names. That
+//! [over-quota load](crate::core::scheduling::over_quota) is preempted in the same way is an
+//! addition to the paper.
 
 use std::time::Instant;
 
--- a/src/core/scheduling/ranking/starvation.rs
+++ b/src/core/scheduling/ranking/starvation.rs
@@ -1,4 +1,5 @@
-//! Starvation: raises the rank of jobs that have waited long without a start.
+//! Starvation: raises the rank of jobs that have waited long without a start. It is an
+//! addition to the paper that [`scheduling`](crate::core::scheduling) names.
 
 use std::time::Duration;
 
--- a/src/core/scheduling/shadow_load.rs
+++ b/src/core/scheduling/shadow_load.rs
@@ -1,8 +1,12 @@
 //! When shadow load becomes sunny load.
 //!
-//! A backfilled task is *shadow load*, which may be preempted, as long as a job that
-//! waits for capacity outranks it. Other tasks are *sunny load*, which is not preempted,
-//! unless they are [over-quota load](super::over_quota).
+//! The two classes are defined in section 4.1 of the paper that
+//! [`scheduling`](crate::core::scheduling) names. A backfilled task is *shadow load*, which
+//! may be preempted, as long as a job that waits for capacity outranks it; then it is sunny
+//! load for good. A task placed in the order of the queue is *sunny load* for its whole
+//! life. Sunny load is not preempted, except as [over-quota load](super::over_quota), which
+//! is an addition to the paper. The class is not stored: a new leader counts all tasks that
+//! it finds on the machines as sunny load.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
--- a/src/core/state/predictions.rs
+++ b/src/core/state/predictions.rs
@@ -1,5 +1,6 @@
 //! The Last Model: predicts the run time of a task as its estimate times the
-//! run-to-estimate ratio of the team's last finished job.
+//! run-to-estimate ratio of the team's last finished job. It is defined in section 3.2 of
+//! the paper that [`scheduling`](crate::core::scheduling) names.
 
 use std::time::{Duration, Instant};
 
